--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -121,9 +121,9 @@
 	}
 	f.cap = lowest
 	f.rollout = rollout.New(rollout.Params{
-		LoadCap:      lowest,
-		MaxOutShare:  outShare,
-		OrderTimeout: f.opts.OrderTimeout,
+		LoadCap:             lowest,
+		MaxUnavailableShare: outShare,
+		OrderTimeout:        f.opts.OrderTimeout,
 	})
 }
 
@@ -158,20 +158,20 @@
 		return restFactor * f.opts.Interval
 	}
 	if f.hold(ctx) {
-		f.carryOut(ctx, rows, f.rollout.Step(time.Now(), f.lease.Epoch(), wanted, observed))
+		f.carryOut(ctx, rows, f.rollout.Reconcile(time.Now(), f.lease.Epoch(), wanted, observed))
 	}
 	return f.opts.Interval
 }
 
-func (f *Fleet) wanted(sheet *table.Snapshot) ([]rollout.Wanted, []*table.Target) {
+func (f *Fleet) wanted(sheet *table.Snapshot) ([]rollout.Desired, []*table.Target) {
 	var rows []*table.Target
-	var wanted []rollout.Wanted
+	var wanted []rollout.Desired
 	for _, t := range sheet.Targets() {
 		if t.Kind != table.KindEngine {
 			continue
 		}
 		rows = append(rows, t)
-		wanted = append(wanted, rollout.Wanted{
+		wanted = append(wanted, rollout.Desired{
 			Target: t.ID, Model: t.Model, Version: sheet.TargetVersion(t), Adapter: t.Adapter, Role: t.Role,
 		})
 	}
@@ -203,7 +203,7 @@
 
 // asWanted tells whether no engine that can be reached lacks anything. No lease is
 // needed then, so duties cost the key-value service nothing most of the time.
-func asWanted(wanted []rollout.Wanted, observed []rollout.Observed) bool {
+func asWanted(wanted []rollout.Desired, observed []rollout.Observed) bool {
 	for i, w := range wanted {
 		o := observed[i]
 		if o.Reachable && !o.Leaving && lacks(o.State, w) {
@@ -213,7 +213,7 @@
 	return true
 }
 
-func lacks(s engineapi.State, w rollout.Wanted) bool {
+func lacks(s engineapi.State, w rollout.Desired) bool {
 	return s.Version != w.Version ||
 		s.Loading != "" ||
 		w.Role != "" && s.Role != w.Role ||
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -191,9 +191,9 @@
 func (w *world) Abort(context.Context, *journal.Ticket) error { return w.end("abort") }
 func (w *world) Doubt(context.Context, *journal.Ticket) error { return w.end("doubt") }
 
-func (w *world) Gate(context.Context, quarantine.Fingerprint) quarantine.Verdict {
+func (w *world) Gate(context.Context, quarantine.Fingerprint) quarantine.Decision {
 	w.step("gate", "")
-	return quarantine.Verdict{}
+	return quarantine.Decision{}
 }
 
 // register makes the world a Quarantine: Journal has a Begin of its own.
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -59,7 +59,7 @@
 		}
 		j.suspect = verdict.Mode == quarantine.Alone
 		j.choices = f.choices(ctx, j)
-		if verdict.Mode == quarantine.Only {
+		if verdict.Mode == quarantine.SameTarget {
 			j.choices = onlyAt(j.choices, verdict.Target)
 		}
 		if len(j.choices) == 0 {
@@ -89,7 +89,7 @@
 }
 
 // gateRefusal answers a request that the quarantine does not let run now.
-func gateRefusal(v quarantine.Verdict) *request.Error {
+func gateRefusal(v quarantine.Decision) *request.Error {
 	switch v.Mode {
 	case quarantine.Refuse:
 		return v.Err
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -165,7 +165,7 @@
 // Quarantine keeps a request that crashes targets from crashing many.
 type Quarantine interface {
 	// Gate says how a request may run, before it is placed.
-	Gate(ctx context.Context, fp quarantine.Fingerprint) quarantine.Verdict
+	Gate(ctx context.Context, fp quarantine.Fingerprint) quarantine.Decision
 	// Begin enters a try that is about to be sent; false: it must not be sent now.
 	Begin(fp quarantine.Fingerprint, id request.ID, t request.TargetID, alone bool) bool
 	// End is told that a try is no longer in flight.
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -73,7 +73,7 @@
 	case retry.GiveUp:
 		return d.Err
 	case retry.RetryElsewhere:
-		if pause.For(j.ctx, d.After) != nil {
+		if pause.For(j.ctx, d.Delay) != nil {
 			return cancelled(failure.answer.Ran)
 		}
 	}
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -42,7 +42,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.set(setOf(j), now).OnFirstTry(now)
+	b.set(setOf(j), now).OnFirstAttempt(now)
 }
 
 // decide says what follows a failed try. That bytes have gone to the caller does not
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -61,7 +61,7 @@
 	Watches      func() bool
 	HeardWatcher func()
 	// HeardDeath is told of a replica that died while it ran a peer's request; nil: nobody.
-	HeardDeath func(quarantine.Sighting)
+	HeardDeath func(quarantine.CrashReport)
 	Logger     hclog.Logger
 }
 
@@ -95,7 +95,7 @@
 	}
 	o.Logger = o.Logger.Named("loadshare")
 	if o.HeardDeath == nil {
-		o.HeardDeath = func(quarantine.Sighting) {}
+		o.HeardDeath = func(quarantine.CrashReport) {}
 	}
 	if o.Watches == nil {
 		o.Watches = func() bool { return false }
@@ -163,7 +163,7 @@
 }
 
 // Died tells all daemons, within one tick, that a replica died while it ran a request.
-func (s *Share) Died(sighting quarantine.Sighting) {
+func (s *Share) Died(sighting quarantine.CrashReport) {
 	fingerprint, err := hex.DecodeString(string(sighting.Fingerprint))
 	if err != nil {
 		s.o.Logger.Error("A fingerprint can not be told", "fingerprint", sighting.Fingerprint, "error", err)
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -18,20 +18,20 @@
 	*Share
 	set   *replicas.Set
 	heard chan []uint64
-	died  chan quarantine.Sighting
+	died  chan quarantine.CrashReport
 	peers []netip.AddrPort
 }
 
 func start(t *testing.T, id request.DaemonID) *node {
 	t.Helper()
-	n := &node{set: replicas.NewSet(), heard: make(chan []uint64, 100), died: make(chan quarantine.Sighting, 1)}
+	n := &node{set: replicas.NewSet(), heard: make(chan []uint64, 100), died: make(chan quarantine.CrashReport, 1)}
 	n.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{ID: "r", Service: "s", Address: "127.0.0.1:1"}}})
 	share, err := New(Options{
 		Self: id, Address: "127.0.0.1:0", Set: n.set,
 		Peers: func() []netip.AddrPort { return n.peers }, Others: func() []netip.AddrPort { return nil },
 		Revisions:  func() []uint64 { return []uint64{7} },
 		Heard:      func(_ string, r []uint64) { n.heard <- r },
-		HeardDeath: func(s quarantine.Sighting) { n.died <- s },
+		HeardDeath: func(s quarantine.CrashReport) { n.died <- s },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 	await("that the replica leaves", b.set.Get("r").Leaving)
 	a.Refusing(a.set.Get("r"))
 	await("one that refused the peer gets none", func() bool { return b.set.Get("r").Busy(time.Now()) })
-	death := quarantine.Sighting{Fingerprint: quarantine.Of("org", []byte("body")), Target: "r", Incarnation: 1}
+	death := quarantine.CrashReport{Fingerprint: quarantine.Of("org", []byte("body")), Target: "r", Incarnation: 1}
 	a.Died(death)
 	if got := <-b.died; got != death {
 		t.Errorf("heard of %+v", got)
--- a/internal/loadshare/take.go
+++ b/internal/loadshare/take.go
@@ -59,7 +59,7 @@
 		s.Engine.Learn(replica, parts, int(p.Other))
 	}
 	for _, d := range r.Deaths {
-		s.o.HeardDeath(quarantine.Sighting{
+		s.o.HeardDeath(quarantine.CrashReport{
 			Fingerprint: quarantine.Fingerprint(hex.EncodeToString(d.Fingerprint)), Target: request.TargetID(d.Replica), Incarnation: d.Started,
 		})
 	}
--- a/internal/placer/candidates.go
+++ b/internal/placer/candidates.go
@@ -28,9 +28,9 @@
 		version := r.Weights(j.Model)
 		out[i] = pick.Candidate{
 			Running: load.Requests, Slots: j.Service.Engine.Slots,
-			Tokens: load.Tokens, Memory: j.Service.Engine.MemoryTokens, Prefill: load.Prefill,
+			KVUsed: load.Tokens, KVCapacity: j.Service.Engine.MemoryTokens, QueuedPrefill: load.Prefill,
 			SameDomain: info.FailureDomain == e.Domain, ErrorRate: r.Health.ErrorRate(),
-			OldWeights: e.oldness(j.Model, version), ForLong: forLong[info.ID],
+			WeightStaleness: e.oldness(j.Model, version), ReservedForLongOutput: forLong[info.ID],
 			Parts: e.partsAt(j, r, salt, cacheSalt(version, j.Org) == salt, stored),
 		}
 	}
@@ -42,17 +42,17 @@
 	m := e.models[r]
 	parts := make([]pick.Part, len(j.Parts))
 	for i, p := range j.Parts {
-		parts[i] = pick.Part{Tokens: p.Tokens, Shared: stored[i].Fetch}
+		parts[i] = pick.Part{Tokens: p.Tokens, ComputedBefore: stored[i].Fetch}
 		if !sameSalt {
 			continue
 		}
-		parts[i].Resident = m != nil && m.Has(partKey(salt, p.ID))
+		parts[i].Resident = m != nil && m.Contains(partKey(salt, p.ID))
 		if stored[i].Fetch {
-			parts[i].Link = stored[i].Takes - stored[i].Queue
+			parts[i].LinkTime = stored[i].Takes - stored[i].Queue
 			if stored[i].FailureDomain != info.FailureDomain {
-				parts[i].Link *= crossFactor
+				parts[i].LinkTime *= crossFactor
 			}
-			parts[i].Fetch = stored[i].Queue + parts[i].Link
+			parts[i].FetchTime = stored[i].Queue + parts[i].LinkTime
 		}
 	}
 	return parts
@@ -66,7 +66,7 @@
 	for _, r := range all {
 		long += r.Load.Total(now).Long
 	}
-	n := pick.LongReplicas(len(all), long, service.Engine.MemoryTokens)
+	n := pick.LongOutputReplicas(len(all), long, service.Engine.MemoryTokens)
 	slices.SortFunc(all, func(a, b *replicas.Replica) int {
 		return cmp.Compare(xxhash.Sum64String(string(a.Info().ID)), xxhash.Sum64String(string(b.Info().ID)))
 	})
@@ -137,7 +137,7 @@
 	for _, p := range j.Parts {
 		fresh -= p.Tokens
 	}
-	return pick.Request{Tokens: j.PromptTokens + e.output(j), Fresh: max(0, fresh), Long: e.output(j) > longOutput}
+	return pick.Request{KVTokens: j.PromptTokens + e.output(j), TailTokens: max(0, fresh), LongOutput: e.output(j) > longOutput}
 }
 
 func (e *Engine) output(j *relay.Job) int { return int(float64(j.OutputTokens) * outputShare) }
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -92,7 +92,7 @@
 
 	mu     sync.Mutex
 	memory int // tokens of one replica
-	models map[*replicas.Replica]*residency.Model
+	models map[*replicas.Replica]*residency.MemoryEstimate
 	waits  map[routing.ServiceID]*waits.Waits
 }
 
@@ -125,7 +125,7 @@
 		e.release(salt, j, stored)
 		stored, until = e.askStores(ctx, j, own, []*replicas.Replica{r})
 	}
-	sources := pick.Default.Sources(chosen.Parts)
+	sources := pick.DefaultCosts.Sources(chosen.Parts)
 	e.fill(&send, j, stored, until, r)
 	send.FetchUntil = fetchUntil(send.FetchUntil, j, chosen.Parts, sources)
 	e.release(own, j, unfetch(&send, chosen.Parts, sources, stored))
@@ -133,7 +133,7 @@
 	first, stop := e.watchFetch(chosen, need, sources, stored)
 	return &relay.Placement{
 		Replica: r, Send: send, BeginBy: e.beginBy(j.Model, version), First: first, Ended: e.ended(stop, own, j, stored), Reason: reason(chosen, &send, j.OutputTokens),
-		Flight: begin(r, need, pick.Default.ToCompute(need, chosen.Parts)),
+		Flight: begin(r, need, pick.DefaultCosts.TokensToCompute(need, chosen.Parts)),
 	}, nil
 }
 
@@ -143,8 +143,8 @@
 	longest := e.longestWait(j)
 	for len(usable) > 0 {
 		candidates := e.candidates(j, usable, salt, stored)
-		n := pick.Sampled(pick.Default, need, candidates)
-		if err := admit(pick.Default.Wait(need, &candidates[n]), longest); err != nil && !j.Begun {
+		n := pick.BestSampled(pick.DefaultCosts, need, candidates)
+		if err := admit(pick.DefaultCosts.ExpectedWait(need, &candidates[n]), longest); err != nil && !j.Begun {
 			return nil, nil, err
 		}
 		if e.Quotas.Take(time.Now(), usable[n]) {
@@ -201,8 +201,8 @@
 	var told, compute time.Duration
 	for i, source := range sources {
 		if source == pick.Fetched {
-			told += parts[i].Fetch
-			compute += time.Duration(parts[i].Tokens) * pick.Default.PrefillPerToken
+			told += parts[i].FetchTime
+			compute += time.Duration(parts[i].Tokens) * pick.DefaultCosts.PrefillPerToken
 		}
 	}
 	longest := max(j.Route.Objective-time.Since(j.Start)-compute, told+fetchSlack)
@@ -210,10 +210,10 @@
 }
 
 func begin(r *replicas.Replica, need pick.Request, compute int) *replicas.Flight {
-	if need.Long {
-		return r.Load.BeginLong(need.Tokens, compute)
+	if need.LongOutput {
+		return r.Load.BeginLong(need.KVTokens, compute)
 	}
-	return r.Load.Begin(need.Tokens, compute)
+	return r.Load.Begin(need.KVTokens, compute)
 }
 
 // longestWait returns how long a request may wait for its replica.
@@ -251,9 +251,9 @@
 	if from.Claim == 0 {
 		return func() {}, func() bool { return true }
 	}
-	computing := time.Duration(pick.Default.ToCompute(need, c.Parts)+c.Prefill) * pick.Default.PrefillPerToken
+	computing := time.Duration(pick.DefaultCosts.TokensToCompute(need, c.Parts)+c.QueuedPrefill) * pick.DefaultCosts.PrefillPerToken
 	others := computing + all - told
-	busy := c.Prefill > quietPrefill || float64(c.Tokens+need.Tokens) > quietMemory*float64(c.Memory) || all > told
+	busy := c.QueuedPrefill > quietPrefill || float64(c.KVUsed+need.KVTokens) > quietMemory*float64(c.KVCapacity) || all > told
 	began := time.Now()
 	tell := func(overdue bool) {
 		took := max(0, time.Since(began)-others)
@@ -284,12 +284,12 @@
 		if source != pick.Fetched {
 			continue
 		}
-		all += c.Parts[i].Fetch
+		all += c.Parts[i].FetchTime
 		if stored[i].Claim == 0 {
 			continue
 		}
 		store := stored[i].Store
-		takes[store] += c.Parts[i].Fetch
+		takes[store] += c.Parts[i].FetchTime
 		if takes[store] >= from {
 			last, from = stored[i], takes[store]
 		}
@@ -309,8 +309,8 @@
 	unused := make([]Stored, len(parts))
 	computed := false
 	for i, source := range sources {
-		computed = computed || source == pick.Computed && parts[i].Fetch > 0
-		if !computed && (source != pick.Resident || pick.Default.WorthFetching(parts[i])) {
+		computed = computed || source == pick.Computed && parts[i].FetchTime > 0
+		if !computed && (source != pick.Resident || pick.DefaultCosts.WorthFetching(parts[i])) {
 			continue
 		}
 		send.FetchFrom[i] = ""
@@ -331,7 +331,7 @@
 		switch {
 		case p.Resident:
 			b.WriteByte('m')
-		case p.Fetch > 0:
+		case p.FetchTime > 0:
 			b.WriteByte('s')
 		case i < len(send.FetchFrom) && send.FetchFrom[i] != "":
 			b.WriteByte('r')
@@ -342,7 +342,7 @@
 			b.WriteByte('+')
 		}
 	}
-	fmt.Fprintf(&b, " out=%d running=%d tokens=%d prefill=%d", output, c.Running, c.Tokens, c.Prefill)
+	fmt.Fprintf(&b, " out=%d running=%d tokens=%d prefill=%d", output, c.Running, c.KVUsed, c.QueuedPrefill)
 	return b.String()
 }
 
--- a/internal/placer/memory.go
+++ b/internal/placer/memory.go
@@ -41,7 +41,7 @@
 	m := e.models[r]
 	if m == nil {
 		if e.models == nil {
-			e.models = map[*replicas.Replica]*residency.Model{}
+			e.models = map[*replicas.Replica]*residency.MemoryEstimate{}
 		}
 		m = residency.New(e.memory)
 		e.models[r] = m
@@ -72,7 +72,7 @@
 	now := time.Now()
 	for _, r := range e.Mine(j.Service.ID) {
 		m := e.models[r]
-		if r == to || m == nil || !m.Has(key) || r.Weights(j.Model) != version || r.Health.Resting(now) {
+		if r == to || m == nil || !m.Contains(key) || r.Weights(j.Model) != version || r.Health.Resting(now) {
 			continue
 		}
 		if r.Info().FailureDomain == to.Info().FailureDomain {
@@ -92,7 +92,7 @@
 			continue
 		}
 		key := partKey(send.CacheSalt, p.ID)
-		if m := e.models[to]; m != nil && m.Has(key) {
+		if m := e.models[to]; m != nil && m.Contains(key) {
 			continue
 		}
 		if from := e.holder(key, j, to, send.Weights); from != nil {
@@ -109,7 +109,7 @@
 	for i, p := range j.Parts {
 		key := partKey(salt, p.ID)
 		for _, r := range usable {
-			if m := e.models[r]; m != nil && m.Has(key) {
+			if m := e.models[r]; m != nil && m.Contains(key) {
 				out[i] = true
 				break
 			}
--- a/internal/placer/plain.go
+++ b/internal/placer/plain.go
@@ -20,10 +20,10 @@
 // plainCosts weigh plain services: their calls are short and their bytes few, so load
 // and health decide, and the failure domain among equals.
 var plainCosts = pick.Costs{
-	PerRequest:  5 * time.Millisecond, // a call takes 30 ms; one of six places makes a sixth of that
-	Replica:     300 * time.Millisecond,
-	Error:       400 * time.Millisecond,
-	CrossDomain: 3 * time.Millisecond,
+	PerRunningRequest: 5 * time.Millisecond, // a call takes 30 ms; one of six places makes a sixth of that
+	Shortage:          300 * time.Millisecond,
+	ErrorRate:         400 * time.Millisecond,
+	CrossDomain:       3 * time.Millisecond,
 }
 
 // Plain places calls of plain services.
--- a/internal/placer/quotas.go
+++ b/internal/placer/quotas.go
@@ -39,7 +39,7 @@
 	Limited func(perSecond float64) quota.Limits
 
 	mu    sync.Mutex
-	paces map[*replicas.Replica]*quota.Pace
+	paces map[*replicas.Replica]*quota.Pacer
 }
 
 // bound is what a replica bears, as known now.
@@ -76,7 +76,7 @@
 	if !q.allow(now, r, shares) {
 		return false
 	}
-	q.pace(r).Sent(now) // without a bound, too: one that begins counts what went before
+	q.pace(r).RecordSent(now) // without a bound, too: one that begins counts what went before
 	return true
 }
 
@@ -139,22 +139,22 @@
 func (q *Quotas) share(r *replicas.Replica, b bound, users []string) (share quota.Share, sends bool) {
 	switch {
 	case len(users) == 0:
-		return b.limits.AloneShare(startSenders), true
+		return b.limits.IsolatedShare(startSenders), true
 	case b.stale:
-		return b.limits.AloneShare(len(users)), true
+		return b.limits.IsolatedShare(len(users)), true
 	}
 	senders, share := b.limits.Shares(len(users))
 	return share, quota.IsSender(q.Self, users, r.Hash(), senders)
 }
 
 // pace returns what this daemon sent to a replica.
-func (q *Quotas) pace(r *replicas.Replica) *quota.Pace {
+func (q *Quotas) pace(r *replicas.Replica) *quota.Pacer {
 	p := q.paces[r]
 	if p == nil {
 		if q.paces == nil {
-			q.paces = map[*replicas.Replica]*quota.Pace{}
+			q.paces = map[*replicas.Replica]*quota.Pacer{}
 		}
-		p = &quota.Pace{}
+		p = &quota.Pacer{}
 		q.paces[r] = p
 	}
 	return p
@@ -165,7 +165,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for r, p := range q.paces {
-		rested := now.Sub(p.Last())
+		rested := now.Sub(p.LastSent())
 		if rested > boundPaceKept || rested > paceKept && len(q.bounds(now, r)) == 0 {
 			delete(q.paces, r)
 		}
--- a/internal/placer/quotas_test.go
+++ b/internal/placer/quotas_test.go
@@ -14,7 +14,7 @@
 )
 
 func withCold(w *world, group ...string) {
-	limits := quota.ColdStart(9.8, 19.7)
+	limits := quota.ColdStartLimits(9.8, 19.7)
 	w.set.SetColdStarts(map[routing.ServiceID]time.Duration{"llm": time.Minute})
 	w.engine.Quotas = &Quotas{
 		Self: "d0", Users: func(*replicas.Replica) []string { return group },
--- a/internal/policy/pick/pick.go
+++ b/internal/policy/pick/pick.go
@@ -11,64 +11,64 @@
 
 // Costs are the prices of what a replica would have to do, as time.
 type Costs struct {
-	PrefillPerToken  time.Duration // to compute one prompt token
-	RecomputePenalty time.Duration // for each token that is computed although it was computed before
-	CrossDomain      time.Duration // for sending a request to another failure domain
-	PerRequest       time.Duration // by which each running request slows the others
-	Replica          time.Duration // of a replica-sized shortage of memory
-	Error            time.Duration // of an error rate of one
-	HeavyAmongLong   time.Duration // of a heavy prompt at a replica set apart for long answers
-	LongAmongHeavy   time.Duration // of a long answer at one of the others
-	Link             float64       // of the time that a fetch takes of a link, which others wait for
-	OldWeights       time.Duration // of an answer on weights that are worth nothing any more
+	PrefillPerToken        time.Duration // to compute one prompt token
+	RecomputePenalty       time.Duration // for each token that is computed although it was computed before
+	CrossDomain            time.Duration // for sending a request to another failure domain
+	PerRunningRequest      time.Duration // by which each running request slows the others
+	Shortage               time.Duration // of a replica-sized shortage of memory
+	ErrorRate              time.Duration // of an error rate of one
+	HeavyPromptOnReserved  time.Duration // of a heavy prompt at a replica set apart for long answers
+	LongOutputOnUnreserved time.Duration // of a long answer at one of the others
+	LinkWeight             float64       // of the time that a fetch takes of a link, which others wait for
+	StaleWeights           time.Duration // of an answer on weights that are worth nothing any more
 }
 
-// Default are the costs that the daemon uses.
-var Default = Costs{
+// DefaultCosts are the costs that the daemon uses.
+var DefaultCosts = Costs{
 	PrefillPerToken: time.Millisecond / 50, // engines of today compute about 50 tokens a ms
 	// Computing a token twice takes its time from all that run beside it: with a tenth of a
 	// millisecond, five times its own cost, a tenth less is computed again than with a 25th,
 	// and nobody waits longer.
-	RecomputePenalty: time.Millisecond / 10,
-	CrossDomain:      12 * time.Millisecond, // its bytes are dear: as much as 600 tokens
-	PerRequest:       time.Millisecond,
-	Replica:          4 * time.Second, // a request that finds no memory waits for others to end
-	Error:            3 * time.Second,
-	HeavyAmongLong:   80 * time.Millisecond,
-	LongAmongHeavy:   40 * time.Millisecond,
+	RecomputePenalty:       time.Millisecond / 10,
+	CrossDomain:            12 * time.Millisecond, // its bytes are dear: as much as 600 tokens
+	PerRunningRequest:      time.Millisecond,
+	Shortage:               4 * time.Second, // a request that finds no memory waits for others to end
+	ErrorRate:              3 * time.Second,
+	HeavyPromptOnReserved:  80 * time.Millisecond,
+	LongOutputOnUnreserved: 40 * time.Millisecond,
 	// A link that is nine tenths full makes all behind a fetch wait, for several times as long
 	// as it takes. Replicas near a store take its link for half as long.
-	Link:       3,
-	OldWeights: 600 * time.Millisecond,
+	LinkWeight:   3,
+	StaleWeights: 600 * time.Millisecond,
 }
 
 // Part is a part of the prompt as one replica would get it.
 type Part struct {
-	Tokens   int
-	Resident bool          // it lies in the replica's memory
-	Fetch    time.Duration // to bring it from elsewhere; zero: nowhere to be had
-	Link     time.Duration // of it, that the link from there is taken
-	Shared   bool          // it was computed before, so that computing it again is waste
+	Tokens         int
+	Resident       bool          // it lies in the replica's memory
+	FetchTime      time.Duration // to bring it from elsewhere; zero: nowhere to be had
+	LinkTime       time.Duration // of it, that the link from there is taken
+	ComputedBefore bool          // it was computed before, so that computing it again is waste
 }
 
 // Candidate is one replica.
 type Candidate struct {
-	Running, Slots int
-	Tokens, Memory int // KV cache taken, and all there is
-	Prefill        int // prompt tokens waiting to be computed
-	SameDomain     bool
-	ErrorRate      float64
-	OldWeights     float64 // what an answer on its weights has lost, from 0 to 1
-	// ForLong marks the replicas that are set apart for long answers.
-	ForLong bool
-	Parts   []Part
+	Running, Slots     int
+	KVUsed, KVCapacity int // KV cache taken, and all there is
+	QueuedPrefill      int // prompt tokens waiting to be computed
+	SameDomain         bool
+	ErrorRate          float64
+	WeightStaleness    float64 // what an answer on its weights has lost, from 0 to 1
+	// ReservedForLongOutput marks the replicas that are set apart for long answers.
+	ReservedForLongOutput bool
+	Parts                 []Part
 }
 
 // Request is what the request asks of a replica, whichever it is.
 type Request struct {
-	Tokens int  // KV cache at its end
-	Fresh  int  // prompt tokens beyond its parts
-	Long   bool // its answer runs for long
+	KVTokens   int  // KV cache at its end
+	TailTokens int  // prompt tokens beyond its parts
+	LongOutput bool // its answer runs for long
 }
 
 // heavyPrompt is the number of tokens from which computing a prompt makes the streams
@@ -84,10 +84,10 @@
 	longFill     = 0.45
 )
 
-// LongReplicas returns how many of some replicas are to be set apart for long answers, by
+// LongOutputReplicas returns how many of some replicas are to be set apart for long answers, by
 // the memory that these take in all. A stream whose replica computes one large prompt
 // after the other has pauses of several hundred ms; apart from them it has none.
-func LongReplicas(replicas, longTokens, memory int) int {
+func LongOutputReplicas(replicas, longTokens, memory int) int {
 	if memory <= 0 {
 		return 0
 	}
@@ -119,7 +119,7 @@
 // sampleSize is the number of candidates of which Sampled takes the cheapest.
 const sampleSize = 4
 
-// Sampled returns the index of the cheapest of a few candidates: the first ones, which the
+// BestSampled returns the index of the cheapest of a few candidates: the first ones, which the
 // caller has put in random order, those that hold more of the prompt than most, and those that
 // are nearer to what they would fetch.
 //
@@ -127,7 +127,7 @@
 // all, they would all take the same replica in that time: nine of them sent it up to eleven
 // prompts at once, each of which took 100 ms, with others idle beside it. For the same reason
 // the others are not looked at if all of the sample have much to do.
-func Sampled(costs Costs, r Request, candidates []Candidate) int {
+func BestSampled(costs Costs, r Request, candidates []Candidate) int {
 	if len(candidates) <= sampleSize {
 		return Best(costs, r, candidates)
 	}
@@ -154,7 +154,7 @@
 	var sum time.Duration
 	for _, p := range c.Parts {
 		if !p.Resident {
-			sum += p.Link
+			sum += p.LinkTime
 		}
 	}
 	return sum
@@ -173,21 +173,21 @@
 }
 
 func (k Costs) of(r Request, c *Candidate) time.Duration {
-	cost := time.Duration(c.Prefill+r.Fresh) * k.PrefillPerToken
+	cost := time.Duration(c.QueuedPrefill+r.TailTokens) * k.PrefillPerToken
 	cost += k.bring(c.Parts)
-	cost += time.Duration(c.Running) * k.PerRequest
+	cost += time.Duration(c.Running) * k.PerRunningRequest
 	cost += k.shortage(r, c)
-	cost += time.Duration(c.ErrorRate * float64(k.Error))
+	cost += time.Duration(c.ErrorRate * float64(k.ErrorRate))
 	if !c.SameDomain {
 		cost += k.CrossDomain
 	}
 	switch {
-	case r.Long && !c.ForLong:
-		cost += k.LongAmongHeavy
-	case !r.Long && c.ForLong && k.ToCompute(r, c.Parts) > heavyPrompt:
-		cost += k.HeavyAmongLong
+	case r.LongOutput && !c.ReservedForLongOutput:
+		cost += k.LongOutputOnUnreserved
+	case !r.LongOutput && c.ReservedForLongOutput && k.TokensToCompute(r, c.Parts) > heavyPrompt:
+		cost += k.HeavyPromptOnReserved
 	}
-	cost += time.Duration(c.OldWeights * float64(k.OldWeights))
+	cost += time.Duration(c.WeightStaleness * float64(k.StaleWeights))
 	return cost
 }
 
@@ -220,21 +220,21 @@
 
 // WorthFetching reports whether a part can be had from elsewhere at less than what it costs to
 // compute it.
-func (k Costs) WorthFetching(p Part) bool { return p.Fetch > 0 && p.Fetch < k.compute(p) }
+func (k Costs) WorthFetching(p Part) bool { return p.FetchTime > 0 && p.FetchTime < k.compute(p) }
 
 // compute returns the cost of computing a part.
 func (k Costs) compute(p Part) time.Duration {
 	cost := time.Duration(p.Tokens) * k.PrefillPerToken
-	if p.Shared {
+	if p.ComputedBefore {
 		cost += time.Duration(p.Tokens) * k.RecomputePenalty
 	}
 	return cost
 }
 
-// Wait returns how long a request would wait before the replica begins with it: for the
+// ExpectedWait returns how long a request would wait before the replica begins with it: for the
 // prompts before it, and for memory and a place.
-func (k Costs) Wait(r Request, c *Candidate) time.Duration {
-	return time.Duration(c.Prefill)*k.PrefillPerToken + k.shortage(r, c)
+func (k Costs) ExpectedWait(r Request, c *Candidate) time.Duration {
+	return time.Duration(c.QueuedPrefill)*k.PrefillPerToken + k.shortage(r, c)
 }
 
 // bring returns what it costs to have all parts in the replica's memory.
@@ -245,15 +245,15 @@
 		case Computed:
 			cost += k.compute(parts[i])
 		case Fetched:
-			cost += parts[i].Fetch + time.Duration(k.Link*float64(parts[i].Link))
+			cost += parts[i].FetchTime + time.Duration(k.LinkWeight*float64(parts[i].LinkTime))
 		}
 	}
 	return cost
 }
 
-// ToCompute returns the tokens of a prompt that a replica would have to compute.
-func (k Costs) ToCompute(r Request, parts []Part) int {
-	tokens := r.Fresh
+// TokensToCompute returns the tokens of a prompt that a replica would have to compute.
+func (k Costs) TokensToCompute(r Request, parts []Part) int {
+	tokens := r.TailTokens
 	for i, source := range k.Sources(parts) {
 		if source == Computed {
 			tokens += parts[i].Tokens
@@ -265,11 +265,11 @@
 // shortage returns the price of what does not fit: memory, and places in the batch.
 func (k Costs) shortage(r Request, c *Candidate) time.Duration {
 	var cost time.Duration
-	if over := c.Tokens + r.Tokens - c.Memory; c.Memory > 0 && over > 0 {
-		cost += time.Duration(float64(k.Replica) * float64(over) / float64(c.Memory))
+	if over := c.KVUsed + r.KVTokens - c.KVCapacity; c.KVCapacity > 0 && over > 0 {
+		cost += time.Duration(float64(k.Shortage) * float64(over) / float64(c.KVCapacity))
 	}
 	if over := c.Running + 1 - c.Slots; c.Slots > 0 && over > 0 {
-		cost += time.Duration(float64(k.Replica) * float64(over) / float64(c.Slots))
+		cost += time.Duration(float64(k.Shortage) * float64(over) / float64(c.Slots))
 	}
 	return cost
 }
--- a/internal/policy/pick/pick_test.go
+++ b/internal/policy/pick/pick_test.go
@@ -11,31 +11,31 @@
 // begin with, and the session's own context.
 func parts(sharedThere, sessionThere bool, fetch time.Duration) []Part {
 	return []Part{
-		{Tokens: 2500, Resident: sharedThere, Fetch: fetch, Shared: true},
-		{Tokens: 5000, Resident: sessionThere, Fetch: fetch, Shared: true},
+		{Tokens: 2500, Resident: sharedThere, FetchTime: fetch, ComputedBefore: true},
+		{Tokens: 5000, Resident: sessionThere, FetchTime: fetch, ComputedBefore: true},
 		{Tokens: 1700},
 	}
 }
 
-var prompt = Request{Tokens: 9300}
+var prompt = Request{KVTokens: 9300}
 
 // The load: sessions of 5,000 tokens return every 14 s to replicas that hold four each.
 // The replica that has the context wins, unless it has too much to do.
 func TestReplicaWithTheContextWins(t *testing.T) {
 	const fetch = 30 * time.Millisecond
-	with := Candidate{Slots: 48, Memory: 50_000, SameDomain: true, Parts: parts(true, true, fetch)}
-	without := Candidate{Slots: 48, Memory: 50_000, SameDomain: true, Parts: parts(true, false, fetch)}
-	if n := Best(Default, prompt, []Candidate{without, with}); n != 1 {
+	with := Candidate{Slots: 48, KVCapacity: 50_000, SameDomain: true, Parts: parts(true, true, fetch)}
+	without := Candidate{Slots: 48, KVCapacity: 50_000, SameDomain: true, Parts: parts(true, false, fetch)}
+	if n := Best(DefaultCosts, prompt, []Candidate{without, with}); n != 1 {
 		t.Error("the context is fetched although a free replica has it")
 	}
 	busy := with
-	busy.Prefill = 20_000 // 400 ms
-	if n := Best(Default, prompt, []Candidate{without, busy}); n != 0 {
+	busy.QueuedPrefill = 20_000 // 400 ms
+	if n := Best(DefaultCosts, prompt, []Candidate{without, busy}); n != 0 {
 		t.Error("the prompt waits for a busy replica")
 	}
 	full := with
-	full.Tokens = 48_000
-	if n := Best(Default, prompt, []Candidate{without, full}); n != 0 {
+	full.KVUsed = 48_000
+	if n := Best(DefaultCosts, prompt, []Candidate{without, full}); n != 0 {
 		t.Error("the prompt waits for memory")
 	}
 }
@@ -43,11 +43,11 @@
 // A part after one that must be computed can't be used, wherever it lies.
 func TestNothingIsUsedAfterAGap(t *testing.T) {
 	p := parts(false, true, 0)
-	if got := Default.Sources(p); !slices.Equal(got, []Source{Computed, Computed, Computed}) {
+	if got := DefaultCosts.Sources(p); !slices.Equal(got, []Source{Computed, Computed, Computed}) {
 		t.Errorf("got %v", got)
 	}
-	p[0].Fetch = 10 * time.Millisecond
-	if got := Default.Sources(p); !slices.Equal(got, []Source{Fetched, Resident, Computed}) {
+	p[0].FetchTime = 10 * time.Millisecond
+	if got := DefaultCosts.Sources(p); !slices.Equal(got, []Source{Fetched, Resident, Computed}) {
 		t.Errorf("got %v", got)
 	}
 }
@@ -55,10 +55,10 @@
 // A link with a queue brings a part later than the replica computes it.
 func TestPartIsComputedWhenTheLinkIsSlower(t *testing.T) {
 	p := parts(true, false, time.Second)
-	if got := Default.Sources(p); got[1] != Computed {
+	if got := DefaultCosts.Sources(p); got[1] != Computed {
 		t.Errorf("got %v", got)
 	}
-	if got := Default.ToCompute(prompt, p); got != 6700 {
+	if got := DefaultCosts.TokensToCompute(prompt, p); got != 6700 {
 		t.Errorf("%d tokens to compute", got)
 	}
 }
@@ -70,13 +70,13 @@
 	failing, near := good, good
 	failing.ErrorRate = 0.5
 	near.SameDomain = true
-	if n := Best(Default, Request{}, []Candidate{failing, good, near}); n != 2 {
+	if n := Best(DefaultCosts, Request{}, []Candidate{failing, good, near}); n != 2 {
 		t.Errorf("chose %d", n)
 	}
-	if n := Best(Default, Request{}, []Candidate{failing, good}); n != 1 {
+	if n := Best(DefaultCosts, Request{}, []Candidate{failing, good}); n != 1 {
 		t.Errorf("chose %d", n)
 	}
-	if n := Best(Default, Request{}, nil); n != -1 {
+	if n := Best(DefaultCosts, Request{}, nil); n != -1 {
 		t.Errorf("chose %d of none", n)
 	}
 }
@@ -85,16 +85,16 @@
 // waits holds memory and makes all others wait, so that a wait must show before a request
 // is sent.
 func TestWaitShowsWhatIsBefore(t *testing.T) {
-	idle := Candidate{Slots: 48, Memory: 50_000}
-	if w := Default.Wait(prompt, &idle); w != 0 {
+	idle := Candidate{Slots: 48, KVCapacity: 50_000}
+	if w := DefaultCosts.ExpectedWait(prompt, &idle); w != 0 {
 		t.Errorf("waits %s at an idle replica", w)
 	}
-	behind := Candidate{Slots: 48, Memory: 50_000, Prefill: 25_000}
-	if w := Default.Wait(prompt, &behind); w < 400*time.Millisecond {
+	behind := Candidate{Slots: 48, KVCapacity: 50_000, QueuedPrefill: 25_000}
+	if w := DefaultCosts.ExpectedWait(prompt, &behind); w < 400*time.Millisecond {
 		t.Errorf("waits %s behind 25,000 tokens", w)
 	}
-	full := Candidate{Slots: 48, Memory: 50_000, Tokens: 50_000}
-	if w := Default.Wait(prompt, &full); w < 500*time.Millisecond {
+	full := Candidate{Slots: 48, KVCapacity: 50_000, KVUsed: 50_000}
+	if w := DefaultCosts.ExpectedWait(prompt, &full); w < 500*time.Millisecond {
 		t.Errorf("waits %s for memory", w)
 	}
 }
@@ -105,32 +105,32 @@
 // a third of 18 replicas.
 func TestLongAnswersAreSetApart(t *testing.T) {
 	const memory = 50_000
-	if n := LongReplicas(18, 135*1100, memory); n < 5 || n > 8 {
+	if n := LongOutputReplicas(18, 135*1100, memory); n < 5 || n > 8 {
 		t.Errorf("%d of 18 replicas", n)
 	}
-	if n := LongReplicas(18, 0, memory); n > 4 {
+	if n := LongOutputReplicas(18, 0, memory); n > 4 {
 		t.Errorf("%d of 18 replicas for no long answers", n)
 	}
-	if n := LongReplicas(18, 10_000_000, memory); n > 12 {
+	if n := LongOutputReplicas(18, 10_000_000, memory); n > 12 {
 		t.Errorf("%d of 18 replicas, which leaves too few for prompts", n)
 	}
-	if n := LongReplicas(3, 0, 0); n != 0 {
+	if n := LongOutputReplicas(3, 0, 0); n != 0 {
 		t.Errorf("%d replicas of unknown memory", n)
 	}
-	apart := Candidate{Slots: 48, Memory: memory, ForLong: true}
-	other := Candidate{Slots: 48, Memory: memory}
-	heavy, long := Request{Tokens: 9000, Fresh: 7000}, Request{Tokens: 1100, Fresh: 800, Long: true}
-	if Best(Default, heavy, []Candidate{apart, other}) != 1 || Best(Default, long, []Candidate{other, apart}) != 1 {
+	apart := Candidate{Slots: 48, KVCapacity: memory, ReservedForLongOutput: true}
+	other := Candidate{Slots: 48, KVCapacity: memory}
+	heavy, long := Request{KVTokens: 9000, TailTokens: 7000}, Request{KVTokens: 1100, TailTokens: 800, LongOutput: true}
+	if Best(DefaultCosts, heavy, []Candidate{apart, other}) != 1 || Best(DefaultCosts, long, []Candidate{other, apart}) != 1 {
 		t.Error("heavy prompts and long answers are mixed")
 	}
-	light := Request{Tokens: 900, Fresh: 800}
+	light := Request{KVTokens: 900, TailTokens: 800}
 	apart.SameDomain = true
-	if Best(Default, light, []Candidate{other, apart}) != 1 {
+	if Best(DefaultCosts, light, []Candidate{other, apart}) != 1 {
 		t.Error("a light prompt is kept from a near replica")
 	}
 	full := apart
-	full.Tokens = memory
-	if Best(Default, long, []Candidate{other, full}) != 0 {
+	full.KVUsed = memory
+	if Best(DefaultCosts, long, []Candidate{other, full}) != 0 {
 		t.Error("a long answer waits for its own replicas while others are free")
 	}
 }
@@ -140,7 +140,7 @@
 // ms, and streams run beside them, so that one replica looks best to all. Were each daemon to
 // take that one, the last of some would wait for all others.
 func TestDaemonsDoNotCrowdOneReplica(t *testing.T) {
-	whole, sampled := crowd(Best), crowd(Sampled)
+	whole, sampled := crowd(Best), crowd(BestSampled)
 	t.Logf("wait before the first words, 95th percentile: best of all %s, of a sample %s", whole, sampled)
 	if sampled > 3*whole/4 {
 		t.Errorf("best of all %s, of a sample %s", whole, sampled)
@@ -181,9 +181,9 @@
 		candidates := make([]Candidate, replicas)
 		for i, r := range order {
 			streams := (r + n/50) % 10 // they come and go, and all daemons know of them
-			candidates[i] = Candidate{Slots: 12, Running: streams, Prefill: known[r], SameDomain: true}
+			candidates[i] = Candidate{Slots: 12, Running: streams, QueuedPrefill: known[r], SameDomain: true}
 		}
-		r := order[choose(Default, Request{Fresh: leastTokens}, candidates)]
+		r := order[choose(DefaultCosts, Request{TailTokens: leastTokens}, candidates)]
 		tokens := leastTokens + random.IntN(moreTokens)
 		waits = append(waits, max(0, free[r]-now))
 		free[r] = max(free[r], now) + time.Duration(tokens)*perToken
@@ -201,9 +201,9 @@
 func TestReplicaWithTheContextIsAlwaysLookedAt(t *testing.T) {
 	candidates := make([]Candidate, 18)
 	for i := range candidates {
-		candidates[i] = Candidate{Slots: 48, Memory: 50_000, SameDomain: true, Parts: parts(true, i == 17, 30*time.Millisecond)}
+		candidates[i] = Candidate{Slots: 48, KVCapacity: 50_000, SameDomain: true, Parts: parts(true, i == 17, 30*time.Millisecond)}
 	}
-	if n := Sampled(Default, prompt, candidates); n != 17 {
+	if n := BestSampled(DefaultCosts, prompt, candidates); n != 17 {
 		t.Errorf("placed on %d", n)
 	}
 }
@@ -214,12 +214,12 @@
 // is fetched although that takes longer than computing it, up to some hundred ms more.
 func TestContextIsFetchedThoughComputingIsSooner(t *testing.T) {
 	context := func(fetch time.Duration) []Part {
-		return []Part{{Tokens: 500, Resident: true}, {Tokens: 8600, Fetch: fetch, Shared: true}, {Tokens: 2900}}
+		return []Part{{Tokens: 500, Resident: true}, {Tokens: 8600, FetchTime: fetch, ComputedBefore: true}, {Tokens: 2900}}
 	}
-	if got := Default.Sources(context(800 * time.Millisecond)); got[1] != Fetched {
+	if got := DefaultCosts.Sources(context(800 * time.Millisecond)); got[1] != Fetched {
 		t.Errorf("got %v", got)
 	}
-	if got := Default.Sources(context(1500 * time.Millisecond)); got[1] != Computed {
+	if got := DefaultCosts.Sources(context(1500 * time.Millisecond)); got[1] != Computed {
 		t.Errorf("waits 1.5 s for what takes 0.17 s: %v", got)
 	}
 }
@@ -236,15 +236,15 @@
 		if i == near {
 			link = transfer
 		}
-		candidates[i] = Candidate{Slots: 48, Memory: 50_000, SameDomain: i != near, Parts: []Part{
-			{Tokens: 2500, Resident: true}, {Tokens: 5000, Fetch: link, Link: link, Shared: true},
+		candidates[i] = Candidate{Slots: 48, KVCapacity: 50_000, SameDomain: i != near, Parts: []Part{
+			{Tokens: 2500, Resident: true}, {Tokens: 5000, FetchTime: link, LinkTime: link, ComputedBefore: true},
 		}}
 	}
-	if n := Sampled(Default, prompt, candidates); n != near {
+	if n := BestSampled(DefaultCosts, prompt, candidates); n != near {
 		t.Errorf("placed on %d", n)
 	}
-	candidates[near].Prefill = 10_000
-	if n := Sampled(Default, prompt, candidates); n == near {
+	candidates[near].QueuedPrefill = 10_000
+	if n := BestSampled(DefaultCosts, prompt, candidates); n == near {
 		t.Error("waits 200 ms to spare the link 30")
 	}
 }
--- a/internal/policy/quarantine/finding.go
+++ b/internal/policy/quarantine/finding.go
@@ -25,9 +25,9 @@
 	return Death(string(target) + "@" + strconv.FormatUint(incarnation, 10))
 }
 
-// Finding says which targets died with a fingerprint in flight. It corresponds to
+// CrashRecord says which targets died with a fingerprint in flight. It corresponds to
 // peer.Finding.
-type Finding struct {
+type CrashRecord struct {
 	Fingerprint Fingerprint
 	Deaths      []Death // sorted, without repeats
 	Expires     time.Time
@@ -42,15 +42,15 @@
 // Merge takes findings of peers or of the store, and returns those that changed what
 // is known here. A merged finding has the deaths of both and the later expiry, so that
 // merging is idempotent and the order does not matter.
-func (r *Register) Merge(now time.Time, findings []Finding) []Finding {
-	var changed []Finding
+func (r *Registry) Merge(now time.Time, findings []CrashRecord) []CrashRecord {
+	var changed []CrashRecord
 	for _, f := range findings {
 		if !f.Expires.After(now) || len(f.Deaths) == 0 {
 			continue
 		}
 		known := r.finding(now, f.Fingerprint)
 		if known == nil {
-			known = &Finding{Fingerprint: f.Fingerprint}
+			known = &CrashRecord{Fingerprint: f.Fingerprint}
 			r.findings[f.Fingerprint] = known
 		}
 		if known.absorb(f) {
@@ -62,7 +62,7 @@
 }
 
 // absorb adds what another finding knows and reports whether that is anything new.
-func (f *Finding) absorb(other Finding) bool {
+func (f *CrashRecord) absorb(other CrashRecord) bool {
 	changed := other.Expires.After(f.Expires)
 	if changed {
 		f.Expires = other.Expires
@@ -84,16 +84,16 @@
 	return changed
 }
 
-func (f *Finding) clone() Finding {
+func (f *CrashRecord) clone() CrashRecord {
 	out := *f
 	out.Deaths = slices.Clone(f.Deaths)
 	return out
 }
 
 // All returns the findings that count now, by fingerprint.
-func (r *Register) All(now time.Time) []Finding {
+func (r *Registry) All(now time.Time) []CrashRecord {
 	r.expire(now)
-	out := make([]Finding, 0, len(r.findings))
+	out := make([]CrashRecord, 0, len(r.findings))
 	for _, f := range r.findings {
 		out = append(out, f.clone())
 	}
@@ -102,7 +102,7 @@
 }
 
 // Hash covers All. Two registers with the same hash have nothing to tell each other.
-func (r *Register) Hash(now time.Time) uint64 {
+func (r *Registry) Hash(now time.Time) uint64 {
 	r.expire(now)
 	var sum uint64
 	for _, f := range r.findings {
@@ -124,7 +124,7 @@
 }
 
 // finding returns what is known of a fingerprint, or nil.
-func (r *Register) finding(now time.Time, fp Fingerprint) *Finding {
+func (r *Registry) finding(now time.Time, fp Fingerprint) *CrashRecord {
 	f, ok := r.findings[fp]
 	if !ok {
 		return nil
@@ -136,7 +136,7 @@
 	return f
 }
 
-func (r *Register) expire(now time.Time) {
+func (r *Registry) expire(now time.Time) {
 	for fp := range r.findings {
 		r.finding(now, fp)
 	}
@@ -144,9 +144,9 @@
 
 // trim keeps the register within its bound. Each finding costs a target's life, so a
 // caller can't push others out cheaply.
-func (r *Register) trim() {
-	for len(r.findings) > r.params.MaxFindings {
-		var first *Finding
+func (r *Registry) trim() {
+	for len(r.findings) > r.params.MaxRecords {
+		var first *CrashRecord
 		for _, f := range r.findings {
 			if first == nil || f.Expires.Before(first.Expires) || (f.Expires.Equal(first.Expires) && f.Fingerprint < first.Fingerprint) {
 				first = f
--- a/internal/policy/quarantine/quarantine.go
+++ b/internal/policy/quarantine/quarantine.go
@@ -28,21 +28,21 @@
 
 // Defaults of Params.
 const (
-	DefaultKeepFor     = 30 * time.Minute
-	DefaultMaxFindings = 10_000
+	DefaultRetention  = 30 * time.Minute
+	DefaultMaxRecords = 10_000
 )
 
 // Params bounds a register. Zero values take the defaults above.
 type Params struct {
-	// KeepFor is how long a finding counts after its last death.
-	KeepFor time.Duration
-	// MaxFindings bounds the findings kept; the first to expire go first.
-	MaxFindings int
-	// Counted is the number of deaths at which a request is refused although no death
+	// Retention is how long a finding counts after its last death.
+	Retention time.Duration
+	// MaxRecords bounds the findings kept; the first to expire go first.
+	MaxRecords int
+	// UnprovenDeaths is the number of deaths at which a request is refused although no death
 	// alone proved that it caused them. It is for targets that can't be emptied for a
 	// suspect: suspects run like any other request, and one that a target answered in
 	// full is cleared by that. Zero: suspects run alone.
-	Counted int
+	UnprovenDeaths int
 }
 
 // Fingerprint identifies a request by its organisation and content.
@@ -69,12 +69,12 @@
 type Mode string
 
 const (
-	// Free lets the request run anywhere.
-	Free Mode = "free"
-	// Only lets it run at Verdict.Target, where the same request is in flight. Were
+	// Unrestricted lets the request run anywhere.
+	Unrestricted Mode = "free"
+	// SameTarget lets it run at Verdict.Target, where the same request is in flight. Were
 	// equal requests spread over many targets, all of those could die before the
 	// first death is known.
-	Only Mode = "only"
+	SameTarget Mode = "only"
 	// Alone lets it run at a target with nothing else in flight. Findings that were
 	// written by others have to be read and merged before.
 	Alone Mode = "alone"
@@ -84,8 +84,8 @@
 	Refuse Mode = "refuse"
 )
 
-// Verdict answers Gate and Begin.
-type Verdict struct {
+// Decision answers Gate and Begin.
+type Decision struct {
 	Mode   Mode
 	Target request.TargetID // with Only
 	Err    *request.Error   // with Refuse: the final answer
@@ -98,92 +98,92 @@
 	alone       bool
 }
 
-// Register is one daemon's knowledge of suspects, and of what it has in flight.
-type Register struct {
+// Registry is one daemon's knowledge of suspects, and of what it has in flight.
+type Registry struct {
 	params   Params
 	flights  map[request.ID]flight
 	targets  map[Fingerprint]map[request.TargetID]int // requests in flight
-	findings map[Fingerprint]*Finding
+	findings map[Fingerprint]*CrashRecord
 }
 
 // New returns an empty register.
-func New(p Params) *Register {
-	if p.KeepFor <= 0 {
-		p.KeepFor = DefaultKeepFor
+func New(p Params) *Registry {
+	if p.Retention <= 0 {
+		p.Retention = DefaultRetention
 	}
-	if p.MaxFindings <= 0 {
-		p.MaxFindings = DefaultMaxFindings
+	if p.MaxRecords <= 0 {
+		p.MaxRecords = DefaultMaxRecords
 	}
-	return &Register{
+	return &Registry{
 		params:   p,
 		flights:  make(map[request.ID]flight),
 		targets:  make(map[Fingerprint]map[request.TargetID]int),
-		findings: make(map[Fingerprint]*Finding),
+		findings: make(map[Fingerprint]*CrashRecord),
 	}
 }
 
-// Gate says how a request may run now, before it is placed.
-func (r *Register) Gate(now time.Time, fp Fingerprint) Verdict {
+// Check says how a request may run now, before it is placed.
+func (r *Registry) Check(now time.Time, fp Fingerprint) Decision {
 	finding := r.finding(now, fp)
-	if r.params.Counted > 0 {
+	if r.params.UnprovenDeaths > 0 {
 		return r.count(now, finding)
 	}
 	running := r.targets[fp]
 	switch {
 	case finding != nil && finding.Proven && len(finding.Deaths) >= MaxDeaths:
-		return Verdict{Mode: Refuse, Err: refusal(now, finding)}
+		return Decision{Mode: Refuse, Err: refusal(now, finding)}
 	case finding != nil && len(running) > 0:
-		return Verdict{Mode: Wait}
+		return Decision{Mode: Wait}
 	case finding != nil:
-		return Verdict{Mode: Alone}
+		return Decision{Mode: Alone}
 	}
 	for target := range running {
-		return Verdict{Mode: Only, Target: target}
+		return Decision{Mode: SameTarget, Target: target}
 	}
-	return Verdict{Mode: Free}
+	return Decision{Mode: Unrestricted}
 }
 
 // count refuses a request that was in flight at too many deaths, and was never answered.
-func (r *Register) count(now time.Time, f *Finding) Verdict {
-	if f == nil || f.Answered || len(f.Deaths) < r.params.Counted {
-		return Verdict{Mode: Free}
+func (r *Registry) count(now time.Time, f *CrashRecord) Decision {
+	if f == nil || f.Answered || len(f.Deaths) < r.params.UnprovenDeaths {
+		return Decision{Mode: Unrestricted}
 	}
-	return Verdict{Mode: Refuse, Err: refusal(now, f)}
+	return Decision{Mode: Refuse, Err: refusal(now, f)}
 }
 
-// Sighting is the death of a target with a request in flight.
-type Sighting struct {
+// CrashReport is the death of a target with a request in flight.
+type CrashReport struct {
 	Fingerprint Fingerprint
 	Target      request.TargetID
 	Incarnation uint64 // as for OnTargetDied
 }
 
-// OnSighting notes a death with a request that is not in the register, and returns the
+// OnCrashReport notes a death with a request that is not in the register, and returns the
 // finding if it changed.
-func (r *Register) OnSighting(now time.Time, s Sighting) []Finding {
+func (r *Registry) OnCrashReport(now time.Time, s CrashReport) []CrashRecord {
 	return r.suspect(now, s.Target, s.Incarnation, map[Fingerprint]bool{s.Fingerprint: false})
 }
 
 // OnAnswered is told that a target ran a request to its end. One that is suspect is cleared:
 // what crashes targets crashes each that runs it. It returns the finding if it changed.
-func (r *Register) OnAnswered(now time.Time, fp Fingerprint) []Finding {
+func (r *Registry) OnAnswered(now time.Time, fp Fingerprint) []CrashRecord {
 	f := r.finding(now, fp)
 	if f == nil || f.Answered {
 		return nil
 	}
 	f.Answered = true
-	return []Finding{f.clone()}
+	return []CrashRecord{f.clone()}
 }
 
 // Begin enters a request that is about to be sent to a target. alone says that the
 // target was granted with nothing else in flight. If ok is false the request must not
 // be sent: the verdict has changed since Gate, or never allowed it.
-func (r *Register) Begin(now time.Time, fp Fingerprint, id request.ID, target request.TargetID, alone bool) (v Verdict, ok bool) {
-	v = r.Gate(now, fp)
+func (r *Registry) Begin(now time.Time, fp Fingerprint, id request.ID, target request.TargetID, alone bool) (v Decision, ok bool) {
+	v = r.Check(now, fp)
 	switch v.Mode {
-	case Free:
+	case Unrestricted:
 		ok = true
-	case Only:
+	case SameTarget:
 		ok = v.Target == target
 	case Alone:
 		ok = alone
@@ -202,7 +202,7 @@
 
 // End is told that a request is no longer in flight: it was answered, refused or
 // cancelled. If its target has died, OnTargetDied comes first.
-func (r *Register) End(id request.ID) {
+func (r *Registry) End(id request.ID) {
 	f, ok := r.flights[id]
 	if !ok {
 		return
@@ -221,7 +221,7 @@
 // OnTargetDied makes suspects of all that was in flight at a target, and returns the
 // findings that changed, to be written and sent to peers before any of them is sent to
 // a target again. incarnation tells the deaths of one target apart; zero: unknown.
-func (r *Register) OnTargetDied(now time.Time, target request.TargetID, incarnation uint64) []Finding {
+func (r *Registry) OnTargetDied(now time.Time, target request.TargetID, incarnation uint64) []CrashRecord {
 	suspects := make(map[Fingerprint]bool) // whether it ran alone
 	for id, f := range r.flights {
 		if f.target == target {
@@ -232,10 +232,10 @@
 	return r.suspect(now, target, incarnation, suspects)
 }
 
-// OnWitness is OnTargetDied for requests that other daemons had in flight, known from
+// OnCoordinatorReport is OnTargetDied for requests that other daemons had in flight, known from
 // the grants of the target's steward. It matters when the daemon that sent the request
 // has died as well.
-func (r *Register) OnWitness(now time.Time, target request.TargetID, incarnation uint64, suspects []Fingerprint) []Finding {
+func (r *Registry) OnCoordinatorReport(now time.Time, target request.TargetID, incarnation uint64, suspects []Fingerprint) []CrashRecord {
 	distinct := make(map[Fingerprint]bool)
 	for _, fp := range suspects {
 		distinct[fp] = false
@@ -246,20 +246,20 @@
 	return r.suspect(now, target, incarnation, distinct)
 }
 
-func (r *Register) suspect(now time.Time, target request.TargetID, incarnation uint64, suspects map[Fingerprint]bool) []Finding {
-	var found []Finding
+func (r *Registry) suspect(now time.Time, target request.TargetID, incarnation uint64, suspects map[Fingerprint]bool) []CrashRecord {
+	var found []CrashRecord
 	for _, fp := range keys(suspects) {
-		found = append(found, Finding{
+		found = append(found, CrashRecord{
 			Fingerprint: fp,
 			Deaths:      []Death{deathOf(now, target, incarnation)},
-			Expires:     now.Add(r.params.KeepFor).Truncate(time.Millisecond),
+			Expires:     now.Add(r.params.Retention).Truncate(time.Millisecond),
 			Proven:      suspects[fp],
 		})
 	}
 	return r.Merge(now, found)
 }
 
-func refusal(now time.Time, f *Finding) *request.Error {
+func refusal(now time.Time, f *CrashRecord) *request.Error {
 	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, f.Expires.Sub(now),
 		"%d targets died while they ran this request", len(f.Deaths))
 }
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -42,11 +42,11 @@
 // that kills its target again and again, to any daemon, several at a time.
 type fleet struct {
 	rng       *rand.Rand
-	registers []*Register
+	registers []*Registry
 	up        []bool
-	stored    *Register // findings in the key-value service
+	stored    *Registry // findings in the key-value service
 	storeDown bool
-	gossip    [][]Finding // on the way to each daemon
+	gossip    [][]CrashRecord // on the way to each daemon
 	runs      [simTargets][]run
 	lives     [simTargets]uint64
 	waiting   []call
@@ -66,7 +66,7 @@
 		f.registers = append(f.registers, New(Params{}))
 		f.up = append(f.up, true)
 	}
-	f.gossip = make([][]Finding, simDaemons)
+	f.gossip = make([][]CrashRecord, simDaemons)
 	return f
 }
 
@@ -96,17 +96,17 @@
 		f.start(step, d, c, f.rng.Intn(simTargets), false)
 		return
 	}
-	v := r.Gate(now, c.fingerprint)
+	v := r.Check(now, c.fingerprint)
 	if v.Mode == Alone && !f.storeDown {
 		r.Merge(now, f.stored.All(now))
-		v = r.Gate(now, c.fingerprint)
+		v = r.Check(now, c.fingerprint)
 	}
 	target := f.rng.Intn(simTargets)
 	switch v.Mode {
 	case Refuse:
 		f.refused++
 		return
-	case Only:
+	case SameTarget:
 		for t := range f.runs {
 			if simTarget(t) == v.Target {
 				target = t
@@ -183,7 +183,7 @@
 	now := epoch.Add(time.Duration(step) * simStep)
 	f.deaths++
 	f.lives[t]++
-	var found []Finding
+	var found []CrashRecord
 	var inFlight []Fingerprint
 	for d, r := range f.registers {
 		if f.up[d] {
@@ -198,7 +198,7 @@
 	}
 	f.runs[t] = nil
 	steward := New(Params{})
-	found = append(found, steward.OnWitness(now, simTarget(t), f.lives[t], inFlight)...)
+	found = append(found, steward.OnCoordinatorReport(now, simTarget(t), f.lives[t], inFlight)...)
 	if !f.storeDown {
 		f.stored.Merge(now, found)
 	}
@@ -347,9 +347,9 @@
 
 // Merging is idempotent, and its order and grouping do not matter.
 func TestMerge(t *testing.T) {
-	draw := rapid.Custom(func(rt *rapid.T) Finding {
+	draw := rapid.Custom(func(rt *rapid.T) CrashRecord {
 		deaths := rapid.SliceOfN(rapid.SampledFrom([]Death{"t1@1", "t2@1", "t3@4"}), 1, 3).Draw(rt, "deaths")
-		return Finding{
+		return CrashRecord{
 			Fingerprint: Fingerprint(rapid.SampledFrom([]string{"x", "y"}).Draw(rt, "fingerprint")),
 			Deaths:      deaths,
 			Expires:     epoch.Add(time.Duration(rapid.IntRange(-1, 5).Draw(rt, "expires")) * time.Minute),
@@ -361,7 +361,7 @@
 		a, b := New(Params{}), New(Params{})
 		a.Merge(epoch, findings)
 		for _, f := range shuffled {
-			b.Merge(epoch, []Finding{f})
+			b.Merge(epoch, []CrashRecord{f})
 		}
 		if !reflect.DeepEqual(a.All(epoch), b.All(epoch)) || a.Hash(epoch) != b.Hash(epoch) {
 			rt.Fatalf("%v and %v", a.All(epoch), b.All(epoch))
--- a/internal/policy/quarantine/table_test.go
+++ b/internal/policy/quarantine/table_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestTable(t *testing.T) {
-	r := New(Params{KeepFor: time.Minute, MaxFindings: 3})
+	r := New(Params{Retention: time.Minute, MaxRecords: 3})
 	datadriven.RunTest(t, "testdata/gate", func(t *testing.T, d *datadriven.TestData) string {
 		var ms int64
 		var fp, id, target string
@@ -24,7 +24,7 @@
 		now := epoch.Add(time.Duration(ms) * time.Millisecond)
 		switch d.Cmd {
 		case "gate":
-			return describe(r.Gate(now, Fingerprint(fp)))
+			return describe(r.Check(now, Fingerprint(fp)))
 		case "begin":
 			v, ok := r.Begin(now, Fingerprint(fp), request.ID(id), request.TargetID(target), d.HasArg("alone"))
 			return fmt.Sprintf("%t, %s", ok, describe(v))
@@ -33,7 +33,7 @@
 		case "died":
 			return list(r.OnTargetDied(now, request.TargetID(target), incarnation))
 		case "witness":
-			return list(r.OnWitness(now, request.TargetID(target), incarnation, []Fingerprint{Fingerprint(fp)}))
+			return list(r.OnCoordinatorReport(now, request.TargetID(target), incarnation, []Fingerprint{Fingerprint(fp)}))
 		case "all":
 			return list(r.All(now))
 		default:
@@ -43,7 +43,7 @@
 	})
 }
 
-func describe(v Verdict) string {
+func describe(v Decision) string {
 	out := string(v.Mode)
 	if v.Target != "" {
 		out += " " + string(v.Target)
@@ -54,7 +54,7 @@
 	return out + "\n"
 }
 
-func list(findings []Finding) string {
+func list(findings []CrashRecord) string {
 	var out strings.Builder
 	for _, f := range findings {
 		fmt.Fprintf(&out, "%s %v until %s%s\n", f.Fingerprint, f.Deaths, f.Expires.Sub(epoch), proof(f))
@@ -62,7 +62,7 @@
 	return out.String()
 }
 
-func proof(f Finding) string {
+func proof(f CrashRecord) string {
 	if f.Proven {
 		return ", proven"
 	}
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -32,9 +32,9 @@
 // could send so seldom that most requests would not find a sender.
 const maxColdSenders = 4
 
-// ColdStart returns what a replica bears that has just started: some requests a second, lasting, and
+// ColdStartLimits returns what a replica bears that has just started: some requests a second, lasting, and
 // a burst in any one second.
-func ColdStart(perSecond, burst float64) Limits {
+func ColdStartLimits(perSecond, burst float64) Limits {
 	return Limits{PerSecond: perSecond, Burst: burst, Window: time.Second, MaxSenders: maxColdSenders}
 }
 
@@ -72,8 +72,8 @@
 	return 1, Share{Requests: int(room), Window: l.Window}
 }
 
-// AloneShare returns the share of a daemon that does not know the others, if there may be so many.
-func (l Limits) AloneShare(daemons int) Share { return l.oneIn(float64(daemons) / l.room()) }
+// IsolatedShare returns the share of a daemon that does not know the others, if there may be so many.
+func (l Limits) IsolatedShare(daemons int) Share { return l.oneIn(float64(daemons) / l.room()) }
 
 // room returns the requests that all senders may send together in one window.
 func (l Limits) room() float64 { return min(l.PerSecond*l.Window.Seconds(), l.Burst/2) }
@@ -85,18 +85,18 @@
 
 // IsSender reports whether a daemon is among the senders to a replica, of those that use it.
 func IsSender(self string, users []string, replica uint64, senders int) bool {
-	return slices.Contains(users, self) && subset.IsAmong(self, users, replica, senders)
+	return slices.Contains(users, self) && subset.IsSelected(self, users, replica, senders)
 }
 
 // maxSent bounds the requests that are remembered. A daemon's share of a window is below that but
 // for limits so high that the gaps alone keep to them.
 const maxSent = 64
 
-// Pace is what one daemon sent to one replica of late. The zero Pace has sent nothing.
-type Pace struct{ sent []time.Time }
+// Pacer is what one daemon sent to one replica of late. The zero Pace has sent nothing.
+type Pacer struct{ sent []time.Time }
 
 // Ready reports whether a share leaves room for a request now.
-func (p *Pace) Ready(now time.Time, s Share) bool {
+func (p *Pacer) Ready(now time.Time, s Share) bool {
 	n := len(p.sent)
 	if n > 0 && now.Sub(p.sent[n-1]) < s.Gap() {
 		return false
@@ -104,8 +104,8 @@
 	return n < s.Requests || now.Sub(p.sent[n-s.Requests]) >= s.Window
 }
 
-// Sent notes a request.
-func (p *Pace) Sent(now time.Time) {
+// RecordSent notes a request.
+func (p *Pacer) RecordSent(now time.Time) {
 	if len(p.sent) == maxSent {
 		copy(p.sent, p.sent[1:])
 		p.sent = p.sent[:maxSent-1]
@@ -113,8 +113,8 @@
 	p.sent = append(p.sent, now)
 }
 
-// Last returns when the last request was sent; the zero time: never.
-func (p *Pace) Last() time.Time {
+// LastSent returns when the last request was sent; the zero time: never.
+func (p *Pacer) LastSent() time.Time {
 	if len(p.sent) == 0 {
 		return time.Time{}
 	}
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -18,7 +18,7 @@
 		var perSecond, burst float64
 		d.ScanArgs(t, "per_second", &perSecond)
 		d.ScanArgs(t, "burst", &burst)
-		l := ColdStart(perSecond, burst)
+		l := ColdStartLimits(perSecond, burst)
 		var out strings.Builder
 		for _, daemons := range []int{1, 2, 3, 8, 66, 390} {
 			senders, each := l.Shares(daemons)
@@ -67,7 +67,7 @@
 	ahead  time.Duration // of its clock
 	frozen [2]time.Duration
 	share  Share
-	pace   Pace
+	pace   Pacer
 }
 
 const replica = 7
@@ -75,11 +75,11 @@
 var start = time.Unix(1_800_000_000, 0)
 
 // take sends a request if a share leaves room for it.
-func take(p *Pace, now time.Time, s Share) bool {
+func take(p *Pacer, now time.Time, s Share) bool {
 	if !p.Ready(now, s) {
 		return false
 	}
-	p.Sent(now)
+	p.RecordSent(now)
 	return true
 }
 
@@ -124,7 +124,7 @@
 	rate := rapid.Float64Range(0.3, 40).Draw(rt, "per_second")
 	overage := rapid.Float64Range(1, 2).Draw(rt, "overage")
 	slack := rapid.Float64Range(2, 10).Draw(rt, "slack")
-	return ColdStart(rate, rate*overage+slack)
+	return ColdStartLimits(rate, rate*overage+slack)
 }
 
 // named returns what a replica bears that named a rate limit.
@@ -199,10 +199,10 @@
 
 // Each daemon counting for itself alone, as if there were no others, crashes the replica.
 func TestNaiveLimitOfEachDaemonIsAboveTheBound(t *testing.T) {
-	l := ColdStart(10, 20)
+	l := ColdStartLimits(10, 20)
 	arrivals := 0
 	for range names(8) {
-		var p Pace
+		var p Pacer
 		for at := time.Duration(0); at < time.Second; at += 10 * time.Millisecond {
 			if take(&p, time.Unix(0, 0).Add(at), Share{Requests: int(l.PerSecond), Window: l.Window}) {
 				arrivals++
@@ -217,7 +217,7 @@
 // A fleet uses most of what a cold replica bears: callers must not be refused or crowd the few
 // warm replicas while a third of them starts.
 func TestMostOfTheRateIsUsed(t *testing.T) {
-	l := ColdStart(9.8, 9.8*1.5+5)
+	l := ColdStartLimits(9.8, 9.8*1.5+5)
 	for _, daemons := range []int{3, 8, 66, 390} {
 		senders, each := l.Shares(daemons)
 		if rate := float64(senders) / each.Gap().Seconds(); rate < 0.75*l.PerSecond {
@@ -253,7 +253,7 @@
 				d.frozen = [2]time.Duration{5 * time.Second, 9 * time.Second}
 			}
 			for n := range rapid.IntRange(0, 5).Draw(rt, "before") {
-				d.pace.Sent(start.Add(d.ahead - time.Duration(6-n)*heard/6))
+				d.pace.RecordSent(start.Add(d.ahead - time.Duration(6-n)*heard/6))
 			}
 		}
 		if got := worst(l.Window, press(rt, l, daemons, 3*l.Window)); float64(got) > l.Burst {
@@ -266,9 +266,9 @@
 // window that runs, so that the replica gets its rest at once.
 func TestWhatWentBeforeCounts(t *testing.T) {
 	share := Share{Requests: 2, Window: 4 * time.Second}
-	var p Pace
+	var p Pacer
 	for n := range 10 {
-		p.Sent(start.Add(time.Duration(n) * 100 * time.Millisecond))
+		p.RecordSent(start.Add(time.Duration(n) * 100 * time.Millisecond))
 	}
 	last := start.Add(900 * time.Millisecond)
 	if p.Ready(last.Add(share.Gap()), share) {
--- a/internal/policy/residency/residency.go
+++ b/internal/policy/residency/residency.go
@@ -17,8 +17,8 @@
 	tokens int
 }
 
-// Model is the estimate for one replica.
-type Model struct {
+// MemoryEstimate is the estimate for one replica.
+type MemoryEstimate struct {
 	capacity int // tokens
 	used     int
 	order    *list.List // of part, the newest first
@@ -26,12 +26,12 @@
 }
 
 // New returns an empty model of a memory of some tokens.
-func New(capacity int) *Model {
-	return &Model{capacity: capacity, order: list.New(), byKey: map[Key]*list.Element{}}
+func New(capacity int) *MemoryEstimate {
+	return &MemoryEstimate{capacity: capacity, order: list.New(), byKey: map[Key]*list.Element{}}
 }
 
 // Touch says that a part is read or made now.
-func (m *Model) Touch(key Key, tokens int) {
+func (m *MemoryEstimate) Touch(key Key, tokens int) {
 	if e, ok := m.byKey[key]; ok {
 		p := e.Value.(*part)
 		m.used += tokens - p.tokens
@@ -44,7 +44,7 @@
 	m.trim()
 }
 
-func (m *Model) trim() {
+func (m *MemoryEstimate) trim() {
 	for m.used > m.capacity && m.order.Len() > 0 {
 		last := m.order.Back()
 		p := last.Value.(*part)
@@ -54,14 +54,14 @@
 	}
 }
 
-// Has reports whether a part is thought to be there.
-func (m *Model) Has(key Key) bool {
+// Contains reports whether a part is thought to be there.
+func (m *MemoryEstimate) Contains(key Key) bool {
 	_, ok := m.byKey[key]
 	return ok
 }
 
 // Clear forgets all parts: the replica took other weights.
-func (m *Model) Clear() {
+func (m *MemoryEstimate) Clear() {
 	m.order.Init()
 	clear(m.byKey)
 	m.used = 0
--- a/internal/policy/residency/residency_test.go
+++ b/internal/policy/residency/residency_test.go
@@ -15,11 +15,11 @@
 	m.Touch(2, 40)
 	m.Touch(1, 40) // read again
 	m.Touch(3, 40)
-	if !m.Has(1) || m.Has(2) || !m.Has(3) {
-		t.Errorf("1 %t, 2 %t, 3 %t", m.Has(1), m.Has(2), m.Has(3))
+	if !m.Contains(1) || m.Contains(2) || !m.Contains(3) {
+		t.Errorf("1 %t, 2 %t, 3 %t", m.Contains(1), m.Contains(2), m.Contains(3))
 	}
 	m.Touch(4, 500) // more than there is
-	if m.Has(4) || m.Has(1) {
+	if m.Contains(4) || m.Contains(1) {
 		t.Error("a part larger than the memory stays, or others beside it")
 	}
 }
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -37,12 +37,12 @@
 	Share      float64 // retries for each first try of the target set
 	Burst      float64 // retries at once above that
 	PerSecond  float64 // retries a second that are always allowed, for sets with few calls
-	// Saved is how much of Share may be saved up over Window, on top of Burst: a replica that dies
+	// SavedShare is how much of Share may be saved up over Window, on top of Burst: a replica that dies
 	// takes all its streams with it, and few requests fail in between. Zero: nothing.
-	Saved     float64
-	Window    time.Duration
-	BaseDelay time.Duration
-	MaxDelay  time.Duration
+	SavedShare float64
+	Window     time.Duration
+	BaseDelay  time.Duration
+	MaxDelay   time.Duration
 }
 
 func (p *Params) setDefaults() {
@@ -76,18 +76,18 @@
 	return &Budget{params: p, tokens: p.Burst, at: now}
 }
 
-// OnFirstTry earns the set its share of a retry.
-func (b *Budget) OnFirstTry(now time.Time) {
+// OnFirstAttempt earns the set its share of a retry.
+func (b *Budget) OnFirstAttempt(now time.Time) {
 	b.fill(now)
 	b.recent++
 	b.tokens = min(b.most(), b.tokens+b.params.Share)
 }
 
 // most returns how many retries may be left at most.
-func (b *Budget) most() float64 { return b.params.Burst + b.params.Saved*b.recent }
+func (b *Budget) most() float64 { return b.params.Burst + b.params.SavedShare*b.recent }
 
-// Left returns how many retries are left now.
-func (b *Budget) Left(now time.Time) float64 {
+// Remaining returns how many retries are left now.
+func (b *Budget) Remaining(now time.Time) float64 {
 	b.fill(now)
 	return b.tokens
 }
@@ -151,10 +151,10 @@
 type Decision interface{ isDecision() }
 
 // RetryElsewhere places the request again, without the target that failed.
-type RetryElsewhere struct{ After time.Duration }
+type RetryElsewhere struct{ Delay time.Duration }
 
 // ResumeStream asks the same target for the rest of the stream.
-type ResumeStream struct{ After time.Duration }
+type ResumeStream struct{ Delay time.Duration }
 
 // GiveUp is the final answer, to be given at once.
 type GiveUp struct{ Err *request.Error }
@@ -168,7 +168,7 @@
 	b.fill(now)
 	if f.Resumable && r.Resumes < b.params.MaxResumes {
 		if delay := b.delay(rng, r.Resumes); inTime(now, delay, r) {
-			return ResumeStream{After: delay}
+			return ResumeStream{Delay: delay}
 		}
 	}
 	if r.Started || !mayRetry(r, f.Err) || r.Retries >= b.params.MaxRetries {
@@ -181,7 +181,7 @@
 	if !b.take() {
 		return GiveUp{Err: withRetryAfter(f.Err, b.untilOne())}
 	}
-	return RetryElsewhere{After: delay}
+	return RetryElsewhere{Delay: delay}
 }
 
 // delay grows with the number of tries. The jitter, of half of it, keeps requests that
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -32,8 +32,8 @@
 				b = NewBudget(epoch, p)
 				return ""
 			case "first-try":
-				b.OnFirstTry(now)
-				return fmt.Sprintf("%.1f left\n", b.Left(now))
+				b.OnFirstAttempt(now)
+				return fmt.Sprintf("%.1f left\n", b.Remaining(now))
 			case "decide":
 				r := Request{Repeatable: d.HasArg("repeatable"), Started: d.HasArg("started")}
 				d.MaybeScanArgs(t, "retries", &r.Retries)
@@ -46,7 +46,7 @@
 				d.ScanArgs(t, "code", &code)
 				d.ScanArgs(t, "ran", &ran)
 				f := Failure{Err: &request.Error{Code: request.Code(code), Ran: request.Ran(ran)}, Resumable: d.HasArg("resumable")}
-				return describe(b.Decide(now, rng, r, f)) + fmt.Sprintf("%.1f left\n", b.Left(now))
+				return describe(b.Decide(now, rng, r, f)) + fmt.Sprintf("%.1f left\n", b.Remaining(now))
 			}
 			d.Fatalf(t, "unknown command %s", d.Cmd)
 			return ""
@@ -83,7 +83,7 @@
 		codes := []request.Code{request.CodeTargetFailed, request.CodeNoTarget, request.CodeBadRequest, request.CodeQuarantined}
 		for range rapid.IntRange(1, 300).Draw(rt, "requests") {
 			now = now.Add(time.Duration(rng.IntN(300)) * time.Millisecond)
-			b.OnFirstTry(now)
+			b.OnFirstAttempt(now)
 			first++
 			r := Request{Repeatable: rng.IntN(2) == 0, Started: rng.IntN(4) == 0}
 			for {
@@ -124,7 +124,7 @@
 	naive, ours := 0, 0
 	for i := range calls {
 		now := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
-		b.OnFirstTry(now)
+		b.OnFirstAttempt(now)
 		naive += 1 + DefaultMaxRetries
 		ours++
 		r := Request{Repeatable: true}
@@ -151,14 +151,14 @@
 func TestSavedRetriesKeepToTheWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window, share, burst = 10 * time.Second, 0.084, 2.0
-		p := Params{Share: share, Saved: 0.056, Window: window, Burst: burst, PerSecond: 0.0001}
+		p := Params{Share: share, SavedShare: 0.056, Window: window, Burst: burst, PerSecond: 0.0001}
 		b := NewBudget(epoch, p)
 		rate := rapid.IntRange(1, 200).Draw(t, "requests a second")
 		failAt := time.Duration(rapid.IntRange(0, 40_000).Draw(t, "failure at ms")) * time.Millisecond
 		var retries []time.Time
 		for i := range 40 * rate {
 			now := epoch.Add(time.Duration(i) * time.Second / time.Duration(rate))
-			b.OnFirstTry(now)
+			b.OnFirstAttempt(now)
 			for now.Sub(epoch) >= failAt && b.TryTake(now) {
 				retries = append(retries, now)
 			}
--- a/internal/policy/rollout/rollout.go
+++ b/internal/policy/rollout/rollout.go
@@ -20,10 +20,10 @@
 
 // Defaults of Params.
 const (
-	DefaultLoadCap      = 2
-	DefaultMaxOutShare  = 0.34
-	DefaultOrderTimeout = 5 * time.Second
-	DefaultLoadTimeout  = 5 * time.Minute
+	DefaultLoadCap             = 2
+	DefaultMaxUnavailableShare = 0.34
+	DefaultOrderTimeout        = 5 * time.Second
+	DefaultLoadTimeout         = 5 * time.Minute
 )
 
 // Params bounds a rollout. Zero values take the defaults above.
@@ -31,9 +31,9 @@
 	// LoadCap is the number of replicas that may load weights at once. More would slow
 	// each of them.
 	LoadCap int
-	// MaxOutShare is the share of a model's replicas that may be out at once, because
+	// MaxUnavailableShare is the share of a model's replicas that may be out at once, because
 	// they load or can't be reached; at least one.
-	MaxOutShare float64
+	MaxUnavailableShare float64
 	// OrderTimeout is the longest time from giving an order to its effect in the
 	// target's state. The sender gives up on it well before.
 	OrderTimeout time.Duration
@@ -44,18 +44,18 @@
 	// not check epochs would obey such an order; one that does might too, as long as it
 	// has seen none of the new epoch. Zero: OrderTimeout.
 	TakeoverWait time.Duration
-	// DrainFor is how long a replica that serves is kept free of new requests before it
+	// DrainTimeout is how long a replica that serves is kept free of new requests before it
 	// is ordered to load, unless it has none left before. An order makes it refuse new
 	// ones and wait for those that run, so that a replica with long requests is out for
 	// seconds; drained first, it is out for the load alone. Zero: not at all.
-	DrainFor time.Duration
-	// ComputeFor is how long a replica is drained at most while prompts are being computed
+	DrainTimeout time.Duration
+	// PrefillTimeout is how long a replica is drained at most while prompts are being computed
 	// there. Zero: as long as DrainFor.
-	ComputeFor time.Duration
+	PrefillTimeout time.Duration
 }
 
-// Wanted is what the table wants of one target. Empty fields are left as they are.
-type Wanted struct {
+// Desired is what the table wants of one target. Empty fields are left as they are.
+type Desired struct {
 	Target  request.TargetID
 	Model   request.Model
 	Version request.Version
@@ -65,15 +65,15 @@
 
 // Observed is the outcome of reading a target's state.
 type Observed struct {
-	Target    request.TargetID
-	State     engineapi.State // if Reachable
-	ReadAt    time.Time       // when the request for it was sent
-	Reachable bool            // the read succeeded
-	Leaving   bool
-	Work      int // requests in flight there; the least busy are brought on first
-	Computing int // prompt tokens that are still to be computed there
-	// OrderAfter is the time before which it must get no order; zero: any.
-	OrderAfter time.Time
+	Target        request.TargetID
+	State         engineapi.State // if Reachable
+	ReadAt        time.Time       // when the request for it was sent
+	Reachable     bool            // the read succeeded
+	Leaving       bool
+	InFlight      int // requests in flight there; the least busy are brought on first
+	PrefillTokens int // prompt tokens that are still to be computed there
+	// NoOrderBefore is the time before which it must get no order; zero: any.
+	NoOrderBefore time.Time
 }
 
 // Action is a decision for the caller to carry out: Order, Drain, Wait or StepDown.
@@ -85,9 +85,9 @@
 type Order struct {
 	Target request.TargetID
 	Order  engineapi.Order
-	// Computed says that no prompt is being computed there, as far as is known: what runs may
+	// PrefillDone says that no prompt is being computed there, as far as is known: what runs may
 	// go on under other weights without a prompt's KV cache coming from both.
-	Computed bool
+	PrefillDone bool
 }
 
 // Wait says why a target is not brought on now.
@@ -115,12 +115,12 @@
 
 // The reasons of Wait.
 const (
-	ReasonTakeover    Reason = "takeover"    // orders of the holder before may still act
-	ReasonLoadCap     Reason = "load_cap"    // as many load as may
-	ReasonOutShare    Reason = "out_share"   // as many replicas are out as may
-	ReasonUnreachable Reason = "unreachable" // its state can't be read
-	ReasonPending     Reason = "pending"     // an order has not shown its effect yet
-	ReasonLoading     Reason = "loading"     // it loads
+	ReasonTakeover       Reason = "takeover"    // orders of the holder before may still act
+	ReasonLoadCap        Reason = "load_cap"    // as many load as may
+	ReasonMaxUnavailable Reason = "out_share"   // as many replicas are out as may
+	ReasonUnreachable    Reason = "unreachable" // its state can't be read
+	ReasonPending        Reason = "pending"     // an order has not shown its effect yet
+	ReasonLoading        Reason = "loading"     // it loads
 )
 
 // pending is an order whose effect has not been seen.
@@ -145,8 +145,8 @@
 	if p.LoadCap <= 0 {
 		p.LoadCap = DefaultLoadCap
 	}
-	if p.MaxOutShare <= 0 {
-		p.MaxOutShare = DefaultMaxOutShare
+	if p.MaxUnavailableShare <= 0 {
+		p.MaxUnavailableShare = DefaultMaxUnavailableShare
 	}
 	if p.OrderTimeout <= 0 {
 		p.OrderTimeout = DefaultOrderTimeout
@@ -173,13 +173,13 @@
 	delete(r.drained, target)
 }
 
-// SetMaxOutShare changes the share of a model's replicas that may be out at once.
-func (r *Rollout) SetMaxOutShare(share float64) { r.params.MaxOutShare = share }
+// SetMaxUnavailableShare changes the share of a model's replicas that may be out at once.
+func (r *Rollout) SetMaxUnavailableShare(share float64) { r.params.MaxUnavailableShare = share }
 
-// Step returns what to do now under an epoch. wanted and observed must cover all the
+// Reconcile returns what to do now under an epoch. wanted and observed must cover all the
 // targets that share the cap. The caller makes sure that the lease lasts longer than
 // an order may take.
-func (r *Rollout) Step(now time.Time, epoch uint64, wanted []Wanted, observed []Observed) []Action {
+func (r *Rollout) Reconcile(now time.Time, epoch uint64, wanted []Desired, observed []Observed) []Action {
 	if epoch != r.epoch {
 		r.epoch, r.since = epoch, now
 		clear(r.pending)
@@ -201,7 +201,7 @@
 }
 
 // stepTarget returns what to do about one target, or nil if it is as wanted.
-func (r *Rollout) stepTarget(now time.Time, w Wanted, v *view) Action {
+func (r *Rollout) stepTarget(now time.Time, w Desired, v *view) Action {
 	o := v.of(w.Target)
 	if o.Leaving {
 		return nil
@@ -235,24 +235,24 @@
 
 // load orders a weight version if the cap and the share of replicas out allow it. With
 // DrainFor a replica that serves is drained first.
-func (r *Rollout) load(now time.Time, w Wanted, o Observed, v *view) Action {
+func (r *Rollout) load(now time.Time, w Desired, o Observed, v *view) Action {
 	serving := o.State.Version != ""
-	if serving && r.params.DrainFor > 0 {
+	if serving && r.params.DrainTimeout > 0 {
 		if action := r.drain(now, w, o, v); action != nil {
 			return action
 		}
-		if v.loading >= r.params.LoadCap || now.Before(o.OrderAfter) {
+		if v.loading >= r.params.LoadCap || now.Before(o.NoOrderBefore) {
 			return Drain{Target: w.Target}
 		}
 		delete(r.drained, w.Target)
 		v.loading++
-		return r.orderLoad(now, w, o.Computing == 0)
+		return r.orderLoad(now, w, o.PrefillTokens == 0)
 	}
 	if v.loading >= r.params.LoadCap {
 		return Wait{Target: w.Target, Reason: ReasonLoadCap}
 	}
-	if serving && v.out[w.Model] >= v.mayBeOut(w.Model, r.params.MaxOutShare) {
-		return Wait{Target: w.Target, Reason: ReasonOutShare}
+	if serving && v.out[w.Model] >= v.mayBeOut(w.Model, r.params.MaxUnavailableShare) {
+		return Wait{Target: w.Target, Reason: ReasonMaxUnavailable}
 	}
 	v.loading++
 	if serving {
@@ -261,32 +261,32 @@
 	return r.orderLoad(now, w, false)
 }
 
-func (r *Rollout) orderLoad(now time.Time, w Wanted, computed bool) Order {
+func (r *Rollout) orderLoad(now time.Time, w Desired, computed bool) Order {
 	load := engineapi.Order{Kind: engineapi.OrderLoadVersion, Model: w.Model, Version: w.Version}
-	return r.order(now, Order{Target: w.Target, Order: load, Computed: computed})
+	return r.order(now, Order{Target: w.Target, Order: load, PrefillDone: computed})
 }
 
 // drain returns what a target still waits for before it may load; nil once it is drained.
-func (r *Rollout) drain(now time.Time, w Wanted, o Observed, v *view) Action {
+func (r *Rollout) drain(now time.Time, w Desired, o Observed, v *view) Action {
 	since, draining := r.drained[w.Target]
 	if !draining {
-		if v.out[w.Model] >= v.mayBeOut(w.Model, r.params.MaxOutShare) {
-			return Wait{Target: w.Target, Reason: ReasonOutShare}
+		if v.out[w.Model] >= v.mayBeOut(w.Model, r.params.MaxUnavailableShare) {
+			return Wait{Target: w.Target, Reason: ReasonMaxUnavailable}
 		}
 		v.out[w.Model]++
 		since = now
 		r.drained[w.Target] = now
 	}
 	drained := now.Sub(since)
-	if o.Work > 0 && drained < r.params.DrainFor || o.Computing > 0 && drained < r.params.ComputeFor {
+	if o.InFlight > 0 && drained < r.params.DrainTimeout || o.PrefillTokens > 0 && drained < r.params.PrefillTimeout {
 		return Drain{Target: w.Target}
 	}
 	return nil
 }
 
 // drainAhead drains the targets that come first while no order may be given yet.
-func (r *Rollout) drainAhead(now time.Time, v *view, wanted []Wanted) []Action {
-	if r.params.DrainFor <= 0 {
+func (r *Rollout) drainAhead(now time.Time, v *view, wanted []Desired) []Action {
+	if r.params.DrainTimeout <= 0 {
 		return nil
 	}
 	var actions []Action
@@ -308,7 +308,7 @@
 // should have taken effect shows nothing of it, it is sent again, or forgotten if the
 // table wants something else by now. One that was out of reach for so long that it no
 // longer counted as loading has lost its place under the cap and is ordered anew.
-func (r *Rollout) stepPending(now time.Time, p pending, w Wanted, o Observed) Action {
+func (r *Rollout) stepPending(now time.Time, p pending, w Desired, o Observed) Action {
 	until := p.sentAt.Add(r.params.OrderTimeout)
 	if o.ReadAt.Before(until) {
 		return Wait{Target: o.Target, Reason: ReasonPending, Until: until}
@@ -323,7 +323,7 @@
 }
 
 // wanted reports whether the table still wants what was ordered.
-func (p pending) wanted(w Wanted) bool {
+func (p pending) wanted(w Desired) bool {
 	order := p.order.Order
 	switch order.Kind {
 	case engineapi.OrderLoadVersion:
--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -78,7 +78,7 @@
 
 func params(load int, share float64) Params {
 	return Params{
-		LoadCap: load, MaxOutShare: share, OrderTimeout: (orderIn + 1) * simStep,
+		LoadCap: load, MaxUnavailableShare: share, OrderTimeout: (orderIn + 1) * simStep,
 		LoadTimeout: (loadFor + 2*orderIn) * simStep,
 	}
 }
@@ -109,9 +109,9 @@
 
 func (f *fleet) step(step int, wanted request.Version, loss float64) {
 	now := epoch.Add(time.Duration(step) * simStep)
-	var wants []Wanted
+	var wants []Desired
 	for i := range f.engines {
-		wants = append(wants, Wanted{Target: simTarget(i), Model: model, Version: wanted, Role: "prefill"})
+		wants = append(wants, Desired{Target: simTarget(i), Model: model, Version: wanted, Role: "prefill"})
 	}
 	observed := f.observe(step)
 	for _, action := range f.decide(now, wants, observed) {
@@ -146,9 +146,9 @@
 }
 
 // decide asks the holder, or the naive twin, which orders what it sees missing.
-func (f *fleet) decide(now time.Time, wanted []Wanted, observed []Observed) []Action {
+func (f *fleet) decide(now time.Time, wanted []Desired, observed []Observed) []Action {
 	if !f.naive {
-		return f.holder.Step(now, f.epoch, wanted, observed)
+		return f.holder.Reconcile(now, f.epoch, wanted, observed)
 	}
 	var out []Action
 	for i, o := range observed {
@@ -242,7 +242,7 @@
 func TestStepsDownBeforeAHigherEpoch(t *testing.T) {
 	r := New(Params{})
 	observed := []Observed{{Target: "t1", Reachable: true, ReadAt: epoch, State: engineapi.State{Version: "v1", HighestEpoch: 8}}}
-	actions := r.Step(epoch.Add(time.Hour), 7, []Wanted{{Target: "t1", Model: model, Version: "v2"}}, observed)
+	actions := r.Reconcile(epoch.Add(time.Hour), 7, []Desired{{Target: "t1", Model: model, Version: "v2"}}, observed)
 	if len(actions) != 1 || actions[0] != (StepDown{Epoch: 8}) {
 		t.Errorf("got %v, want to step down", actions)
 	}
@@ -252,8 +252,8 @@
 // for a while, and its place is given to another; or an order to one that was out of
 // reach is sent again when it is back, after its place was given away.
 func TestUnreachableTargetKeepsItsPlaceForATime(t *testing.T) {
-	p := Params{LoadCap: 1, MaxOutShare: 1, OrderTimeout: time.Second, LoadTimeout: time.Minute}
-	wanted := []Wanted{{Target: "t1", Model: model, Version: "v2"}, {Target: "t2", Model: model, Version: "v2"}}
+	p := Params{LoadCap: 1, MaxUnavailableShare: 1, OrderTimeout: time.Second, LoadTimeout: time.Minute}
+	wanted := []Desired{{Target: "t1", Model: model, Version: "v2"}, {Target: "t2", Model: model, Version: "v2"}}
 	idle, loads := engineapi.State{Version: "v1"}, engineapi.State{Version: "v1", Loading: "v2"}
 	for _, accepted := range []bool{true, false} {
 		r := New(p)
@@ -265,7 +265,7 @@
 				{Target: "t2", ReadAt: now, Reachable: true, State: other},
 			}
 			var ordered []request.TargetID
-			for _, action := range r.Step(now, 1, wanted, observed) {
+			for _, action := range r.Reconcile(now, 1, wanted, observed) {
 				if o, ok := action.(Order); ok {
 					ordered = append(ordered, o.Target)
 				}
@@ -289,24 +289,24 @@
 }
 
 // drained is a model's replicas with some work each, brought on with DrainFor.
-func drainedFleet(n int) ([]Wanted, []Observed) {
-	var wanted []Wanted
+func drainedFleet(n int) ([]Desired, []Observed) {
+	var wanted []Desired
 	var observed []Observed
 	for i := range n {
 		id := request.TargetID(fmt.Sprintf("t%02d", i))
-		wanted = append(wanted, Wanted{Target: id, Model: "m", Version: "2"})
-		o := Observed{Target: id, Reachable: true, Work: i}
+		wanted = append(wanted, Desired{Target: id, Model: "m", Version: "2"})
+		o := Observed{Target: id, Reachable: true, InFlight: i}
 		o.State.Version = "1"
 		observed = append(observed, o)
 	}
 	return wanted, observed
 }
 
-func stepAt(r *Rollout, now time.Time, wanted []Wanted, observed []Observed) (orders, drains []request.TargetID) {
+func stepAt(r *Rollout, now time.Time, wanted []Desired, observed []Observed) (orders, drains []request.TargetID) {
 	for i := range observed {
 		observed[i].ReadAt = now
 	}
-	for _, a := range r.Step(now, 1, wanted, observed) {
+	for _, a := range r.Reconcile(now, 1, wanted, observed) {
 		switch a := a.(type) {
 		case Order:
 			orders = append(orders, a.Target)
@@ -322,7 +322,7 @@
 // DrainFor a replica is ordered once it has nothing left, or after a time.
 func TestReplicasAreDrainedBeforeTheyLoad(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := New(Params{LoadCap: 5, MaxOutShare: 0.2, DrainFor: time.Second, TakeoverWait: time.Nanosecond})
+	r := New(Params{LoadCap: 5, MaxUnavailableShare: 0.2, DrainTimeout: time.Second, TakeoverWait: time.Nanosecond})
 	wanted, observed := drainedFleet(10)
 	stepAt(r, now, wanted, observed)
 	now = now.Add(10 * time.Millisecond)
@@ -343,10 +343,10 @@
 // may have done so just before it died. Such a replica is drained and ordered later.
 func TestReplicaIsNotOrderedBeforeItsTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := New(Params{LoadCap: 5, MaxOutShare: 1, DrainFor: time.Second, TakeoverWait: time.Nanosecond})
+	r := New(Params{LoadCap: 5, MaxUnavailableShare: 1, DrainTimeout: time.Second, TakeoverWait: time.Nanosecond})
 	wanted, observed := drainedFleet(2)
-	observed[0].Work, observed[1].Work = 0, 0
-	observed[0].OrderAfter = now.Add(3 * time.Second)
+	observed[0].InFlight, observed[1].InFlight = 0, 0
+	observed[0].NoOrderBefore = now.Add(3 * time.Second)
 	stepAt(r, now, wanted, observed)
 	orders, drains := stepAt(r, now.Add(time.Millisecond), wanted, observed)
 	if slices.Contains(orders, "t00") || !slices.Contains(drains, "t00") {
@@ -364,18 +364,18 @@
 // KV cache would come from both. A replica is drained until those are done, up to a time.
 func TestReplicaLoadsWithStreamsRunningButNoPromptBeingComputed(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := New(Params{LoadCap: 2, MaxOutShare: 1, DrainFor: 200 * time.Millisecond, ComputeFor: time.Second, TakeoverWait: time.Nanosecond})
+	r := New(Params{LoadCap: 2, MaxUnavailableShare: 1, DrainTimeout: 200 * time.Millisecond, PrefillTimeout: time.Second, TakeoverWait: time.Nanosecond})
 	wanted, observed := drainedFleet(3)
-	observed[0].Work, observed[1].Work, observed[2].Work = 9, 9, 9
-	observed[1].Computing, observed[2].Computing = 5000, 5000
+	observed[0].InFlight, observed[1].InFlight, observed[2].InFlight = 9, 9, 9
+	observed[1].PrefillTokens, observed[2].PrefillTokens = 5000, 5000
 	step := func() map[request.TargetID]bool {
 		computed := map[request.TargetID]bool{}
 		for i := range observed {
 			observed[i].ReadAt = now
 		}
-		for _, a := range r.Step(now, 1, wanted, observed) {
+		for _, a := range r.Reconcile(now, 1, wanted, observed) {
 			if o, is := a.(Order); is {
-				computed[o.Target] = o.Computed
+				computed[o.Target] = o.PrefillDone
 			}
 		}
 		return computed
@@ -391,7 +391,7 @@
 	if got := step(); len(got) != 1 || !got["t00"] {
 		t.Fatalf("after DrainFor: %v", got)
 	}
-	observed[1].Computing = 0
+	observed[1].PrefillTokens = 0
 	now = now.Add(100 * time.Millisecond)
 	if got := step(); len(got) != 1 || !got["t01"] {
 		t.Fatalf("once its prompts were computed: %v", got)
--- a/internal/policy/rollout/view.go
+++ b/internal/policy/rollout/view.go
@@ -19,7 +19,7 @@
 	highest  uint64 // epoch that any target has seen
 }
 
-func (r *Rollout) view(now time.Time, wanted []Wanted, observed []Observed) *view {
+func (r *Rollout) view(now time.Time, wanted []Desired, observed []Observed) *view {
 	v := &view{
 		observed: make(map[request.TargetID]Observed),
 		out:      make(map[request.Model]int),
@@ -113,9 +113,9 @@
 // sorted returns the targets in the order in which they are brought on: those that
 // serve nothing first, since loading them takes nothing away, then those that may be
 // ordered at once, then those with the least work, whose requests end soonest.
-func (r *Rollout) sorted(v *view, wanted []Wanted) []Wanted {
+func (r *Rollout) sorted(v *view, wanted []Desired) []Desired {
 	out := slices.Clone(wanted)
-	slices.SortStableFunc(out, func(a, b Wanted) int {
+	slices.SortStableFunc(out, func(a, b Desired) int {
 		emptyA, emptyB := v.of(a.Target).State.Version == "", v.of(b.Target).State.Version == ""
 		if emptyA != emptyB {
 			if emptyA {
@@ -123,11 +123,11 @@
 			}
 			return 1
 		}
-		if c := v.of(a.Target).OrderAfter.Compare(v.of(b.Target).OrderAfter); c != 0 {
+		if c := v.of(a.Target).NoOrderBefore.Compare(v.of(b.Target).NoOrderBefore); c != 0 {
 			return c
 		}
 		return cmp.Or(
-			cmp.Compare(v.of(a.Target).Work, v.of(b.Target).Work),
+			cmp.Compare(v.of(a.Target).InFlight, v.of(b.Target).InFlight),
 			strings.Compare(string(a.Target), string(b.Target)),
 		)
 	})
--- a/internal/policy/subset/subset.go
+++ b/internal/policy/subset/subset.go
@@ -28,8 +28,8 @@
 // too much with it.
 const minReplicas = 6
 
-// Groups returns the number of groups. It changes only when the fleet doubles.
-func Groups(daemons, replicas int) int {
+// GroupCount returns the number of groups. It changes only when the fleet doubles.
+func GroupCount(daemons, replicas int) int {
 	groups := 1
 	for float64(daemons) >= 2*float64(groups)*minDaemons && replicas >= 2*groups*minReplicas {
 		groups *= 2
@@ -79,13 +79,13 @@
 	return ordered[group*len(ordered)/groups : (group+1)*len(ordered)/groups]
 }
 
-// Part returns the names of the members in one of some groups.
-func Part(members []Member, group, groups int) []string {
+// GroupMembers returns the names of the members in one of some groups.
+func GroupMembers(members []Member, group, groups int) []string {
 	return cut(order(members), group, groups)
 }
 
-// Parts returns the names of the members in each of some groups.
-func Parts(members []Member, groups int) [][]string {
+// AllGroups returns the names of the members in each of some groups.
+func AllGroups(members []Member, groups int) [][]string {
 	ordered := order(members)
 	out := make([][]string, groups)
 	for group := range out {
@@ -94,8 +94,8 @@
 	return out
 }
 
-// Of returns the group in which a name is, 0 if it is in none.
-func Of(members []Member, name string, groups int) int {
+// GroupOf returns the group in which a name is, 0 if it is in none.
+func GroupOf(members []Member, name string, groups int) int {
 	ordered := order(members)
 	for group := range groups {
 		if slices.Contains(cut(ordered, group, groups), name) {
@@ -105,9 +105,9 @@
 	return 0
 }
 
-// IsAmong reports whether a name is among the first few of some names, in an order that is another
+// IsSelected reports whether a name is among the first few of some names, in an order that is another
 // one for each key.
-func IsAmong(name string, names []string, key uint64, few int) bool {
+func IsSelected(name string, names []string, key uint64, few int) bool {
 	own := rank(name, key)
 	before := 0
 	for _, other := range names {
--- a/internal/policy/subset/subset_test.go
+++ b/internal/policy/subset/subset_test.go
@@ -21,7 +21,7 @@
 	for _, c := range []struct{ daemons, replicas, groups int }{
 		{8, 18, 1}, {12, 18, 1}, {71, 140, 8}, {87, 140, 8}, {390, 1300, 32}, {87, 6, 1}, {1, 1, 1},
 	} {
-		got := Groups(c.daemons, c.replicas)
+		got := GroupCount(c.daemons, c.replicas)
 		if got != c.groups {
 			t.Errorf("%d daemons, %d replicas: %d groups, want %d", c.daemons, c.replicas, got, c.groups)
 		}
@@ -35,13 +35,13 @@
 	const groups = 4
 	seen := map[string]int{}
 	for g := range groups {
-		part := Part(all, g, groups)
+		part := GroupMembers(all, g, groups)
 		if len(part) < 87/groups || len(part) > 87/groups+1 {
 			t.Errorf("group %d has %d", g, len(part))
 		}
 		for _, name := range part {
 			seen[name]++
-			if Of(all, name, groups) != g {
+			if GroupOf(all, name, groups) != g {
 				t.Errorf("%s is in two groups", name)
 			}
 		}
@@ -52,7 +52,7 @@
 	moved := 0
 	fewer := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.Name == "d40" })
 	for _, m := range fewer {
-		if Of(all, m.Name, groups) != Of(fewer, m.Name, groups) {
+		if GroupOf(all, m.Name, groups) != GroupOf(fewer, m.Name, groups) {
 			moved++
 		}
 	}
@@ -67,7 +67,7 @@
 // they needed from afar.
 func TestEachGroupHasItsShareOfEachFailureDomain(t *testing.T) {
 	const replicas, domains = 53, 5
-	groups := Groups(95, replicas)
+	groups := GroupCount(95, replicas)
 	all := members("i-", replicas, domains)
 	domainOf := map[string]string{}
 	for _, m := range all {
@@ -75,7 +75,7 @@
 	}
 	for g := range groups {
 		count := map[string]int{}
-		for _, name := range Part(all, g, groups) {
+		for _, name := range GroupMembers(all, g, groups) {
 			count[domainOf[name]]++
 		}
 		for d := range domains {
@@ -95,7 +95,7 @@
 		fewer := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m == gone })
 		moved := 0
 		for _, m := range fewer {
-			if Of(all, m.Name, groups) != Of(fewer, m.Name, groups) {
+			if GroupOf(all, m.Name, groups) != GroupOf(fewer, m.Name, groups) {
 				moved++
 			}
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -514,7 +514,7 @@
 	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, time.Minute, "replicas died")
 }
 
-func (c *counted) Died(_ context.Context, s quarantine.Sighting) {
+func (c *counted) Died(_ context.Context, s quarantine.CrashReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deaths[s.Fingerprint]++
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -135,7 +135,7 @@
 
 // serve sends the job until it is answered, or nothing more may be tried.
 func (s *Server) serve(ctx context.Context, w http.ResponseWriter, j *Job) {
-	s.budget(j.Service.ID, func(b *retry.Budget) bool { b.OnFirstTry(time.Now()); return true })
+	s.budget(j.Service.ID, func(b *retry.Budget) bool { b.OnFirstAttempt(time.Now()); return true })
 	k := &sink{w: w, control: http.NewResponseController(w), last: j.LastEvent}
 	var tried []request.TargetID
 	var n counts
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -15,7 +15,7 @@
 	// Refused returns the final answer to a request that must not run any more.
 	Refused(fingerprint func() quarantine.Fingerprint) *request.Error
 	// Died notes that a replica died while it ran a request.
-	Died(ctx context.Context, s quarantine.Sighting)
+	Died(ctx context.Context, s quarantine.CrashReport)
 	// Answered notes that a replica ran a request to its end.
 	Answered(ctx context.Context, fingerprint func() quarantine.Fingerprint)
 }
@@ -48,7 +48,7 @@
 			return
 		}
 		// A replica may start again under its id: each of its starts dies once.
-		s.o.Suspects.Died(ctx, quarantine.Sighting{Fingerprint: j.fingerprint(), Target: r.Info().ID, Incarnation: uint64(r.Info().Started)})
+		s.o.Suspects.Died(ctx, quarantine.CrashReport{Fingerprint: j.fingerprint(), Target: r.Info().ID, Incarnation: uint64(r.Info().Started)})
 	}()
 }
 
--- a/internal/suspect/counted.go
+++ b/internal/suspect/counted.go
@@ -25,8 +25,8 @@
 // CountedOptions are the options of NewCounted.
 type CountedOptions struct {
 	KV       platform.KV
-	Follower *mirror.Follower          // of the service; its owner runs it
-	Tell     func(quarantine.Sighting) // tells all daemons soon; nil: nobody
+	Follower *mirror.Follower             // of the service; its owner runs it
+	Tell     func(quarantine.CrashReport) // tells all daemons soon; nil: nobody
 	Logger   hclog.Logger
 	Now      func() time.Time // nil: time.Now
 }
@@ -50,7 +50,7 @@
 		o.Logger = hclog.NewNullLogger()
 	}
 	c := &Counted{
-		o: o, keeper: New(Options{KV: o.KV, Logger: o.Logger, Now: o.Now, Params: quarantine.Params{Counted: refuseAt}}),
+		o: o, keeper: New(Options{KV: o.KV, Logger: o.Logger, Now: o.Now, Params: quarantine.Params{UnprovenDeaths: refuseAt}}),
 	}
 	c.o.Logger = o.Logger.Named("suspect")
 	c.mirror = o.Follower.Mirror(keyPrefix, c.apply)
@@ -80,7 +80,7 @@
 
 // Died notes that a target died while it ran a request here, and tells the other daemons. It
 // returns once a finding of several deaths is written, or the write has failed.
-func (c *Counted) Died(ctx context.Context, s quarantine.Sighting) {
+func (c *Counted) Died(ctx context.Context, s quarantine.CrashReport) {
 	found := c.note(s)
 	if c.o.Tell != nil {
 		c.o.Tell(s)
@@ -89,13 +89,13 @@
 }
 
 // Heard notes a sighting of another daemon, which writes it if it must be written.
-func (c *Counted) Heard(s quarantine.Sighting) { c.note(s) }
+func (c *Counted) Heard(s quarantine.CrashReport) { c.note(s) }
 
-func (c *Counted) note(s quarantine.Sighting) []quarantine.Finding {
+func (c *Counted) note(s quarantine.CrashReport) []quarantine.CrashRecord {
 	c.any.Store(true)
 	c.keeper.mu.Lock()
 	defer c.keeper.mu.Unlock()
-	return c.keeper.register.OnSighting(c.keeper.opts.Now(), s)
+	return c.keeper.register.OnCrashReport(c.keeper.opts.Now(), s)
 }
 
 // Answered notes that a target ran a request to its end.
@@ -111,13 +111,13 @@
 }
 
 // store writes the findings that must outlive this daemon.
-func (c *Counted) store(ctx context.Context, found []quarantine.Finding) {
+func (c *Counted) store(ctx context.Context, found []quarantine.CrashRecord) {
 	for _, f := range found {
 		if len(f.Deaths) < storeAt {
 			continue
 		}
 		c.o.Logger.Warn("Targets died while they ran the same request", "fingerprint", f.Fingerprint, "deaths", f.Deaths, "answered", f.Answered)
-		if err := c.keeper.write(ctx, pageOf(f.Fingerprint), []quarantine.Finding{f}); err != nil {
+		if err := c.keeper.write(ctx, pageOf(f.Fingerprint), []quarantine.CrashRecord{f}); err != nil {
 			c.o.Logger.Warn("Findings were not written; the other daemons were told", "error", err)
 		}
 	}
--- a/internal/suspect/counted_test.go
+++ b/internal/suspect/counted_test.go
@@ -14,7 +14,7 @@
 )
 
 // counting starts a daemon's register that follows a key-value service.
-func counting(t *testing.T, fake *kv.Fake, name string, tell func(quarantine.Sighting)) *Counted {
+func counting(t *testing.T, fake *kv.Fake, name string, tell func(quarantine.CrashReport)) *Counted {
 	t.Helper()
 	client := fake.Client(name)
 	follower := mirror.New(mirror.Options{KV: client, Wait: func() time.Duration { return 10 * time.Millisecond }})
@@ -33,8 +33,8 @@
 	return func() quarantine.Fingerprint { return fp }
 }
 
-func death(fp quarantine.Fingerprint, n int) quarantine.Sighting {
-	return quarantine.Sighting{Fingerprint: fp, Target: request.TargetID(fmt.Sprint("r", n)), Incarnation: 1}
+func death(fp quarantine.Fingerprint, n int) quarantine.CrashReport {
+	return quarantine.CrashReport{Fingerprint: fp, Target: request.TargetID(fmt.Sprint("r", n)), Incarnation: 1}
 }
 
 // A request crashes each replica that runs it, and its caller sends it again, each time to
@@ -43,7 +43,7 @@
 func TestRequestThatCrashesReplicasIsRefusedEverywhere(t *testing.T) {
 	fake := kv.NewFake(time.Now)
 	var all []*Counted
-	tell := func(s quarantine.Sighting) {
+	tell := func(s quarantine.CrashReport) {
 		for _, c := range all {
 			c.Heard(s)
 		}
@@ -112,7 +112,7 @@
 		if err := c.Refused(fixed(poison)); err != nil {
 			t.Fatalf("refused after %d deaths", started)
 		}
-		c.Died(context.Background(), quarantine.Sighting{Fingerprint: poison, Target: "r", Incarnation: 1000 + started})
+		c.Died(context.Background(), quarantine.CrashReport{Fingerprint: poison, Target: "r", Incarnation: 1000 + started})
 	}
 	if c.Refused(fixed(poison)) == nil {
 		t.Error("still runs after three deaths of one replica")
--- a/internal/suspect/pages.go
+++ b/internal/suspect/pages.go
@@ -24,8 +24,8 @@
 	return keyPrefix + string(fp[:1])
 }
 
-func byPage(found []quarantine.Finding) map[string][]quarantine.Finding {
-	out := map[string][]quarantine.Finding{}
+func byPage(found []quarantine.CrashRecord) map[string][]quarantine.CrashRecord {
+	out := map[string][]quarantine.CrashRecord{}
 	for _, f := range found {
 		name := pageOf(f.Fingerprint)
 		out[name] = append(out[name], f)
@@ -49,7 +49,7 @@
 
 // write joins findings with a stored page. Merging is idempotent, so a write whose
 // outcome is unknown is simply made again.
-func (k *Keeper) write(ctx context.Context, name string, found []quarantine.Finding) error {
+func (k *Keeper) write(ctx context.Context, name string, found []quarantine.CrashRecord) error {
 	ctx, cancel := context.WithTimeout(ctx, ioTimeout)
 	defer cancel()
 	var err error
@@ -64,8 +64,8 @@
 	return err
 }
 
-func (k *Keeper) writeOnce(ctx context.Context, name string, found []quarantine.Finding) error {
-	var stored []quarantine.Finding
+func (k *Keeper) writeOnce(ctx context.Context, name string, found []quarantine.CrashRecord) error {
+	var stored []quarantine.CrashRecord
 	entry, err := k.opts.KV.Get(ctx, name)
 	switch {
 	case err == nil:
@@ -82,8 +82,8 @@
 }
 
 // joined merges findings by the register's own rule.
-func joined(now time.Time, stored, found []quarantine.Finding) []quarantine.Finding {
-	r := quarantine.New(quarantine.Params{MaxFindings: maxPage})
+func joined(now time.Time, stored, found []quarantine.CrashRecord) []quarantine.CrashRecord {
+	r := quarantine.New(quarantine.Params{MaxRecords: maxPage})
 	r.Merge(now, stored)
 	r.Merge(now, found)
 	return r.All(now)
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -50,7 +50,7 @@
 	findings tally.Counter
 
 	mu       sync.Mutex
-	register *quarantine.Register
+	register *quarantine.Registry
 	loaded   bool      // all stored findings were read once
 	failed   time.Time // when a page could not be read last
 }
@@ -76,7 +76,7 @@
 
 // Gate says how a request may run. A suspect is let through only after the stored
 // findings were read: another daemon may know of a second death.
-func (k *Keeper) Gate(ctx context.Context, fp quarantine.Fingerprint) quarantine.Verdict {
+func (k *Keeper) Gate(ctx context.Context, fp quarantine.Fingerprint) quarantine.Decision {
 	v := k.gate(fp)
 	if v.Mode != quarantine.Alone && !k.mustRead() {
 		return v
@@ -108,10 +108,10 @@
 	k.failed = k.opts.Now()
 }
 
-func (k *Keeper) gate(fp quarantine.Fingerprint) quarantine.Verdict {
+func (k *Keeper) gate(fp quarantine.Fingerprint) quarantine.Decision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.register.Gate(k.opts.Now(), fp)
+	return k.register.Check(k.opts.Now(), fp)
 }
 
 // Begin enters a request that is about to be sent. If it returns false the request
@@ -142,13 +142,13 @@
 // Witness makes suspects of requests that other daemons had in flight at a target.
 func (k *Keeper) Witness(ctx context.Context, t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint) {
 	k.mu.Lock()
-	found := k.register.OnWitness(k.opts.Now(), t, incarnation, fingerprints)
+	found := k.register.OnCoordinatorReport(k.opts.Now(), t, incarnation, fingerprints)
 	k.mu.Unlock()
 	k.publish(ctx, t, found)
 }
 
 // publish writes findings and has them sent to peers.
-func (k *Keeper) publish(ctx context.Context, t request.TargetID, found []quarantine.Finding) {
+func (k *Keeper) publish(ctx context.Context, t request.TargetID, found []quarantine.CrashRecord) {
 	if len(found) == 0 {
 		return
 	}
@@ -208,9 +208,9 @@
 
 // Merge takes findings of a peer and returns how many were new.
 func (k *Keeper) Merge(findings []*peer.Finding) int {
-	in := make([]quarantine.Finding, 0, len(findings))
+	in := make([]quarantine.CrashRecord, 0, len(findings))
 	for _, m := range findings {
-		f := quarantine.Finding{Fingerprint: quarantine.Fingerprint(m.Fingerprint), Expires: time.UnixMilli(m.ExpiresUnixMs), Proven: m.Proven}
+		f := quarantine.CrashRecord{Fingerprint: quarantine.Fingerprint(m.Fingerprint), Expires: time.UnixMilli(m.ExpiresUnixMs), Proven: m.Proven}
 		for _, d := range m.Targets {
 			f.Deaths = append(f.Deaths, quarantine.Death(d))
 		}
@@ -219,7 +219,7 @@
 	return k.merge(in)
 }
 
-func (k *Keeper) merge(in []quarantine.Finding) int {
+func (k *Keeper) merge(in []quarantine.CrashRecord) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.register.Merge(k.opts.Now(), in))
@@ -227,8 +227,8 @@
 
 // mergeValue takes a stored page. One that can't be read is passed over: it is
 // written anew with the next finding.
-func (k *Keeper) mergeValue(value []byte) []quarantine.Finding {
-	var stored []quarantine.Finding
+func (k *Keeper) mergeValue(value []byte) []quarantine.CrashRecord {
+	var stored []quarantine.CrashRecord
 	if err := json.Unmarshal(value, &stored); err != nil {
 		k.log.Error("Stored findings can not be read", "error", err)
 		return nil
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -49,11 +49,11 @@
 	service := kv.NewFake(nil)
 	falls(t, newKeeper(service, "d1"), crasher, "t1", "t2")
 	fresh := newKeeper(service, "d2")
-	if naive := fresh.gate(crasher); naive.Mode != quarantine.Free {
+	if naive := fresh.gate(crasher); naive.Mode != quarantine.Unrestricted {
 		t.Fatalf("the daemon knows of it already: %v", naive.Mode)
 	}
 	wantMode(t, fresh, crasher, quarantine.Refuse)
-	wantMode(t, fresh, "b1", quarantine.Free)
+	wantMode(t, fresh, "b1", quarantine.Unrestricted)
 }
 
 // A request kills a target in an outage of the service. Its finding can't be written,
@@ -63,14 +63,14 @@
 	service := kv.NewFake(nil)
 	service.SetDown(true)
 	first, second := newKeeper(service, "d1"), newKeeper(service, "d2")
-	wantMode(t, second, crasher, quarantine.Free)
+	wantMode(t, second, crasher, quarantine.Unrestricted)
 	falls(t, first, crasher, "t1")
 	second.Merge(first.All())
 	wantMode(t, second, crasher, quarantine.Alone)
 	falls(t, second, crasher, "t2")
 	first.Merge(second.All())
 	wantMode(t, first, crasher, quarantine.Refuse)
-	wantMode(t, first, "b1", quarantine.Free)
+	wantMode(t, first, "b1", quarantine.Unrestricted)
 }
 
 // In an outage each request on a daemon that has just started would wait for a read
@@ -85,13 +85,13 @@
 	now := time.Unix(1000, 0)
 	k := New(Options{KV: service.Client("d1"), Logger: hclog.NewNullLogger(), Now: func() time.Time { return now }})
 	for range 100 {
-		wantMode(t, k, crasher, quarantine.Free)
+		wantMode(t, k, crasher, quarantine.Unrestricted)
 	}
 	if reads != 1 {
 		t.Fatalf("%d reads", reads)
 	}
 	now = now.Add(readPause)
-	wantMode(t, k, crasher, quarantine.Free)
+	wantMode(t, k, crasher, quarantine.Unrestricted)
 	if reads != 2 {
 		t.Fatalf("%d reads after the pause", reads)
 	}
@@ -110,7 +110,7 @@
 			falls(t, second, "a2", "t2")
 		}
 	})
-	found := []quarantine.Finding{{Fingerprint: crasher, Deaths: []quarantine.Death{"t1@1"}, Expires: time.Now().Add(time.Hour)}}
+	found := []quarantine.CrashRecord{{Fingerprint: crasher, Deaths: []quarantine.Death{"t1@1"}, Expires: time.Now().Add(time.Hour)}}
 	first.publish(context.Background(), "t1", found)
 	fresh := newKeeper(service, "d3")
 	if err := fresh.Load(t.Context()); err != nil {
--- a/internal/weights/orders.go
+++ b/internal/weights/orders.go
@@ -36,16 +36,16 @@
 	r := d.rollouts[model]
 	if r == nil {
 		r = rollout.New(rollout.Params{
-			LoadCap: d.loadCap(model), MaxOutShare: outShare, OrderTimeout: effectAfter,
-			LoadTimeout: 4 * effectAfter, DrainFor: drainFor, ComputeFor: computeFor,
+			LoadCap: d.loadCap(model), MaxUnavailableShare: outShare, OrderTimeout: effectAfter,
+			LoadTimeout: 4 * effectAfter, DrainTimeout: drainFor, PrefillTimeout: computeFor,
 			TakeoverWait: time.Nanosecond, // OrderAfter says it for each replica
 		})
 		d.rollouts[model] = r
 	}
-	r.SetMaxOutShare(outShareAt(d.lateFor(late)))
+	r.SetMaxUnavailableShare(outShareAt(d.lateFor(late)))
 	wanted, observed, reports := d.view(ctx, late)
 	var orders []rollout.Order
-	for _, a := range r.Step(time.Now(), d.lease.Epoch(), wanted, observed) {
+	for _, a := range r.Reconcile(time.Now(), d.lease.Epoch(), wanted, observed) {
 		switch a := a.(type) {
 		case rollout.Order:
 			orders = append(orders, a)
@@ -136,18 +136,18 @@
 
 // view returns what is wanted of all replicas of the model of late, and what is known of
 // them. Replicas with an order are asked.
-func (d *Duty) view(ctx context.Context, late []behind) ([]rollout.Wanted, []rollout.Observed, map[request.TargetID]Report) {
+func (d *Duty) view(ctx context.Context, late []behind) ([]rollout.Desired, []rollout.Observed, map[request.TargetID]Report) {
 	now := time.Now()
 	reports := d.ask(ctx, late)
-	var wanted []rollout.Wanted
+	var wanted []rollout.Desired
 	var observed []rollout.Observed
 	for _, b := range late {
 		id := b.replica.Info().ID
-		wanted = append(wanted, rollout.Wanted{Target: id, Model: b.model, Version: versionOf(b.version)})
+		wanted = append(wanted, rollout.Desired{Target: id, Model: b.model, Version: versionOf(b.version)})
 		work := b.replica.Load.Total(now)
 		o := rollout.Observed{
 			Target: id, ReadAt: now, Reachable: !b.replica.Health.Resting(now),
-			Work: work.Requests, Computing: work.Prefill, OrderAfter: d.foreign[id],
+			InFlight: work.Requests, PrefillTokens: work.Prefill, NoOrderBefore: d.foreign[id],
 		}
 		o.State.Version = versionOf(b.replica.Weights(b.model))
 		if report, asked := reports[id]; asked {
@@ -168,14 +168,14 @@
 }
 
 // addDone adds the replicas that are not behind: the shares count them.
-func (d *Duty) addDone(wanted []rollout.Wanted, observed []rollout.Observed, late []behind, now time.Time) ([]rollout.Wanted, []rollout.Observed) {
+func (d *Duty) addDone(wanted []rollout.Desired, observed []rollout.Observed, late []behind, now time.Time) ([]rollout.Desired, []rollout.Observed) {
 	model, version := late[0].model, late[0].version
 	for _, r := range d.o.Set.All() {
 		if _, serves := r.Info().Weights[model]; !serves || r.Weights(model) < version {
 			continue
 		}
 		id := r.Info().ID
-		wanted = append(wanted, rollout.Wanted{Target: id, Model: model, Version: versionOf(version)})
+		wanted = append(wanted, rollout.Desired{Target: id, Model: model, Version: versionOf(version)})
 		observed = append(observed, rollout.Observed{
 			Target: id, ReadAt: now, Reachable: true, State: engineapi.State{Version: versionOf(version)},
 		})
@@ -274,7 +274,7 @@
 				return
 			}
 		}
-		d.send(ctx, l, b, report, a.Computed)
+		d.send(ctx, l, b, report, a.PrefillDone)
 	}()
 }
 
