--- a/internal/policy/pick/pick.go
+++ b/internal/policy/pick/pick.go
@@ -1,4 +1,5 @@
-// Package pick chooses the replica for one request from what is known of each.
+// Package pick selects the replica for a request by comparing the estimated cost of running it on
+// each candidate.
 //
 // The package is pure: it holds no clock, I/O, goroutine or randomness.
 package pick
@@ -9,148 +10,146 @@
 	"time"
 )
 
-// Costs are the prices of what a replica would have to do, as time.
+// Costs holds the weights of the cost model. Costs are expressed as time.
 type Costs struct {
-	PrefillPerToken        time.Duration // to compute one prompt token
-	RecomputePenalty       time.Duration // for each token that is computed although it was computed before
-	CrossDomain            time.Duration // for sending a request to another failure domain
-	PerRunningRequest      time.Duration // by which each running request slows the others
-	Shortage               time.Duration // of a replica-sized shortage of memory
-	ErrorRate              time.Duration // of an error rate of one
-	HeavyPromptOnReserved  time.Duration // of a heavy prompt at a replica set apart for long answers
-	LongOutputOnUnreserved time.Duration // of a long answer at one of the others
-	LinkWeight             float64       // of the time that a fetch takes of a link, which others wait for
-	StaleWeights           time.Duration // of an answer on weights that are worth nothing any more
+	PrefillPerToken        time.Duration // compute time of one prompt token
+	RecomputePenalty       time.Duration // added for each token that is recomputed
+	CrossDomain            time.Duration // of sending a request to another failure domain
+	PerRunningRequest      time.Duration // slowdown caused by each request that the replica runs
+	Shortage               time.Duration // of lacking a whole replica's memory or batch slots
+	ErrorRate              time.Duration // of an error rate of 1
+	HeavyPromptOnReserved  time.Duration // of a heavy prompt on a replica reserved for long outputs
+	LongOutputOnUnreserved time.Duration // of a long output on an unreserved replica
+	LinkWeight             float64       // factor for the time that a fetch occupies a link and delays other fetches
+	StaleWeights           time.Duration // of an answer from completely outdated weights (WeightStaleness 1)
 }
 
 // DefaultCosts are the costs that the daemon uses.
 var DefaultCosts = Costs{
-	PrefillPerToken: time.Millisecond / 50, // engines of today compute about 50 tokens a ms
-	// Computing a token twice takes its time from all that run beside it: with a tenth of a
-	// millisecond, five times its own cost, a tenth less is computed again than with a 25th,
-	// and nobody waits longer.
+	PrefillPerToken: time.Millisecond / 50, // current engines compute about 50 tokens per ms
+	// Recomputing a token slows all requests that run on the replica. A penalty of 0.1 ms, five
+	// times the compute cost, gives 10% less recomputation than 0.04 ms at the same waiting times.
 	RecomputePenalty:       time.Millisecond / 10,
-	CrossDomain:            12 * time.Millisecond, // its bytes are dear: as much as 600 tokens
+	CrossDomain:            12 * time.Millisecond, // cross-domain traffic is expensive: equals 600 tokens
 	PerRunningRequest:      time.Millisecond,
-	Shortage:               4 * time.Second, // a request that finds no memory waits for others to end
+	Shortage:               4 * time.Second, // a request without memory waits until other requests end
 	ErrorRate:              3 * time.Second,
 	HeavyPromptOnReserved:  80 * time.Millisecond,
 	LongOutputOnUnreserved: 40 * time.Millisecond,
-	// A link that is nine tenths full makes all behind a fetch wait, for several times as long
-	// as it takes. Replicas near a store take its link for half as long.
+	// On a link that is 90% full, a fetch delays the fetches queued behind it by several times
+	// its own duration. A replica near the store occupies the store's link for half as long.
 	LinkWeight:   3,
 	StaleWeights: 600 * time.Millisecond,
 }
 
-// Part is a part of the prompt as one replica would get it.
+// Part describes a prompt part from the view of one replica.
 type Part struct {
 	Tokens         int
-	Resident       bool          // it lies in the replica's memory
-	FetchTime      time.Duration // to bring it from elsewhere; zero: nowhere to be had
-	LinkTime       time.Duration // of it, that the link from there is taken
-	ComputedBefore bool          // it was computed before, so that computing it again is waste
+	Resident       bool          // the part is cached in the replica's memory
+	FetchTime      time.Duration // time to fetch the part from elsewhere; zero: not available
+	LinkTime       time.Duration // time within FetchTime during which the source's link is occupied
+	ComputedBefore bool          // the part was computed before; computing it again would be recomputation
 }
 
-// Candidate is one replica.
+// Candidate describes the state of one replica.
 type Candidate struct {
 	Running, Slots     int
-	KVUsed, KVCapacity int // KV cache taken, and all there is
-	QueuedPrefill      int // prompt tokens waiting to be computed
+	KVUsed, KVCapacity int // tokens of KV cache, used and total
+	QueuedPrefill      int // prompt tokens queued for prefill
 	SameDomain         bool
 	ErrorRate          float64
-	WeightStaleness    float64 // what an answer on its weights has lost, from 0 to 1
-	// ReservedForLongOutput marks the replicas that are set apart for long answers.
+	WeightStaleness    float64 // quality loss of an answer from the replica's weights, from 0 to 1
+	// ReservedForLongOutput marks replicas that are reserved for requests with long outputs.
 	ReservedForLongOutput bool
 	Parts                 []Part
 }
 
-// Request is what the request asks of a replica, whichever it is.
+// Request describes the demand of a request, independent of the replica.
 type Request struct {
-	KVTokens   int  // KV cache at its end
-	TailTokens int  // prompt tokens beyond its parts
-	LongOutput bool // its answer runs for long
+	KVTokens   int  // KV cache size when the request ends
+	TailTokens int  // prompt tokens after the last part
+	LongOutput bool // the request generates a long output
 }
 
-// heavyPrompt is the number of tokens from which computing a prompt makes the streams
-// beside it pause: it is computed in several pieces, with one token of each stream between
-// two of them.
-const heavyPrompt = 2500
+// heavyPromptTokens is the prompt length from which a prefill visibly pauses the streams on the
+// same replica. The replica computes such a prompt in several chunks and generates only one token
+// of each stream between two chunks.
+const heavyPromptTokens = 2500
 
-// The share of replicas set apart for long answers, and the part of their memory that these
-// are to take.
+// Bounds of the share of replicas reserved for long outputs, and the memory utilization that is
+// planned for these replicas.
 const (
-	minLongShare = 0.15
-	maxLongShare = 0.6
-	longFill     = 0.45
+	minReservedShare = 0.15
+	maxReservedShare = 0.6
+	longMemoryFill   = 0.45
 )
 
-// LongOutputReplicas returns how many of some replicas are to be set apart for long answers, by
-// the memory that these take in all. A stream whose replica computes one large prompt
-// after the other has pauses of several hundred ms; apart from them it has none.
+// LongOutputReplicas returns the number of replicas to reserve for requests with long outputs, given
+// the total memory that these requests use. Streams on a replica that computes large prompts one
+// after the other pause for several hundred ms; reserved replicas avoid these pauses.
 func LongOutputReplicas(replicas, longTokens, memory int) int {
 	if memory <= 0 {
 		return 0
 	}
-	share := float64(longTokens) / (longFill * float64(memory) * float64(replicas))
-	return int(min(max(share, minLongShare), maxLongShare)*float64(replicas) + 0.5)
+	share := float64(longTokens) / (longMemoryFill * float64(memory) * float64(replicas))
+	return int(min(max(share, minReservedShare), maxReservedShare)*float64(replicas) + 0.5)
 }
 
-// Best returns the index of the cheapest candidate, -1 if there is none.
+// Best returns the index of the cheapest candidate, or -1 if there is none.
 func Best(costs Costs, r Request, candidates []Candidate) int {
-	return cheapest(costs, r, candidates, func(int) bool { return true })
+	return cheapestOf(costs, r, candidates, func(int) bool { return true })
 }
 
-// cheapest returns the index of the cheapest candidate of those to be looked at, -1 if there
-// is none.
-func cheapest(costs Costs, r Request, candidates []Candidate, look func(i int) bool) int {
-	best, least := -1, time.Duration(0)
+// cheapestOf returns the index of the cheapest included candidate, or -1 if there is none.
+func cheapestOf(costs Costs, r Request, candidates []Candidate, include func(i int) bool) int {
+	best, lowest := -1, time.Duration(0)
 	for i := range candidates {
-		if !look(i) {
+		if !include(i) {
 			continue
 		}
-		cost := costs.of(r, &candidates[i])
-		if best < 0 || cost < least {
-			best, least = i, cost
+		cost := costs.totalCost(r, &candidates[i])
+		if best < 0 || cost < lowest {
+			best, lowest = i, cost
 		}
 	}
 	return best
 }
 
-// sampleSize is the number of candidates of which Sampled takes the cheapest.
+// sampleSize is the number of leading candidates that BestSampled always compares.
 const sampleSize = 4
 
-// BestSampled returns the index of the cheapest of a few candidates: the first ones, which the
-// caller has put in random order, those that hold more of the prompt than most, and those that
-// are nearer to what they would fetch.
+// BestSampled returns the index of the cheapest candidate of a sample. The sample consists of the
+// first sampleSize candidates, which the caller has shuffled, the candidates that hold more of the
+// prompt than the median, and the candidates whose fetches occupy links for less than the median.
 //
-// Daemons know of each other's requests some 60 ms late. Were each to take the cheapest of
-// all, they would all take the same replica in that time: nine of them sent it up to eleven
-// prompts at once, each of which took 100 ms, with others idle beside it. For the same reason
-// the others are not looked at if all of the sample have much to do.
+// Daemons learn of each other's requests with a delay of about 60 ms. If each daemon chose the
+// cheapest of all candidates, all daemons would choose the same replica during that time: nine
+// daemons sent up to eleven prompts of 100 ms each to one replica while others were idle. For the
+// same reason the sample is not extended if all replicas in it are busy.
 func BestSampled(costs Costs, r Request, candidates []Candidate) int {
 	if len(candidates) <= sampleSize {
 		return Best(costs, r, candidates)
 	}
-	held := make([]int, len(candidates))
-	link := make([]time.Duration, len(candidates))
+	resident := make([]int, len(candidates))
+	linkTime := make([]time.Duration, len(candidates))
 	for i := range candidates {
-		held[i] = candidates[i].resident()
-		link[i] = candidates[i].link()
+		resident[i] = candidates[i].residentTokens()
+		linkTime[i] = candidates[i].linkTime()
 	}
-	usualHeld, usualLink := median(held), median(link)
-	return cheapest(costs, r, candidates, func(i int) bool {
-		return i < sampleSize || held[i] > usualHeld || link[i] < usualLink
+	medianResident, medianLinkTime := median(resident), median(linkTime)
+	return cheapestOf(costs, r, candidates, func(i int) bool {
+		return i < sampleSize || resident[i] > medianResident || linkTime[i] < medianLinkTime
 	})
 }
 
-// median returns the middle one of some numbers, the upper one of two.
+// median returns the median of numbers, the upper one of two.
 func median[N cmp.Ordered](numbers []N) N {
 	sorted := slices.Sorted(slices.Values(numbers))
 	return sorted[len(sorted)/2]
 }
 
-// link returns how long the candidate's fetches take of links.
-func (c *Candidate) link() time.Duration {
+// linkTime returns the total time for which the candidate's fetches occupy links.
+func (c *Candidate) linkTime() time.Duration {
 	var sum time.Duration
 	for _, p := range c.Parts {
 		if !p.Resident {
@@ -160,8 +159,8 @@
 	return sum
 }
 
-// resident returns how many of the prompt's first tokens lie in the replica's memory.
-func (c *Candidate) resident() int {
+// residentTokens returns the length of the prompt prefix that is cached in the replica's memory.
+func (c *Candidate) residentTokens() int {
 	n := 0
 	for _, p := range c.Parts {
 		if !p.Resident {
@@ -172,11 +171,11 @@
 	return n
 }
 
-func (k Costs) of(r Request, c *Candidate) time.Duration {
+func (k Costs) totalCost(r Request, c *Candidate) time.Duration {
 	cost := time.Duration(c.QueuedPrefill+r.TailTokens) * k.PrefillPerToken
-	cost += k.bring(c.Parts)
+	cost += k.partsCost(c.Parts)
 	cost += time.Duration(c.Running) * k.PerRunningRequest
-	cost += k.shortage(r, c)
+	cost += k.shortageCost(r, c)
 	cost += time.Duration(c.ErrorRate * float64(k.ErrorRate))
 	if !c.SameDomain {
 		cost += k.CrossDomain
@@ -184,25 +183,25 @@
 	switch {
 	case r.LongOutput && !c.ReservedForLongOutput:
 		cost += k.LongOutputOnUnreserved
-	case !r.LongOutput && c.ReservedForLongOutput && k.TokensToCompute(r, c.Parts) > heavyPrompt:
+	case !r.LongOutput && c.ReservedForLongOutput && k.TokensToCompute(r, c.Parts) > heavyPromptTokens:
 		cost += k.HeavyPromptOnReserved
 	}
 	cost += time.Duration(c.WeightStaleness * float64(k.StaleWeights))
 	return cost
 }
 
-// Source says how a replica comes by a part of a prompt.
+// Source is the way in which a replica obtains a prompt part.
 type Source int
 
-// The sources of parts.
+// The sources of prompt parts.
 const (
-	Computed Source = iota // prefill
-	Resident               // it lies in the replica's memory
-	Fetched                // it comes over a link
+	Computed Source = iota // computed by prefill
+	Resident               // cached in the replica's memory
+	Fetched                // fetched over a link
 )
 
-// Sources returns how a replica would best come by each part. A part counts as there only
-// if all before it are there, or come: after a gap all is computed.
+// Sources returns the cheapest source of each part. A part can be reused only if all parts before
+// it are resident or fetched; after a gap every part is computed.
 func (k Costs) Sources(parts []Part) []Source {
 	out := make([]Source, len(parts))
 	for i, p := range parts {
@@ -218,12 +217,11 @@
 	return out
 }
 
-// WorthFetching reports whether a part can be had from elsewhere at less than what it costs to
-// compute it.
-func (k Costs) WorthFetching(p Part) bool { return p.FetchTime > 0 && p.FetchTime < k.compute(p) }
+// WorthFetching reports whether fetching a part is possible and cheaper than computing it.
+func (k Costs) WorthFetching(p Part) bool { return p.FetchTime > 0 && p.FetchTime < k.computeCost(p) }
 
-// compute returns the cost of computing a part.
-func (k Costs) compute(p Part) time.Duration {
+// computeCost returns the cost of computing a part.
+func (k Costs) computeCost(p Part) time.Duration {
 	cost := time.Duration(p.Tokens) * k.PrefillPerToken
 	if p.ComputedBefore {
 		cost += time.Duration(p.Tokens) * k.RecomputePenalty
@@ -231,19 +229,19 @@
 	return cost
 }
 
-// ExpectedWait returns how long a request would wait before the replica begins with it: for the
-// prompts before it, and for memory and a place.
+// ExpectedWait returns the time that a request would wait at the replica before its prefill begins:
+// for queued prompts, memory and a batch slot.
 func (k Costs) ExpectedWait(r Request, c *Candidate) time.Duration {
-	return time.Duration(c.QueuedPrefill)*k.PrefillPerToken + k.shortage(r, c)
+	return time.Duration(c.QueuedPrefill)*k.PrefillPerToken + k.shortageCost(r, c)
 }
 
-// bring returns what it costs to have all parts in the replica's memory.
-func (k Costs) bring(parts []Part) time.Duration {
+// partsCost returns the cost of bringing all parts into the replica's memory.
+func (k Costs) partsCost(parts []Part) time.Duration {
 	var cost time.Duration
 	for i, source := range k.Sources(parts) {
 		switch source {
 		case Computed:
-			cost += k.compute(parts[i])
+			cost += k.computeCost(parts[i])
 		case Fetched:
 			cost += parts[i].FetchTime + time.Duration(k.LinkWeight*float64(parts[i].LinkTime))
 		}
@@ -251,7 +249,7 @@
 	return cost
 }
 
-// TokensToCompute returns the tokens of a prompt that a replica would have to compute.
+// TokensToCompute returns the number of prompt tokens that a replica would have to compute.
 func (k Costs) TokensToCompute(r Request, parts []Part) int {
 	tokens := r.TailTokens
 	for i, source := range k.Sources(parts) {
@@ -262,8 +260,8 @@
 	return tokens
 }
 
-// shortage returns the price of what does not fit: memory, and places in the batch.
-func (k Costs) shortage(r Request, c *Candidate) time.Duration {
+// shortageCost returns the cost of missing memory and missing batch slots.
+func (k Costs) shortageCost(r Request, c *Candidate) time.Duration {
 	var cost time.Duration
 	if over := c.KVUsed + r.KVTokens - c.KVCapacity; c.KVCapacity > 0 && over > 0 {
 		cost += time.Duration(float64(k.Shortage) * float64(over) / float64(c.KVCapacity))
--- a/internal/policy/pick/pick_test.go
+++ b/internal/policy/pick/pick_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// shared and session are the parts of a returning prompt: what all sessions of a kind
-// begin with, and the session's own context.
-func parts(sharedThere, sessionThere bool, fetch time.Duration) []Part {
+// promptParts returns the parts of a returning prompt: the prefix that all sessions of a kind share,
+// the context of the session, and the new input.
+func promptParts(sharedThere, sessionThere bool, fetch time.Duration) []Part {
 	return []Part{
 		{Tokens: 2500, Resident: sharedThere, FetchTime: fetch, ComputedBefore: true},
 		{Tokens: 5000, Resident: sessionThere, FetchTime: fetch, ComputedBefore: true},
@@ -19,30 +19,30 @@
 
 var prompt = Request{KVTokens: 9300}
 
-// The load: sessions of 5,000 tokens return every 14 s to replicas that hold four each.
-// The replica that has the context wins, unless it has too much to do.
-func TestReplicaWithTheContextWins(t *testing.T) {
+// Sessions of 5,000 tokens return every 14 s to replicas that hold four contexts each. The replica
+// with the context must be chosen unless it is overloaded.
+func TestBestPrefersReplicaWithContext(t *testing.T) {
 	const fetch = 30 * time.Millisecond
-	with := Candidate{Slots: 48, KVCapacity: 50_000, SameDomain: true, Parts: parts(true, true, fetch)}
-	without := Candidate{Slots: 48, KVCapacity: 50_000, SameDomain: true, Parts: parts(true, false, fetch)}
+	with := Candidate{Slots: 48, KVCapacity: 50_000, SameDomain: true, Parts: promptParts(true, true, fetch)}
+	without := Candidate{Slots: 48, KVCapacity: 50_000, SameDomain: true, Parts: promptParts(true, false, fetch)}
 	if n := Best(DefaultCosts, prompt, []Candidate{without, with}); n != 1 {
-		t.Error("the context is fetched although a free replica has it")
+		t.Error("the context is fetched although an idle replica holds it")
 	}
 	busy := with
 	busy.QueuedPrefill = 20_000 // 400 ms
 	if n := Best(DefaultCosts, prompt, []Candidate{without, busy}); n != 0 {
-		t.Error("the prompt waits for a busy replica")
+		t.Error("the prompt is queued at a busy replica")
 	}
 	full := with
 	full.KVUsed = 48_000
 	if n := Best(DefaultCosts, prompt, []Candidate{without, full}); n != 0 {
-		t.Error("the prompt waits for memory")
+		t.Error("the prompt is queued at a replica without free memory")
 	}
 }
 
-// A part after one that must be computed can't be used, wherever it lies.
-func TestNothingIsUsedAfterAGap(t *testing.T) {
-	p := parts(false, true, 0)
+// A part after a computed part can't be reused, wherever it is cached.
+func TestSourcesRecomputeAfterGap(t *testing.T) {
+	p := promptParts(false, true, 0)
 	if got := DefaultCosts.Sources(p); !slices.Equal(got, []Source{Computed, Computed, Computed}) {
 		t.Errorf("got %v", got)
 	}
@@ -52,9 +52,9 @@
 	}
 }
 
-// A link with a queue brings a part later than the replica computes it.
-func TestPartIsComputedWhenTheLinkIsSlower(t *testing.T) {
-	p := parts(true, false, time.Second)
+// A fetch over a congested link takes longer than computing the part.
+func TestSourcesComputePartWhenFetchIsSlower(t *testing.T) {
+	p := promptParts(true, false, time.Second)
 	if got := DefaultCosts.Sources(p); got[1] != Computed {
 		t.Errorf("got %v", got)
 	}
@@ -63,102 +63,99 @@
 	}
 }
 
-// Where replicas differ in nothing else, one that fails half of its requests gets none,
-// and one in the same failure domain is preferred.
-func TestFailingAndFarReplicasComeLast(t *testing.T) {
+// Among otherwise equal replicas, one in the same failure domain is preferred, and one that fails
+// half of its requests is avoided.
+func TestBestAvoidsFailingAndDistantReplicas(t *testing.T) {
 	good := Candidate{Slots: 6}
 	failing, near := good, good
 	failing.ErrorRate = 0.5
 	near.SameDomain = true
 	if n := Best(DefaultCosts, Request{}, []Candidate{failing, good, near}); n != 2 {
-		t.Errorf("chose %d", n)
+		t.Errorf("got candidate %d", n)
 	}
 	if n := Best(DefaultCosts, Request{}, []Candidate{failing, good}); n != 1 {
-		t.Errorf("chose %d", n)
+		t.Errorf("got candidate %d", n)
 	}
 	if n := Best(DefaultCosts, Request{}, nil); n != -1 {
-		t.Errorf("chose %d of none", n)
+		t.Errorf("got candidate %d of an empty list", n)
 	}
 }
 
-// The load: 49 prompts of 9,200 tokens a second before replicas with empty caches. What
-// waits holds memory and makes all others wait, so that a wait must show before a request
-// is sent.
-func TestWaitShowsWhatIsBefore(t *testing.T) {
+// 49 prompts of 9,200 tokens per second arrive at replicas with empty caches. A queued prompt holds
+// memory and delays all other requests on the replica, so the wait must be known before sending.
+func TestExpectedWaitCoversQueueAndMemory(t *testing.T) {
 	idle := Candidate{Slots: 48, KVCapacity: 50_000}
 	if w := DefaultCosts.ExpectedWait(prompt, &idle); w != 0 {
-		t.Errorf("waits %s at an idle replica", w)
+		t.Errorf("expected wait %s at an idle replica", w)
 	}
 	behind := Candidate{Slots: 48, KVCapacity: 50_000, QueuedPrefill: 25_000}
 	if w := DefaultCosts.ExpectedWait(prompt, &behind); w < 400*time.Millisecond {
-		t.Errorf("waits %s behind 25,000 tokens", w)
+		t.Errorf("expected wait %s behind 25,000 queued tokens", w)
 	}
 	full := Candidate{Slots: 48, KVCapacity: 50_000, KVUsed: 50_000}
 	if w := DefaultCosts.ExpectedWait(prompt, &full); w < 500*time.Millisecond {
-		t.Errorf("waits %s for memory", w)
+		t.Errorf("expected wait %s at a replica without free memory", w)
 	}
 }
 
-// The load: 72 answers of 290 tokens a second beside 43 prompts of 9,200, on replicas that
-// compute a prompt in pieces with one token of each stream between two. Mixed, a stream
-// pauses for as long as its replica has prompts to compute. Apart, long answers take about
-// a third of 18 replicas.
-func TestLongAnswersAreSetApart(t *testing.T) {
+// 72 outputs of 290 tokens and 43 prompts of 9,200 tokens start per second, on replicas that compute
+// prompts in chunks with one token of each stream between two chunks. On a shared replica, a stream
+// pauses while prompts are computed. Long outputs need about a third of 18 replicas.
+func TestLongOutputsGetReservedReplicas(t *testing.T) {
 	const memory = 50_000
 	if n := LongOutputReplicas(18, 135*1100, memory); n < 5 || n > 8 {
-		t.Errorf("%d of 18 replicas", n)
+		t.Errorf("%d of 18 replicas reserved", n)
 	}
 	if n := LongOutputReplicas(18, 0, memory); n > 4 {
-		t.Errorf("%d of 18 replicas for no long answers", n)
+		t.Errorf("%d of 18 replicas reserved without long outputs", n)
 	}
 	if n := LongOutputReplicas(18, 10_000_000, memory); n > 12 {
-		t.Errorf("%d of 18 replicas, which leaves too few for prompts", n)
+		t.Errorf("%d of 18 replicas reserved: too few remain for prompts", n)
 	}
 	if n := LongOutputReplicas(3, 0, 0); n != 0 {
-		t.Errorf("%d replicas of unknown memory", n)
+		t.Errorf("%d replicas reserved with unknown memory", n)
 	}
 	apart := Candidate{Slots: 48, KVCapacity: memory, ReservedForLongOutput: true}
 	other := Candidate{Slots: 48, KVCapacity: memory}
 	heavy, long := Request{KVTokens: 9000, TailTokens: 7000}, Request{KVTokens: 1100, TailTokens: 800, LongOutput: true}
 	if Best(DefaultCosts, heavy, []Candidate{apart, other}) != 1 || Best(DefaultCosts, long, []Candidate{other, apart}) != 1 {
-		t.Error("heavy prompts and long answers are mixed")
+		t.Error("heavy prompts and long outputs share replicas")
 	}
 	light := Request{KVTokens: 900, TailTokens: 800}
 	apart.SameDomain = true
 	if Best(DefaultCosts, light, []Candidate{other, apart}) != 1 {
-		t.Error("a light prompt is kept from a near replica")
+		t.Error("a light prompt avoids a reserved replica in its own failure domain")
 	}
 	full := apart
 	full.KVUsed = memory
 	if Best(DefaultCosts, long, []Candidate{other, full}) != 0 {
-		t.Error("a long answer waits for its own replicas while others are free")
+		t.Error("a long output waits for a reserved replica while others are free")
 	}
 }
 
-// The load: nine daemons place a hundred prompts a second on 17 replicas, and know of each
-// other's 60 ms late. Prompts have 2,500 to 10,500 tokens, of which a replica computes 50 in a
-// ms, and streams run beside them, so that one replica looks best to all. Were each daemon to
-// take that one, the last of some would wait for all others.
-func TestDaemonsDoNotCrowdOneReplica(t *testing.T) {
-	whole, sampled := crowd(Best), crowd(BestSampled)
-	t.Logf("wait before the first words, 95th percentile: best of all %s, of a sample %s", whole, sampled)
-	if sampled > 3*whole/4 {
-		t.Errorf("best of all %s, of a sample %s", whole, sampled)
+// Nine daemons place 100 prompts per second on 17 replicas and learn of each other's requests with a
+// delay of 60 ms. Prompts have 2,500 to 10,500 tokens at 50 tokens per ms, and the streams beside
+// them make one replica the cheapest for all daemons. If each daemon chose the cheapest replica, the
+// prompts would queue up there.
+func TestBestSampledAvoidsHerding(t *testing.T) {
+	best, sampled := simulateDelayedReports(Best), simulateDelayedReports(BestSampled)
+	t.Logf("queueing delay, 95th percentile: Best %s, BestSampled %s", best, sampled)
+	if sampled > 3*best/4 {
+		t.Errorf("queueing delay, 95th percentile: Best %s, BestSampled %s", best, sampled)
 	}
 }
 
-// crowd plays the load and returns the 95th percentile of how long prompts wait for those
-// before them.
-func crowd(choose func(Costs, Request, []Candidate) int) time.Duration {
+// simulateDelayedReports simulates this load and returns the 95th percentile of the queueing delay.
+func simulateDelayedReports(choose func(Costs, Request, []Candidate) int) time.Duration {
 	const (
 		daemons, replicas = 9, 17
-		every             = 10 * time.Millisecond // between two prompts of all daemons
-		late              = 60 * time.Millisecond
+		interval          = 10 * time.Millisecond // between two prompts, over all daemons
+		reportDelay       = 60 * time.Millisecond
 		perToken          = time.Millisecond / 50
-		leastTokens       = 2500
-		moreTokens        = 8000
+		minTokens         = 2500
+		extraTokens       = 8000
 		prompts           = 10_000
-		remembered        = 500
+		maxHistory        = 500
 	)
 	random := rand.New(rand.NewPCG(1, 2))
 	type sent struct {
@@ -166,53 +163,53 @@
 		daemon, replica int
 		tokens          int
 	}
-	var all []sent
-	free := make([]time.Duration, replicas) // when each has computed all it was given
+	var history []sent
+	free := make([]time.Duration, replicas) // when each replica has computed all its prompts
 	var waits []time.Duration
 	for n := range prompts {
-		now, daemon := time.Duration(n)*every, random.IntN(daemons)
-		known := make([]int, replicas)
-		for _, s := range all {
-			if s.done > now && (s.daemon == daemon || now-s.at >= late) {
-				known[s.replica] += s.tokens
+		now, daemon := time.Duration(n)*interval, random.IntN(daemons)
+		knownPrefill := make([]int, replicas)
+		for _, s := range history {
+			if s.done > now && (s.daemon == daemon || now-s.at >= reportDelay) {
+				knownPrefill[s.replica] += s.tokens
 			}
 		}
 		order := random.Perm(replicas)
 		candidates := make([]Candidate, replicas)
 		for i, r := range order {
-			streams := (r + n/50) % 10 // they come and go, and all daemons know of them
-			candidates[i] = Candidate{Slots: 12, Running: streams, QueuedPrefill: known[r], SameDomain: true}
+			streams := (r + n/50) % 10 // changes over time and is known to all daemons
+			candidates[i] = Candidate{Slots: 12, Running: streams, QueuedPrefill: knownPrefill[r], SameDomain: true}
 		}
-		r := order[choose(DefaultCosts, Request{TailTokens: leastTokens}, candidates)]
-		tokens := leastTokens + random.IntN(moreTokens)
+		r := order[choose(DefaultCosts, Request{TailTokens: minTokens}, candidates)]
+		tokens := minTokens + random.IntN(extraTokens)
 		waits = append(waits, max(0, free[r]-now))
 		free[r] = max(free[r], now) + time.Duration(tokens)*perToken
-		all = append(all, sent{at: now, done: free[r], daemon: daemon, replica: r, tokens: tokens})
-		if len(all) > remembered {
-			all = all[len(all)-remembered:]
+		history = append(history, sent{at: now, done: free[r], daemon: daemon, replica: r, tokens: tokens})
+		if len(history) > maxHistory {
+			history = history[len(history)-maxHistory:]
 		}
 	}
 	slices.Sort(waits)
 	return waits[len(waits)*95/100]
 }
 
-// The load: a session returns to 18 replicas, one of which holds its context. It is found
-// although it is not among those drawn.
-func TestReplicaWithTheContextIsAlwaysLookedAt(t *testing.T) {
+// A session returns to 18 replicas, one of which holds its context. This replica must be in the
+// sample even if it is not among the first candidates.
+func TestBestSampledIncludesReplicaWithContext(t *testing.T) {
 	candidates := make([]Candidate, 18)
 	for i := range candidates {
-		candidates[i] = Candidate{Slots: 48, KVCapacity: 50_000, SameDomain: true, Parts: parts(true, i == 17, 30*time.Millisecond)}
+		candidates[i] = Candidate{Slots: 48, KVCapacity: 50_000, SameDomain: true, Parts: promptParts(true, i == 17, 30*time.Millisecond)}
 	}
 	if n := BestSampled(DefaultCosts, prompt, candidates); n != 17 {
-		t.Errorf("placed on %d", n)
+		t.Errorf("got candidate %d", n)
 	}
 }
 
-// The load: contexts of 8,600 tokens that return after 8 s to replicas with 118,000 tokens of
-// memory, which have dropped most of them, before stores whose links are busy in bursts. A
-// replica computes such a context in 170 ms, in which all that run beside it are slower. It
-// is fetched although that takes longer than computing it, up to some hundred ms more.
-func TestContextIsFetchedThoughComputingIsSooner(t *testing.T) {
+// Contexts of 8,600 tokens return after 8 s to replicas with 118,000 tokens of memory, which have
+// evicted most contexts; the links of the stores are busy in bursts. Computing such a context takes
+// 170 ms and slows all other requests on the replica. The context must be fetched even if that takes
+// up to some hundred ms longer than computing it.
+func TestSourcesFetchContextDespiteFasterCompute(t *testing.T) {
 	context := func(fetch time.Duration) []Part {
 		return []Part{{Tokens: 500, Resident: true}, {Tokens: 8600, FetchTime: fetch, ComputedBefore: true}, {Tokens: 2900}}
 	}
@@ -220,15 +217,15 @@
 		t.Errorf("got %v", got)
 	}
 	if got := DefaultCosts.Sources(context(1500 * time.Millisecond)); got[1] != Computed {
-		t.Errorf("waits 1.5 s for what takes 0.17 s: %v", got)
+		t.Errorf("a fetch of 1.5 s is chosen over a prefill of 0.17 s: %v", got)
 	}
 }
 
-// The load: contexts in stores of one failure domain, whose links are nine tenths full, before
-// replicas in five. A fetch to another domain takes the link for twice as long. The prompt goes
-// to a replica near the store, also where none is among those drawn, until that one has more to
-// do than what it spares those behind it.
-func TestReplicaNearTheStoreIsTaken(t *testing.T) {
+// Contexts are stored in one failure domain whose links are 90% full, and replicas run in five
+// domains. A fetch to another domain occupies the link for twice as long. The prompt must go to the
+// replica near the store, even if that is not among the first candidates, until the queue there
+// outweighs the link time saved for other fetches.
+func TestBestSampledPrefersReplicaNearStore(t *testing.T) {
 	const near, transfer = 17, 30 * time.Millisecond
 	candidates := make([]Candidate, 18)
 	for i := range candidates {
@@ -241,10 +238,10 @@
 		}}
 	}
 	if n := BestSampled(DefaultCosts, prompt, candidates); n != near {
-		t.Errorf("placed on %d", n)
+		t.Errorf("got candidate %d", n)
 	}
 	candidates[near].QueuedPrefill = 10_000
 	if n := BestSampled(DefaultCosts, prompt, candidates); n == near {
-		t.Error("waits 200 ms to spare the link 30")
+		t.Error("a queue of 200 ms is accepted to save 30 ms of link time")
 	}
 }
