--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -1,11 +1,11 @@
-// Package retry decides what follows a failed try of a request: a retry elsewhere, a
-// resume of its stream, or its final answer.
+// Package retry decides what follows a failed attempt of a request: a retry on another target, a
+// resume of its stream, or the final answer.
 //
-// Retries are bounded twice: each request by a count, and each set of targets by a
-// share of its first tries, so that a fault of many targets does not double the load
-// on the rest. A retry is made only where the request did not run or may run twice.
-// Resuming a stream is not a retry, since the target does no work twice, and has a
-// bound of its own.
+// Retries are bounded in two ways. The number of retries of a request is limited, and the retries of
+// a set of targets are limited to a share of its first attempts, so that a failure of many targets
+// does not double the load on the others. A request is retried only if it did not run or may run
+// twice. A resumed stream is not a retry, since the target does no work twice; the number of resumes
+// has its own limit.
 //
 // The package is pure: it holds no clock, I/O or goroutine; randomness is passed in.
 package retry
@@ -32,13 +32,14 @@
 
 // Params bounds retries. Zero values take the defaults above.
 type Params struct {
-	MaxRetries int     // of one request
-	MaxResumes int     // of one request's streams, over all targets
-	Share      float64 // retries for each first try of the target set
-	Burst      float64 // retries at once above that
-	PerSecond  float64 // retries a second that are always allowed, for sets with few calls
-	// SavedShare is how much of Share may be saved up over Window, on top of Burst: a replica that dies
-	// takes all its streams with it, and few requests fail in between. Zero: nothing.
+	MaxRetries int     // per request
+	MaxResumes int     // per request, over all targets
+	Share      float64 // retries per first attempt of the target set
+	Burst      float64 // retries at once, in addition to Share
+	PerSecond  float64 // retries per second that are always allowed, for sets with little traffic
+	// SavedShare is the part of Share that may accumulate over Window, in addition to Burst. When a
+	// replica dies, all its streams fail at once, while few requests fail between such deaths. Zero:
+	// nothing accumulates.
 	SavedShare float64
 	Window     time.Duration
 	BaseDelay  time.Duration
@@ -61,44 +62,44 @@
 	}
 }
 
-// Budget is the retry budget of one set of targets, for example the replicas of a
-// model. It is not safe for concurrent use.
+// Budget is the retry budget of a set of targets, for example the replicas of a model. It is not
+// safe for concurrent use.
 type Budget struct {
-	params Params
-	tokens float64
-	at     time.Time
-	recent float64 // first tries within a window, the older ones counted less
+	params         Params
+	tokens         float64
+	refilledAt     time.Time
+	recentAttempts float64 // first attempts within Window, with exponentially decaying weight
 }
 
 // NewBudget returns a full budget.
 func NewBudget(now time.Time, p Params) *Budget {
 	p.setDefaults()
-	return &Budget{params: p, tokens: p.Burst, at: now}
+	return &Budget{params: p, tokens: p.Burst, refilledAt: now}
 }
 
-// OnFirstAttempt earns the set its share of a retry.
+// OnFirstAttempt adds a first attempt's share of a retry to the budget.
 func (b *Budget) OnFirstAttempt(now time.Time) {
-	b.fill(now)
-	b.recent++
-	b.tokens = min(b.most(), b.tokens+b.params.Share)
+	b.refill(now)
+	b.recentAttempts++
+	b.tokens = min(b.capacity(), b.tokens+b.params.Share)
 }
 
-// most returns how many retries may be left at most.
-func (b *Budget) most() float64 { return b.params.Burst + b.params.SavedShare*b.recent }
+// capacity returns the maximum number of retries in the budget.
+func (b *Budget) capacity() float64 { return b.params.Burst + b.params.SavedShare*b.recentAttempts }
 
-// Remaining returns how many retries are left now.
+// Remaining returns the number of retries that are left now.
 func (b *Budget) Remaining(now time.Time) float64 {
-	b.fill(now)
+	b.refill(now)
 	return b.tokens
 }
 
-func (b *Budget) fill(now time.Time) {
-	if elapsed := now.Sub(b.at); elapsed > 0 {
+func (b *Budget) refill(now time.Time) {
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
 		if b.params.Window > 0 {
-			b.recent *= math.Exp(-elapsed.Seconds() / b.params.Window.Seconds())
+			b.recentAttempts *= math.Exp(-elapsed.Seconds() / b.params.Window.Seconds())
 		}
-		b.tokens = min(b.most(), b.tokens+elapsed.Seconds()*b.params.PerSecond)
-		b.at = now
+		b.tokens = min(b.capacity(), b.tokens+elapsed.Seconds()*b.params.PerSecond)
+		b.refilledAt = now
 	}
 }
 
@@ -110,64 +111,64 @@
 	return true
 }
 
-// TryTake takes one retry from the budget if there is one. It is for callers whose
-// failures say by themselves that the request may go elsewhere.
+// TryTake takes one retry from the budget if there is one. It is for callers whose failures imply
+// that the request may run on another target.
 func (b *Budget) TryTake(now time.Time) bool {
-	b.fill(now)
+	b.refill(now)
 	return b.take()
 }
 
-// untilOne returns when the budget allows a retry at the latest.
-func (b *Budget) untilOne() time.Duration {
+// timeToNextRetry returns the longest time until the budget allows a retry.
+func (b *Budget) timeToNextRetry() time.Duration {
 	missing := max(0, 1-b.tokens)
 	return time.Duration(missing / b.params.PerSecond * float64(time.Second))
 }
 
-// Request is what is known of a request between its tries.
+// Request is the state of a request between its attempts.
 type Request struct {
-	// Repeatable is set if running twice does no harm: prompts, and calls of plain
+	// Repeatable is set if the request may run twice without harm: prompts, and calls of plain
 	// services whose table row says so.
 	Repeatable bool
-	// Deadline is when the answer must begin. Zero: none.
+	// Deadline is the time by which the answer must begin. Zero: none.
 	Deadline time.Time
-	// Started is set once bytes of an answer went to the caller. Another target's
-	// answer would not continue them.
+	// Started is set once the caller has received bytes of an answer. The answer of another target
+	// would not continue them.
 	Started bool
 	Retries int // so far; counted by the caller of Decide
 	Resumes int // so far; counted by the caller of Decide
 }
 
-// Failure is the outcome of a try.
+// Failure describes a failed attempt.
 type Failure struct {
-	// Err is what the caller would get; its Ran says whether the target ran the
+	// Err is the error for the caller if there is no retry; its Ran says whether the target ran the
 	// request.
 	Err *request.Error
-	// Resumable is set if the target is thought to hold the stream still: it was cut
-	// or silent, and the target lives.
+	// Resumable is set if the target presumably still holds the stream: the connection was closed or
+	// silent, and the target is alive.
 	Resumable bool
 }
 
-// Decision answers Decide: RetryElsewhere, ResumeStream or GiveUp.
+// Decision is the result of Decide: RetryElsewhere, ResumeStream or GiveUp.
 type Decision interface{ isDecision() }
 
-// RetryElsewhere places the request again, without the target that failed.
+// RetryElsewhere places the request again on another target than the failed one.
 type RetryElsewhere struct{ Delay time.Duration }
 
-// ResumeStream asks the same target for the rest of the stream.
+// ResumeStream requests the rest of the stream from the same target.
 type ResumeStream struct{ Delay time.Duration }
 
-// GiveUp is the final answer, to be given at once.
+// GiveUp returns the final error to the caller at once.
 type GiveUp struct{ Err *request.Error }
 
 func (RetryElsewhere) isDecision() {}
 func (ResumeStream) isDecision()   {}
 func (GiveUp) isDecision()         {}
 
-// Decide says what follows a failure. It takes from the budget when it retries.
+// Decide returns what follows a failure. It takes from the budget when it returns RetryElsewhere.
 func (b *Budget) Decide(now time.Time, rng *rand.Rand, r Request, f Failure) Decision {
-	b.fill(now)
+	b.refill(now)
 	if f.Resumable && r.Resumes < b.params.MaxResumes {
-		if delay := b.delay(rng, r.Resumes); inTime(now, delay, r) {
+		if delay := b.delay(rng, r.Resumes); beforeDeadline(now, delay, r) {
 			return ResumeStream{Delay: delay}
 		}
 	}
@@ -175,24 +176,24 @@
 		return GiveUp{Err: f.Err}
 	}
 	delay := b.delay(rng, r.Retries)
-	if !inTime(now, delay, r) {
-		return GiveUp{Err: late(f.Err)}
+	if !beforeDeadline(now, delay, r) {
+		return GiveUp{Err: deadlineExceeded(f.Err)}
 	}
 	if !b.take() {
-		return GiveUp{Err: withRetryAfter(f.Err, b.untilOne())}
+		return GiveUp{Err: withRetryAfter(f.Err, b.timeToNextRetry())}
 	}
 	return RetryElsewhere{Delay: delay}
 }
 
-// delay grows with the number of tries. The jitter, of half of it, keeps requests that
-// failed together from coming back together.
-func (b *Budget) delay(rng *rand.Rand, tries int) time.Duration {
-	d := b.params.BaseDelay << min(tries, 16)
+// delay grows exponentially with the number of attempts. The jitter of half of it prevents requests that
+// failed together from being retried together.
+func (b *Budget) delay(rng *rand.Rand, attempts int) time.Duration {
+	d := b.params.BaseDelay << min(attempts, 16)
 	d = min(d, b.params.MaxDelay)
 	return d/2 + time.Duration(rng.Int64N(int64(d/2)+1))
 }
 
-// mayRetry reports whether another try may help and does no harm.
+// mayRetry reports whether another attempt is safe and may succeed.
 func mayRetry(r Request, err *request.Error) bool {
 	if err.Ran != request.NotRun && !r.Repeatable {
 		return false
@@ -206,16 +207,16 @@
 	}
 }
 
-func inTime(now time.Time, delay time.Duration, r Request) bool {
+func beforeDeadline(now time.Time, delay time.Duration, r Request) bool {
 	return r.Deadline.IsZero() || now.Add(delay).Before(r.Deadline)
 }
 
-// late turns a failure that nothing can follow in time into a missed deadline.
-func late(err *request.Error) *request.Error {
+// deadlineExceeded converts a failure into a missed deadline, since no retry can begin in time.
+func deadlineExceeded(err *request.Error) *request.Error {
 	out := *err
 	out.Code = request.CodeDeadline
 	out.Status = http.StatusGatewayTimeout
-	out.Message = "no time is left for another try: " + err.Message
+	out.Message = "deadline too close for another attempt: " + err.Message
 	return &out
 }
 
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -15,7 +15,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-func TestTable(t *testing.T) {
+func TestDecide(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var b *Budget
 		rng := rand.New(rand.NewPCG(1, 1))
@@ -66,10 +66,10 @@
 	return "nothing\n"
 }
 
-// Retries of a set never exceed its share of the first tries, the burst and the rate;
-// one request's never exceed its count; nothing that may have run and may not run
-// twice, or whose answer has begun, is tried again.
-func TestBudget(t *testing.T) {
+// The retries of a target set never exceed its share of the first attempts, the burst and the rate,
+// and the retries of a request never exceed its limit. A request is not retried if its answer has
+// begun, or if it may have run and must not run twice.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := Params{
 			MaxRetries: rapid.IntRange(1, 4).Draw(rt, "max"),
@@ -98,7 +98,7 @@
 					break
 				}
 				if r.Started || (ran != request.NotRun && !r.Repeatable) || f.Err.Code == request.CodeBadRequest {
-					rt.Fatalf("retried %+v after %v", r, f.Err)
+					rt.Fatalf("request %+v retried after %v", r, f.Err)
 				}
 				r.Retries++
 				retries++
@@ -114,19 +114,18 @@
 	})
 }
 
-// All targets of a model fail for a while, and the calls of it arrive at three times
-// the usual rate at what is left, so that it fails too. Cause: each call is tried three
-// times. The naive twin retries by count alone.
+// All targets of a model fail for some time. If each call is attempted three times, the remaining
+// targets receive three times the usual load and fail too. The naive variant retries by count alone.
 func TestOutageDoesNotMultiplyLoad(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	b := NewBudget(epoch, Params{})
 	const calls = 1000
-	naive, ours := 0, 0
+	naive, bounded := 0, 0
 	for i := range calls {
 		now := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
 		b.OnFirstAttempt(now)
 		naive += 1 + DefaultMaxRetries
-		ours++
+		bounded++
 		r := Request{Repeatable: true}
 		f := Failure{Err: request.Refuse(request.CodeTargetFailed, 502, 0, "connection refused")}
 		for {
@@ -134,21 +133,21 @@
 				break
 			}
 			r.Retries++
-			ours++
+			bounded++
 		}
 	}
 	if naive < 3*calls {
-		t.Fatal("the naive twin does not multiply; the test shows nothing")
+		t.Fatal("the naive variant does not multiply the load, so the test proves nothing")
 	}
-	if ours > calls*115/100 {
-		t.Errorf("%d tries of %d calls", ours, calls)
+	if bounded > calls*115/100 {
+		t.Errorf("%d attempts for %d calls", bounded, calls)
 	}
-	t.Logf("%d calls: %d tries, naive %d", calls, ours, naive)
+	t.Logf("%d calls: %d attempts, naive variant %d", calls, bounded, naive)
 }
 
-// A replica dies with all its streams while few requests failed before: what was not used in the
-// time before may be, and still no window has more retries than its share of requests allows.
-func TestSavedRetriesKeepToTheWindow(t *testing.T) {
+// A replica dies with all its streams after a time with few failures. The saved share may be used
+// then, but no window may have more retries than its share of the requests allows.
+func TestSavedShareIsBoundedPerWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window, share, burst = 10 * time.Second, 0.084, 2.0
 		p := Params{Share: share, SavedShare: 0.056, Window: window, Burst: burst, PerSecond: 0.0001}
@@ -169,7 +168,7 @@
 				from++
 			}
 			if n, most := float64(to-from+1), 0.2*float64(rate)*window.Seconds()+burst+2; n > most {
-				t.Fatalf("%v retries in a window, %v allowed", n, most)
+				t.Fatalf("%v retries in a window, at most %v allowed", n, most)
 			}
 		}
 	})
