--- a/internal/policy/subset/subset.go
+++ b/internal/policy/subset/subset.go
@@ -1,13 +1,13 @@
-// Package subset divides daemons and replicas into groups, so that each daemon uses a few
-// replicas and shares them with a few daemons. What a daemon knows, tells and keeps open
-// then does not grow with the fleet.
+// Package subset divides daemons and replicas into groups, so that each daemon uses a few replicas and
+// shares them with a few daemons. The state, messages and connections of a daemon then do not grow
+// with the fleet.
 //
-// Both are put in an order by a hash of their names and cut into as many even parts. One
-// that comes or goes moves the cuts by one place, so that few change their group.
+// Daemons and replicas are ordered by a hash of their names and divided into equal slices. Adding or
+// removing one moves the boundaries by one position, so that few members change their group.
 //
-// Each group has its share of every failure domain. Left to chance, some groups had no
-// replica near their context stores, so that each fetch took their links for twice as long,
-// and some bore the loss of a failure domain with half of their replicas.
+// Each group has its share of every failure domain. Without this, some groups had no replica near
+// their context stores, so that each fetch occupied the stores' links for twice as long, and some
+// groups lost half of their replicas with one failure domain.
 //
 // The package is pure.
 package subset
@@ -20,15 +20,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// minDaemons is the least number of daemons in a group; there are up to twice as many. A
-// group of this size bears the loss of some, and each tells few others of its load.
+// minDaemons is the least number of daemons in a group; a group has up to twice as many. A group of
+// this size tolerates the loss of some daemons, and each daemon reports its load to few others.
 const minDaemons = 7.5
 
-// minReplicas is the least number of replicas in a group: with fewer one that fails takes
-// too much with it.
+// minReplicas is the least number of replicas in a group. In a smaller group, the failure of one
+// replica takes away too much of the capacity.
 const minReplicas = 6
 
-// GroupCount returns the number of groups. It changes only when the fleet doubles.
+// GroupCount returns the number of groups. It changes only when the fleet doubles or halves.
 func GroupCount(daemons, replicas int) int {
 	groups := 1
 	for float64(daemons) >= 2*float64(groups)*minDaemons && replicas >= 2*groups*minReplicas {
@@ -40,29 +40,29 @@
 // Member is a daemon or a replica.
 type Member struct{ Name, FailureDomain string }
 
-// placed is a member at its place in the order, from 0 to 1.
-type placed struct {
-	name string
-	hash uint64
-	at   float64
+// rankedMember is a member with its relative position in the order, from 0 to 1.
+type rankedMember struct {
+	name     string
+	hash     uint64
+	position float64
 }
 
-// order puts members in the order of their hashes within their failure domain, and merges the
-// domains so that each is spread evenly over the whole.
-func order(members []Member) []string {
-	domains := map[string][]placed{}
+// orderedNames orders the members of each failure domain by hash and interleaves the domains, so that
+// each domain is spread evenly over the whole order.
+func orderedNames(members []Member) []string {
+	domains := map[string][]rankedMember{}
 	for _, m := range members {
-		domains[m.FailureDomain] = append(domains[m.FailureDomain], placed{name: m.Name, hash: xxhash.Sum64String(m.Name)})
+		domains[m.FailureDomain] = append(domains[m.FailureDomain], rankedMember{name: m.Name, hash: xxhash.Sum64String(m.Name)})
 	}
-	merged := make([]placed, 0, len(members))
+	merged := make([]rankedMember, 0, len(members))
 	for _, domain := range domains {
 		slices.SortFunc(domain, byHash)
 		for i := range domain {
-			domain[i].at = (float64(i) + 0.5) / float64(len(domain))
+			domain[i].position = (float64(i) + 0.5) / float64(len(domain))
 		}
 		merged = append(merged, domain...)
 	}
-	slices.SortFunc(merged, func(a, b placed) int { return cmp.Or(cmp.Compare(a.at, b.at), byHash(a, b)) })
+	slices.SortFunc(merged, func(a, b rankedMember) int { return cmp.Or(cmp.Compare(a.position, b.position), byHash(a, b)) })
 	names := make([]string, len(merged))
 	for i, p := range merged {
 		names[i] = p.name
@@ -70,57 +70,57 @@
 	return names
 }
 
-func byHash(a, b placed) int {
+func byHash(a, b rankedMember) int {
 	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name))
 }
 
-// cut returns one of some even parts of names in their order.
-func cut(ordered []string, group, groups int) []string {
+// groupSlice returns the slice of ordered names that forms a group.
+func groupSlice(ordered []string, group, groups int) []string {
 	return ordered[group*len(ordered)/groups : (group+1)*len(ordered)/groups]
 }
 
-// GroupMembers returns the names of the members in one of some groups.
+// GroupMembers returns the names of the members of one group.
 func GroupMembers(members []Member, group, groups int) []string {
-	return cut(order(members), group, groups)
+	return groupSlice(orderedNames(members), group, groups)
 }
 
-// AllGroups returns the names of the members in each of some groups.
+// AllGroups returns the names of the members of each group.
 func AllGroups(members []Member, groups int) [][]string {
-	ordered := order(members)
+	ordered := orderedNames(members)
 	out := make([][]string, groups)
 	for group := range out {
-		out[group] = cut(ordered, group, groups)
+		out[group] = groupSlice(ordered, group, groups)
 	}
 	return out
 }
 
-// GroupOf returns the group in which a name is, 0 if it is in none.
+// GroupOf returns the group of a member, or 0 if the name is not a member.
 func GroupOf(members []Member, name string, groups int) int {
-	ordered := order(members)
+	ordered := orderedNames(members)
 	for group := range groups {
-		if slices.Contains(cut(ordered, group, groups), name) {
+		if slices.Contains(groupSlice(ordered, group, groups), name) {
 			return group
 		}
 	}
 	return 0
 }
 
-// IsSelected reports whether a name is among the first few of some names, in an order that is another
-// one for each key.
-func IsSelected(name string, names []string, key uint64, few int) bool {
-	own := rank(name, key)
-	before := 0
+// IsSelected reports whether rendezvous hashing selects a name: whether it is among the first count
+// names in an order that depends on the key.
+func IsSelected(name string, names []string, key uint64, count int) bool {
+	own := rendezvousHash(name, key)
+	lowerRanked := 0
 	for _, other := range names {
-		if other != name && cmp.Or(cmp.Compare(rank(other, key), own), cmp.Compare(other, name)) < 0 {
-			before++
+		if other != name && cmp.Or(cmp.Compare(rendezvousHash(other, key), own), cmp.Compare(other, name)) < 0 {
+			lowerRanked++
 		}
 	}
-	return before < few
+	return lowerRanked < count
 }
 
-func rank(name string, key uint64) uint64 {
+func rendezvousHash(name string, key uint64) uint64 {
 	digest := xxhash.New()
-	_, _ = digest.WriteString(name) // a digest takes everything
+	_, _ = digest.WriteString(name) // never fails
 	_, _ = digest.Write(binary.LittleEndian.AppendUint64(nil, key))
 	return digest.Sum64()
 }
--- a/internal/policy/subset/subset_test.go
+++ b/internal/policy/subset/subset_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// members returns some members, spread over the failure domains in turn.
+// members returns n members, assigned to the failure domains in turn.
 func members(prefix string, n, domains int) []Member {
 	out := make([]Member, n)
 	for i := range out {
@@ -15,9 +15,10 @@
 	return out
 }
 
-// The load: a datagram to each other daemon every 60 ms. With 71 daemons in one group that
-// were 83,000 a second; in groups each daemon talks to as few as in a small fleet.
-func TestGroupsStaySmall(t *testing.T) {
+// Each daemon sends a datagram to each other daemon of its group every 60 ms. A single group of 71
+// daemons would send 83,000 datagrams per second; in groups, each daemon has as few peers as in a
+// small fleet.
+func TestGroupCount(t *testing.T) {
 	for _, c := range []struct{ daemons, replicas, groups int }{
 		{8, 18, 1}, {12, 18, 1}, {71, 140, 8}, {87, 140, 8}, {390, 1300, 32}, {87, 6, 1}, {1, 1, 1},
 	} {
@@ -28,8 +29,8 @@
 	}
 }
 
-// Every daemon and replica is in one group, the groups are even, and the loss of one
-// changes the group of few.
+// Each member is in exactly one group, the groups have equal sizes, and the removal of a member
+// changes the group of few others.
 func TestGroupsAreEvenAndStable(t *testing.T) {
 	all := members("d", 87, 1)
 	const groups = 4
@@ -37,17 +38,17 @@
 	for g := range groups {
 		part := GroupMembers(all, g, groups)
 		if len(part) < 87/groups || len(part) > 87/groups+1 {
-			t.Errorf("group %d has %d", g, len(part))
+			t.Errorf("group %d has %d members", g, len(part))
 		}
 		for _, name := range part {
 			seen[name]++
 			if GroupOf(all, name, groups) != g {
-				t.Errorf("%s is in two groups", name)
+				t.Errorf("%s is a member of two groups", name)
 			}
 		}
 	}
 	if len(seen) != 87 {
-		t.Errorf("%d of 87 are in a group", len(seen))
+		t.Errorf("%d of 87 members are in a group", len(seen))
 	}
 	moved := 0
 	fewer := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.Name == "d40" })
@@ -57,15 +58,14 @@
 		}
 	}
 	if moved > groups {
-		t.Errorf("%d changed their group", moved)
+		t.Errorf("%d members changed their group", moved)
 	}
 }
 
-// The load: 53 replicas in five failure domains and in eight groups, whose contexts lie in
-// stores of one domain. A fetch from another domain takes the store's link twice as long. By
-// their hashes alone two of the groups had no replica near the stores, and fetched all that
-// they needed from afar.
-func TestEachGroupHasItsShareOfEachFailureDomain(t *testing.T) {
+// 53 replicas in five failure domains form eight groups, with contexts in stores of one domain. A
+// fetch from another domain occupies the store's link for twice as long. When the groups were formed
+// by hash alone, two of them had no replica near the stores and fetched all contexts across domains.
+func TestGroupsSpanAllFailureDomains(t *testing.T) {
 	const replicas, domains = 53, 5
 	groups := GroupCount(95, replicas)
 	all := members("i-", replicas, domains)
@@ -80,19 +80,19 @@
 		}
 		for d := range domains {
 			if n := count[fmt.Sprint("fd", d)]; n < 1 || n > 2 {
-				t.Errorf("group %d has %d replicas of domain %d", g, n, d)
+				t.Errorf("group %d has %d replicas of failure domain %d", g, n, d)
 			}
 		}
 	}
 }
 
-// A daemon of one failure domain goes. At each cut between two groups one of its domain may
-// change sides, and one or two of others that keep the groups even.
-func TestFewChangeTheirGroupAcrossFailureDomains(t *testing.T) {
+// A daemon of one failure domain is removed. At each boundary between two groups, one member of that
+// domain may change its group, and one or two of other domains that keep the sizes equal.
+func TestRemovalMovesFewMembersAcrossFailureDomains(t *testing.T) {
 	const groups, atEachCut = 8, 3
 	all := members("d", 95, 5)
-	for _, gone := range all {
-		fewer := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m == gone })
+	for _, removed := range all {
+		fewer := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m == removed })
 		moved := 0
 		for _, m := range fewer {
 			if GroupOf(all, m.Name, groups) != GroupOf(fewer, m.Name, groups) {
@@ -100,7 +100,7 @@
 			}
 		}
 		if moved > atEachCut*(groups-1) {
-			t.Errorf("without %s %d changed their group", gone.Name, moved)
+			t.Errorf("after removal of %s, %d members changed their group", removed.Name, moved)
 		}
 	}
 }
