--- a/internal/policy/residency/residency.go
+++ b/internal/policy/residency/residency.go
@@ -1,15 +1,15 @@
-// Package residency estimates which parts of prompts lie in a replica's memory.
+// Package residency estimates which prompt parts are cached in a replica's memory.
 //
-// A replica drops the parts used least recently when its memory is full. The estimate
-// plays that from the requests that were sent to it. It may be wrong either way: a part
-// that is gone costs a fetch or a computation, one that is there unknown costs a detour.
+// A replica evicts the least recently used parts when its memory is full. The estimate simulates this
+// from the requests that were sent to the replica. It may be wrong in both directions: a part that was
+// evicted costs a fetch or a recomputation, and a cached part that is not known costs a detour.
 //
-// The package is pure. A Model is not safe for concurrent use.
+// The package is pure. A MemoryEstimate is not safe for concurrent use.
 package residency
 
 import "container/list"
 
-// Key names a part under a cache salt.
+// Key identifies a part under a cache salt.
 type Key uint64
 
 type part struct {
@@ -17,52 +17,52 @@
 	tokens int
 }
 
-// MemoryEstimate is the estimate for one replica.
+// MemoryEstimate is the estimated content of one replica's memory.
 type MemoryEstimate struct {
-	capacity int // tokens
-	used     int
-	order    *list.List // of part, the newest first
-	byKey    map[Key]*list.Element
+	capacity   int // tokens
+	usedTokens int
+	lru        *list.List // of *part, most recently used first
+	byKey      map[Key]*list.Element
 }
 
-// New returns an empty model of a memory of some tokens.
+// New returns an empty estimate for a memory of capacity tokens.
 func New(capacity int) *MemoryEstimate {
-	return &MemoryEstimate{capacity: capacity, order: list.New(), byKey: map[Key]*list.Element{}}
+	return &MemoryEstimate{capacity: capacity, lru: list.New(), byKey: map[Key]*list.Element{}}
 }
 
-// Touch says that a part is read or made now.
+// Touch records that the replica reads or computes a part now.
 func (m *MemoryEstimate) Touch(key Key, tokens int) {
 	if e, ok := m.byKey[key]; ok {
 		p := e.Value.(*part)
-		m.used += tokens - p.tokens
+		m.usedTokens += tokens - p.tokens
 		p.tokens = tokens
-		m.order.MoveToFront(e)
+		m.lru.MoveToFront(e)
 	} else {
-		m.byKey[key] = m.order.PushFront(&part{key: key, tokens: tokens})
-		m.used += tokens
+		m.byKey[key] = m.lru.PushFront(&part{key: key, tokens: tokens})
+		m.usedTokens += tokens
 	}
-	m.trim()
+	m.evict()
 }
 
-func (m *MemoryEstimate) trim() {
-	for m.used > m.capacity && m.order.Len() > 0 {
-		last := m.order.Back()
+func (m *MemoryEstimate) evict() {
+	for m.usedTokens > m.capacity && m.lru.Len() > 0 {
+		last := m.lru.Back()
 		p := last.Value.(*part)
-		m.order.Remove(last)
+		m.lru.Remove(last)
 		delete(m.byKey, p.key)
-		m.used -= p.tokens
+		m.usedTokens -= p.tokens
 	}
 }
 
-// Contains reports whether a part is thought to be there.
+// Contains reports whether a part is presumably cached.
 func (m *MemoryEstimate) Contains(key Key) bool {
 	_, ok := m.byKey[key]
 	return ok
 }
 
-// Clear forgets all parts: the replica took other weights.
+// Clear removes all parts, for example because the replica loaded other weights.
 func (m *MemoryEstimate) Clear() {
-	m.order.Init()
+	m.lru.Init()
 	clear(m.byKey)
-	m.used = 0
+	m.usedTokens = 0
 }
--- a/internal/policy/residency/residency_test.go
+++ b/internal/policy/residency/residency_test.go
@@ -8,24 +8,24 @@
 	_ "github.com/bluebellscale/bluebellscale/internal/testseed" // the same seeds in each run
 )
 
-// A memory drops what was used longest ago.
-func TestOldestPartsYield(t *testing.T) {
+// The least recently used part is evicted first.
+func TestLeastRecentlyUsedPartIsEvicted(t *testing.T) {
 	m := New(100)
 	m.Touch(1, 40)
 	m.Touch(2, 40)
 	m.Touch(1, 40) // read again
 	m.Touch(3, 40)
 	if !m.Contains(1) || m.Contains(2) || !m.Contains(3) {
-		t.Errorf("1 %t, 2 %t, 3 %t", m.Contains(1), m.Contains(2), m.Contains(3))
+		t.Errorf("part 1 cached: %t, 2: %t, 3: %t", m.Contains(1), m.Contains(2), m.Contains(3))
 	}
-	m.Touch(4, 500) // more than there is
+	m.Touch(4, 500) // larger than the memory
 	if m.Contains(4) || m.Contains(1) {
-		t.Error("a part larger than the memory stays, or others beside it")
+		t.Error("a part larger than the memory is cached, or other parts beside it")
 	}
 }
 
-// The tokens of all parts together never exceed the memory, and are those of the parts.
-func TestMemoryIsNeverExceeded(t *testing.T) {
+// The used tokens are the sum over all parts and never exceed the capacity.
+func TestUsedTokensStayWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := New(1000)
 		for range rapid.IntRange(0, 100).Draw(rt, "steps") {
@@ -34,8 +34,8 @@
 			for _, e := range m.byKey {
 				sum += e.Value.(*part).tokens
 			}
-			if sum != m.used || sum > m.capacity || m.order.Len() != len(m.byKey) {
-				rt.Fatalf("used %d, parts %d, capacity %d", m.used, sum, m.capacity)
+			if sum != m.usedTokens || sum > m.capacity || m.lru.Len() != len(m.byKey) {
+				rt.Fatalf("%d tokens used, parts have %d, capacity is %d", m.usedTokens, sum, m.capacity)
 			}
 		}
 	})
