--- a/internal/policy/quarantine/crash_record.go
+++ b/internal/policy/quarantine/crash_record.go
@@ -10,59 +10,58 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Death names one death of one target, for example "t1@7". Two daemons that see the
-// same death give it the same name, so that it counts once.
+// Death identifies the death of a target, for example "t1@7". Two daemons that observe the same death
+// derive the same identifier, so that it counts once.
 type Death string
 
-// unknownWindow tells deaths apart where the target's incarnation is not known. A
-// death that two daemons see on either side of its end counts twice.
+// unknownWindow distinguishes deaths if the target's incarnation is unknown. A death that two daemons
+// observe on either side of a window's boundary counts twice.
 const unknownWindow = time.Minute
 
-func deathOf(now time.Time, target request.TargetID, incarnation uint64) Death {
+func newDeath(now time.Time, target request.TargetID, incarnation uint64) Death {
 	if incarnation == 0 {
 		return Death(string(target) + "@" + now.UTC().Truncate(unknownWindow).Format(time.RFC3339))
 	}
 	return Death(string(target) + "@" + strconv.FormatUint(incarnation, 10))
 }
 
-// CrashRecord says which targets died with a fingerprint in flight. It corresponds to
-// peer.Finding.
+// CrashRecord lists the targets that died with a fingerprint in flight. It corresponds to peer.Finding.
 type CrashRecord struct {
 	Fingerprint Fingerprint
-	Deaths      []Death // sorted, without repeats
+	Deaths      []Death // sorted, without duplicates
 	Expires     time.Time
-	// Proven is set once a target died with nothing else in flight. Requests of others
-	// that ran beside the cause have deaths, too, but none of these.
+	// Proven is set once a target died with no other request in flight. Requests of others that ran
+	// beside the cause have deaths as well, but no such death.
 	Proven bool
-	// Answered is set once a target ran the request to its end. It clears findings that
-	// are counted (Params.Counted).
+	// Answered is set once a target ran the request to its end. It clears records that are counted
+	// (Params.UnprovenDeaths).
 	Answered bool `json:",omitempty"`
 }
 
-// Merge takes findings of peers or of the store, and returns those that changed what
-// is known here. A merged finding has the deaths of both and the later expiry, so that
-// merging is idempotent and the order does not matter.
-func (r *Registry) Merge(now time.Time, findings []CrashRecord) []CrashRecord {
+// Merge merges records of peers or of the key-value service, and returns the local records that
+// changed. A merged record has the deaths of both and the later expiry, so that merging is idempotent
+// and independent of the order.
+func (r *Registry) Merge(now time.Time, records []CrashRecord) []CrashRecord {
 	var changed []CrashRecord
-	for _, f := range findings {
+	for _, f := range records {
 		if !f.Expires.After(now) || len(f.Deaths) == 0 {
 			continue
 		}
-		known := r.finding(now, f.Fingerprint)
+		known := r.record(now, f.Fingerprint)
 		if known == nil {
 			known = &CrashRecord{Fingerprint: f.Fingerprint}
-			r.findings[f.Fingerprint] = known
+			r.records[f.Fingerprint] = known
 		}
-		if known.absorb(f) {
+		if known.merge(f) {
 			changed = append(changed, known.clone())
 		}
 	}
-	r.trim()
+	r.evict()
 	return changed
 }
 
-// absorb adds what another finding knows and reports whether that is anything new.
-func (f *CrashRecord) absorb(other CrashRecord) bool {
+// merge adds the content of another record and reports whether anything changed.
+func (f *CrashRecord) merge(other CrashRecord) bool {
 	changed := other.Expires.After(f.Expires)
 	if changed {
 		f.Expires = other.Expires
@@ -90,22 +89,22 @@
 	return out
 }
 
-// All returns the findings that count now, by fingerprint.
+// All returns the records that have not expired, by fingerprint.
 func (r *Registry) All(now time.Time) []CrashRecord {
-	r.expire(now)
-	out := make([]CrashRecord, 0, len(r.findings))
-	for _, f := range r.findings {
+	r.removeExpired(now)
+	out := make([]CrashRecord, 0, len(r.records))
+	for _, f := range r.records {
 		out = append(out, f.clone())
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Fingerprint < out[j].Fingerprint })
 	return out
 }
 
-// Hash covers All. Two registers with the same hash have nothing to tell each other.
+// Hash covers All. Two registries with equal hashes need not exchange records.
 func (r *Registry) Hash(now time.Time) uint64 {
-	r.expire(now)
+	r.removeExpired(now)
 	var sum uint64
-	for _, f := range r.findings {
+	for _, f := range r.records {
 		h := xxhash.New()
 		write := func(s string) {
 			_, _ = h.WriteString(s) // never fails
@@ -123,40 +122,40 @@
 	return sum
 }
 
-// finding returns what is known of a fingerprint, or nil.
-func (r *Registry) finding(now time.Time, fp Fingerprint) *CrashRecord {
-	f, ok := r.findings[fp]
+// record returns the record of a fingerprint, or nil if there is none.
+func (r *Registry) record(now time.Time, fp Fingerprint) *CrashRecord {
+	f, ok := r.records[fp]
 	if !ok {
 		return nil
 	}
 	if !f.Expires.After(now) {
-		delete(r.findings, fp)
+		delete(r.records, fp)
 		return nil
 	}
 	return f
 }
 
-func (r *Registry) expire(now time.Time) {
-	for fp := range r.findings {
-		r.finding(now, fp)
+func (r *Registry) removeExpired(now time.Time) {
+	for fp := range r.records {
+		r.record(now, fp)
 	}
 }
 
-// trim keeps the register within its bound. Each finding costs a target's life, so a
-// caller can't push others out cheaply.
-func (r *Registry) trim() {
-	for len(r.findings) > r.params.MaxRecords {
+// evict keeps the registry within its bound. Each record costs the life of a target, so that a caller
+// can't cheaply evict other records.
+func (r *Registry) evict() {
+	for len(r.records) > r.params.MaxRecords {
 		var first *CrashRecord
-		for _, f := range r.findings {
+		for _, f := range r.records {
 			if first == nil || f.Expires.Before(first.Expires) || (f.Expires.Equal(first.Expires) && f.Fingerprint < first.Fingerprint) {
 				first = f
 			}
 		}
-		delete(r.findings, first.Fingerprint)
+		delete(r.records, first.Fingerprint)
 	}
 }
 
-func keys(set map[Fingerprint]bool) []Fingerprint {
+func sortedKeys(set map[Fingerprint]bool) []Fingerprint {
 	out := make([]Fingerprint, 0, len(set))
 	for fp := range set {
 		out = append(out, fp)
--- a/internal/policy/quarantine/quarantine.go
+++ b/internal/policy/quarantine/quarantine.go
@@ -1,16 +1,16 @@
-// Package quarantine keeps a request that crashes targets from crashing many.
+// Package quarantine limits the number of targets that one request can crash.
 //
-// The requests in flight at a target that died are suspects. A suspect runs alone, so
-// that a second death proves what caused it; at two deaths, one of them alone, it is
-// refused for a time. A request of another caller that ran beside the cause twice, since
-// its daemon died and the next one had not heard of the first death, is no more than a
-// suspect.
-// A request is known by its fingerprint, since its caller sends it again under a new
-// request id. What was found outlives a daemon and reaches its peers as Findings,
-// which merge in any order. docs/design/quarantine.md states the bound.
+// The requests in flight at a target that died are suspects. A suspect runs alone, so that a second
+// death proves its cause. After two deaths, at least one of them alone, the request is refused until
+// the record expires. A request of another caller may run beside the cause twice, if its daemon dies
+// and the next daemon has not received the record of the first death; it remains a suspect.
 //
-// The package is pure: it holds no clock, I/O, goroutine or randomness. A Register is
-// not safe for concurrent use.
+// A request is identified by its fingerprint, since callers send it again under a new request id. The
+// state outlives a daemon and reaches its peers as CrashRecords, which merge in any order.
+// docs/design/quarantine.md states the bound.
+//
+// The package is pure: it holds no clock, I/O, goroutine or randomness. A Registry is not safe for
+// concurrent use.
 package quarantine
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// MaxDeaths is the number of targets that may fall to one fingerprint.
+// MaxDeaths is the number of targets that one fingerprint may crash.
 const MaxDeaths = 2
 
 // Defaults of Params.
@@ -32,24 +32,24 @@
 	DefaultMaxRecords = 10_000
 )
 
-// Params bounds a register. Zero values take the defaults above.
+// Params bounds a registry. Zero values take the defaults above.
 type Params struct {
-	// Retention is how long a finding counts after its last death.
+	// Retention is how long a record is valid after its last death.
 	Retention time.Duration
-	// MaxRecords bounds the findings kept; the first to expire go first.
+	// MaxRecords bounds the stored records; those that expire first are evicted first.
 	MaxRecords int
-	// UnprovenDeaths is the number of deaths at which a request is refused although no death
-	// alone proved that it caused them. It is for targets that can't be emptied for a
-	// suspect: suspects run like any other request, and one that a target answered in
-	// full is cleared by that. Zero: suspects run alone.
+	// UnprovenDeaths is the number of deaths at which a request is refused although none of them proved
+	// the request to be the cause. It is for targets that can't be emptied for a suspect: suspects run
+	// like any other request, and a suspect that a target answered completely is cleared. Zero:
+	// suspects run alone.
 	UnprovenDeaths int
 }
 
 // Fingerprint identifies a request by its organisation and content.
 type Fingerprint string
 
-// Of returns the fingerprint of a request: the SHA-256 digest of the organisation and
-// the parts that decide what a target does, such as the path and the body.
+// Of returns the fingerprint of a request: the SHA-256 digest of the organisation and of the parts
+// that determine the target's work, such as the path and the body.
 func Of(org request.OrgID, parts ...[]byte) Fingerprint {
 	h := sha256.New()
 	write := func(part []byte) {
@@ -65,48 +65,48 @@
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)))
 }
 
-// Mode says how a request may run.
+// Mode is the way in which a request may run.
 type Mode string
 
 const (
-	// Unrestricted lets the request run anywhere.
+	// Unrestricted allows the request to run on any target.
 	Unrestricted Mode = "free"
-	// SameTarget lets it run at Verdict.Target, where the same request is in flight. Were
-	// equal requests spread over many targets, all of those could die before the
-	// first death is known.
+	// SameTarget allows it to run on Decision.Target, where the same request is in flight. If equal
+	// requests were spread over many targets, all these targets could die before the first death is
+	// known.
 	SameTarget Mode = "only"
-	// Alone lets it run at a target with nothing else in flight. Findings that were
-	// written by others have to be read and merged before.
+	// Alone allows it to run on a target with no other request in flight. The caller must have merged
+	// the records that other daemons wrote.
 	Alone Mode = "alone"
-	// Wait means that it is in flight as a suspect, and has to wait for that.
+	// Wait means that the request is in flight as a suspect, and has to wait for its end.
 	Wait Mode = "wait"
-	// Refuse means that it has brought down MaxDeaths targets.
+	// Refuse means that the request has crashed MaxDeaths targets.
 	Refuse Mode = "refuse"
 )
 
-// Decision answers Gate and Begin.
+// Decision is the result of Check and Begin.
 type Decision struct {
 	Mode   Mode
-	Target request.TargetID // with Only
-	Err    *request.Error   // with Refuse: the final answer
+	Target request.TargetID // set with SameTarget
+	Err    *request.Error   // set with Refuse: the final error
 }
 
-// flight is one request that a target holds.
-type flight struct {
+// inFlightRequest is a request that was sent to a target.
+type inFlightRequest struct {
 	fingerprint Fingerprint
 	target      request.TargetID
 	alone       bool
 }
 
-// Registry is one daemon's knowledge of suspects, and of what it has in flight.
+// Registry holds one daemon's crash records and the requests that it has in flight.
 type Registry struct {
-	params   Params
-	flights  map[request.ID]flight
-	targets  map[Fingerprint]map[request.TargetID]int // requests in flight
-	findings map[Fingerprint]*CrashRecord
+	params          Params
+	inFlight        map[request.ID]inFlightRequest
+	inFlightTargets map[Fingerprint]map[request.TargetID]int // number of requests in flight
+	records         map[Fingerprint]*CrashRecord
 }
 
-// New returns an empty register.
+// New returns an empty registry.
 func New(p Params) *Registry {
 	if p.Retention <= 0 {
 		p.Retention = DefaultRetention
@@ -115,26 +115,26 @@
 		p.MaxRecords = DefaultMaxRecords
 	}
 	return &Registry{
-		params:   p,
-		flights:  make(map[request.ID]flight),
-		targets:  make(map[Fingerprint]map[request.TargetID]int),
-		findings: make(map[Fingerprint]*CrashRecord),
+		params:          p,
+		inFlight:        make(map[request.ID]inFlightRequest),
+		inFlightTargets: make(map[Fingerprint]map[request.TargetID]int),
+		records:         make(map[Fingerprint]*CrashRecord),
 	}
 }
 
-// Check says how a request may run now, before it is placed.
+// Check returns how a request may run now, before it is placed.
 func (r *Registry) Check(now time.Time, fp Fingerprint) Decision {
-	finding := r.finding(now, fp)
+	record := r.record(now, fp)
 	if r.params.UnprovenDeaths > 0 {
-		return r.count(now, finding)
+		return r.checkUnproven(now, record)
 	}
-	running := r.targets[fp]
+	running := r.inFlightTargets[fp]
 	switch {
-	case finding != nil && finding.Proven && len(finding.Deaths) >= MaxDeaths:
-		return Decision{Mode: Refuse, Err: refusal(now, finding)}
-	case finding != nil && len(running) > 0:
+	case record != nil && record.Proven && len(record.Deaths) >= MaxDeaths:
+		return Decision{Mode: Refuse, Err: quarantinedError(now, record)}
+	case record != nil && len(running) > 0:
 		return Decision{Mode: Wait}
-	case finding != nil:
+	case record != nil:
 		return Decision{Mode: Alone}
 	}
 	for target := range running {
@@ -143,12 +143,12 @@
 	return Decision{Mode: Unrestricted}
 }
 
-// count refuses a request that was in flight at too many deaths, and was never answered.
-func (r *Registry) count(now time.Time, f *CrashRecord) Decision {
+// checkUnproven refuses a request with UnprovenDeaths deaths that no target has answered.
+func (r *Registry) checkUnproven(now time.Time, f *CrashRecord) Decision {
 	if f == nil || f.Answered || len(f.Deaths) < r.params.UnprovenDeaths {
 		return Decision{Mode: Unrestricted}
 	}
-	return Decision{Mode: Refuse, Err: refusal(now, f)}
+	return Decision{Mode: Refuse, Err: quarantinedError(now, f)}
 }
 
 // CrashReport is the death of a target with a request in flight.
@@ -158,16 +158,16 @@
 	Incarnation uint64 // as for OnTargetDied
 }
 
-// OnCrashReport notes a death with a request that is not in the register, and returns the
-// finding if it changed.
+// OnCrashReport records a death with a request that is not in the registry, and returns the record if
+// it changed.
 func (r *Registry) OnCrashReport(now time.Time, s CrashReport) []CrashRecord {
-	return r.suspect(now, s.Target, s.Incarnation, map[Fingerprint]bool{s.Fingerprint: false})
+	return r.recordDeath(now, s.Target, s.Incarnation, map[Fingerprint]bool{s.Fingerprint: false})
 }
 
-// OnAnswered is told that a target ran a request to its end. One that is suspect is cleared:
-// what crashes targets crashes each that runs it. It returns the finding if it changed.
+// OnAnswered records that a target ran a request to its end. This clears a suspect, since a request
+// that crashes targets crashes each target that runs it. It returns the record if it changed.
 func (r *Registry) OnAnswered(now time.Time, fp Fingerprint) []CrashRecord {
-	f := r.finding(now, fp)
+	f := r.record(now, fp)
 	if f == nil || f.Answered {
 		return nil
 	}
@@ -175,9 +175,9 @@
 	return []CrashRecord{f.clone()}
 }
 
-// Begin enters a request that is about to be sent to a target. alone says that the
-// target was granted with nothing else in flight. If ok is false the request must not
-// be sent: the verdict has changed since Gate, or never allowed it.
+// Begin records a request that is about to be sent to a target. alone says that the target was granted
+// with no other request in flight. If ok is false the request must not be sent: the decision has
+// changed since Check, or never allowed it.
 func (r *Registry) Begin(now time.Time, fp Fingerprint, id request.ID, target request.TargetID, alone bool) (v Decision, ok bool) {
 	v = r.Check(now, fp)
 	switch v.Mode {
@@ -192,49 +192,48 @@
 		return v, false
 	}
 	r.End(id)
-	r.flights[id] = flight{fingerprint: fp, target: target, alone: alone && v.Mode == Alone}
-	if r.targets[fp] == nil {
-		r.targets[fp] = make(map[request.TargetID]int)
+	r.inFlight[id] = inFlightRequest{fingerprint: fp, target: target, alone: alone && v.Mode == Alone}
+	if r.inFlightTargets[fp] == nil {
+		r.inFlightTargets[fp] = make(map[request.TargetID]int)
 	}
-	r.targets[fp][target]++
+	r.inFlightTargets[fp][target]++
 	return v, true
 }
 
-// End is told that a request is no longer in flight: it was answered, refused or
-// cancelled. If its target has died, OnTargetDied comes first.
+// End records that a request is no longer in flight: it was answered, refused or cancelled. If its
+// target died, OnTargetDied must be called first.
 func (r *Registry) End(id request.ID) {
-	f, ok := r.flights[id]
+	f, ok := r.inFlight[id]
 	if !ok {
 		return
 	}
-	delete(r.flights, id)
-	running := r.targets[f.fingerprint]
+	delete(r.inFlight, id)
+	running := r.inFlightTargets[f.fingerprint]
 	running[f.target]--
 	if running[f.target] <= 0 {
 		delete(running, f.target)
 	}
 	if len(running) == 0 {
-		delete(r.targets, f.fingerprint)
+		delete(r.inFlightTargets, f.fingerprint)
 	}
 }
 
-// OnTargetDied makes suspects of all that was in flight at a target, and returns the
-// findings that changed, to be written and sent to peers before any of them is sent to
-// a target again. incarnation tells the deaths of one target apart; zero: unknown.
+// OnTargetDied makes all requests in flight at a target suspects, and returns the records that changed.
+// The caller must write them and send them to peers before it sends any of these requests to a target
+// again. incarnation distinguishes the deaths of one target; zero: unknown.
 func (r *Registry) OnTargetDied(now time.Time, target request.TargetID, incarnation uint64) []CrashRecord {
 	suspects := make(map[Fingerprint]bool) // whether it ran alone
-	for id, f := range r.flights {
+	for id, f := range r.inFlight {
 		if f.target == target {
 			suspects[f.fingerprint] = suspects[f.fingerprint] || f.alone
 			r.End(id)
 		}
 	}
-	return r.suspect(now, target, incarnation, suspects)
+	return r.recordDeath(now, target, incarnation, suspects)
 }
 
-// OnCoordinatorReport is OnTargetDied for requests that other daemons had in flight, known from
-// the grants of the target's steward. It matters when the daemon that sent the request
-// has died as well.
+// OnCoordinatorReport does the same as OnTargetDied for requests of other daemons, which the target's
+// coordinator knows from its grants. It is needed if the daemon that sent the request died as well.
 func (r *Registry) OnCoordinatorReport(now time.Time, target request.TargetID, incarnation uint64, suspects []Fingerprint) []CrashRecord {
 	distinct := make(map[Fingerprint]bool)
 	for _, fp := range suspects {
@@ -243,23 +242,23 @@
 	if len(distinct) == 1 {
 		distinct[suspects[0]] = true
 	}
-	return r.suspect(now, target, incarnation, distinct)
+	return r.recordDeath(now, target, incarnation, distinct)
 }
 
-func (r *Registry) suspect(now time.Time, target request.TargetID, incarnation uint64, suspects map[Fingerprint]bool) []CrashRecord {
-	var found []CrashRecord
-	for _, fp := range keys(suspects) {
-		found = append(found, CrashRecord{
+func (r *Registry) recordDeath(now time.Time, target request.TargetID, incarnation uint64, suspects map[Fingerprint]bool) []CrashRecord {
+	var records []CrashRecord
+	for _, fp := range sortedKeys(suspects) {
+		records = append(records, CrashRecord{
 			Fingerprint: fp,
-			Deaths:      []Death{deathOf(now, target, incarnation)},
+			Deaths:      []Death{newDeath(now, target, incarnation)},
 			Expires:     now.Add(r.params.Retention).Truncate(time.Millisecond),
 			Proven:      suspects[fp],
 		})
 	}
-	return r.Merge(now, found)
+	return r.Merge(now, records)
 }
 
-func refusal(now time.Time, f *CrashRecord) *request.Error {
+func quarantinedError(now time.Time, f *CrashRecord) *request.Error {
 	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, f.Expires.Sub(now),
 		"%d targets died while they ran this request", len(f.Deaths))
 }
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -20,11 +20,11 @@
 	simDaemons = 4
 	simTargets = 12
 	simStep    = 10 * time.Millisecond
-	crashAfter = 30 // steps at most from the start of the killer to the death
+	crashAfter = 30 // maximum steps from the start of the killer to the death
 	runFor     = 20 // steps of a harmless request
 )
 
-// run is a request at a target. It goes on there if its daemon dies.
+// run is a request that a target runs. It continues if its daemon dies.
 type run struct {
 	id          request.ID
 	fingerprint Fingerprint
@@ -38,40 +38,40 @@
 	killer      bool
 }
 
-// fleet is several daemons before a few targets, with one caller who sends a request
-// that kills its target again and again, to any daemon, several at a time.
+// fleet simulates several daemons and a few targets. One caller repeatedly sends a request that kills
+// its target, to any daemon, several at a time.
 type fleet struct {
-	rng       *rand.Rand
-	registers []*Registry
-	up        []bool
-	stored    *Registry // findings in the key-value service
-	storeDown bool
-	gossip    [][]CrashRecord // on the way to each daemon
-	runs      [simTargets][]run
-	lives     [simTargets]uint64
-	waiting   []call
-	killer    Fingerprint
-	next      int
-	homes     int // daemons that take themselves for the home at once
-	deaths    int
-	moved     int // changes of the home with the killer in flight
-	answered  int
-	refused   int
-	naive     bool
+	rng          *rand.Rand
+	registries   []*Registry
+	up           []bool
+	stored       *Registry // records in the key-value service
+	storeDown    bool
+	gossip       [][]CrashRecord // records in transit to each daemon
+	runs         [simTargets][]run
+	incarnations [simTargets]uint64
+	waiting      []call
+	killer       Fingerprint
+	next         int
+	homes        int // daemons that act as the home at once
+	deaths       int
+	homeChanges  int // changes of the home with the killer in flight
+	answered     int
+	refused      int
+	naive        bool
 }
 
 func newFleet(seed int64, homes int) *fleet {
 	f := &fleet{rng: rand.New(rand.NewSource(seed)), stored: New(Params{}), homes: homes, killer: Of("a", []byte("killer"))}
 	for range simDaemons {
-		f.registers = append(f.registers, New(Params{}))
+		f.registries = append(f.registries, New(Params{}))
 		f.up = append(f.up, true)
 	}
 	f.gossip = make([][]CrashRecord, simDaemons)
 	return f
 }
 
-// home returns a daemon that takes itself for the home of all requests.
-func (f *fleet) home() int {
+// pickHome returns a daemon that acts as the home of all requests.
+func (f *fleet) pickHome() int {
 	var homes []int
 	for d, up := range f.up {
 		if up && len(homes) < f.homes {
@@ -84,14 +84,14 @@
 	return homes[f.rng.Intn(len(homes))]
 }
 
-func (f *fleet) try(step int, c call) {
+func (f *fleet) attempt(step int, c call) {
 	now := epoch.Add(time.Duration(step) * simStep)
-	d := f.home()
+	d := f.pickHome()
 	if d < 0 {
 		f.waiting = append(f.waiting, c)
 		return
 	}
-	r := f.registers[d]
+	r := f.registries[d]
 	if f.naive {
 		f.start(step, d, c, f.rng.Intn(simTargets), false)
 		return
@@ -114,9 +114,9 @@
 		}
 	}
 	alone := len(f.runs[target]) == 0
-	taken := len(f.runs[target]) > 0 && f.runs[target][0].alone
+	occupied := len(f.runs[target]) > 0 && f.runs[target][0].alone
 	id := request.ID(fmt.Sprint(f.next))
-	if taken {
+	if occupied {
 		f.waiting = append(f.waiting, c)
 		return
 	}
@@ -142,16 +142,16 @@
 
 func (f *fleet) step(step int) {
 	now := epoch.Add(time.Duration(step) * simStep)
-	for d, findings := range f.gossip {
+	for d, records := range f.gossip {
 		if f.up[d] && f.rng.Intn(20) == 0 {
-			f.registers[d].Merge(now, findings)
+			f.registries[d].Merge(now, records)
 			f.gossip[d] = nil
 		}
 	}
 	waiting := f.waiting
 	f.waiting = nil
 	for _, c := range waiting {
-		f.try(step, c)
+		f.attempt(step, c)
 	}
 	for t := range f.runs {
 		f.stepTarget(step, t)
@@ -161,7 +161,7 @@
 func (f *fleet) stepTarget(step, t int) {
 	for _, r := range f.runs[t] {
 		if r.fingerprint == f.killer && r.ends <= step {
-			f.die(step, t)
+			f.killTarget(step, t)
 			return
 		}
 	}
@@ -171,59 +171,59 @@
 			kept = append(kept, r)
 			continue
 		}
-		f.registers[r.daemon].End(r.id)
+		f.registries[r.daemon].End(r.id)
 		f.answered++
 	}
 	f.runs[t] = kept
 }
 
-// die ends a target. Its steward, a daemon that lives, knows what was in flight from
-// its grants; the daemons that sent it see their streams end.
-func (f *fleet) die(step, t int) {
+// killTarget terminates a target. Its coordinator, a live daemon, knows the requests in flight from its
+// grants; the daemons that sent them see their streams end.
+func (f *fleet) killTarget(step, t int) {
 	now := epoch.Add(time.Duration(step) * simStep)
 	f.deaths++
-	f.lives[t]++
-	var found []CrashRecord
+	f.incarnations[t]++
+	var records []CrashRecord
 	var inFlight []Fingerprint
-	for d, r := range f.registers {
+	for d, r := range f.registries {
 		if f.up[d] {
-			found = append(found, r.OnTargetDied(now, simTarget(t), f.lives[t])...)
+			records = append(records, r.OnTargetDied(now, simTarget(t), f.incarnations[t])...)
 		}
 	}
 	for _, r := range f.runs[t] {
 		inFlight = append(inFlight, r.fingerprint)
 		if r.fingerprint != f.killer {
-			f.waiting = append(f.waiting, call{fingerprint: r.fingerprint}) // tried elsewhere
+			f.waiting = append(f.waiting, call{fingerprint: r.fingerprint}) // retried elsewhere
 		}
 	}
 	f.runs[t] = nil
-	steward := New(Params{})
-	found = append(found, steward.OnCoordinatorReport(now, simTarget(t), f.lives[t], inFlight)...)
+	coordinator := New(Params{})
+	records = append(records, coordinator.OnCoordinatorReport(now, simTarget(t), f.incarnations[t], inFlight)...)
 	if !f.storeDown {
-		f.stored.Merge(now, found)
+		f.stored.Merge(now, records)
 	}
 	for d := range f.gossip {
-		f.gossip[d] = append(f.gossip[d], found...)
+		f.gossip[d] = append(f.gossip[d], records...)
 	}
 }
 
-func (f *fleet) kill(step, d int) {
+func (f *fleet) killDaemon(step, d int) {
 	if !f.up[d] {
 		return
 	}
 	f.setUp(step, d, false)
-	f.registers[d] = New(Params{})
+	f.registries[d] = New(Params{})
 }
 
-func (f *fleet) restart(step, d int) {
+func (f *fleet) restartDaemon(step, d int) {
 	if f.up[d] {
 		return
 	}
 	f.setUp(step, d, true)
 }
 
-// setUp starts or stops a daemon. Each reads the stored findings when it starts and
-// when the places of requests move.
+// setUp starts or stops a daemon. All daemons read the stored records when the home of the requests
+// changes.
 func (f *fleet) setUp(step, d int, up bool) {
 	now := epoch.Add(time.Duration(step) * simStep)
 	before := slices.Index(f.up, true)
@@ -231,7 +231,7 @@
 	if slices.Index(f.up, true) == before {
 		return
 	}
-	for i, r := range f.registers {
+	for i, r := range f.registries {
 		if f.up[i] && !f.storeDown {
 			r.Merge(now, f.stored.All(now))
 		}
@@ -239,37 +239,37 @@
 	for t := range f.runs {
 		for _, r := range f.runs[t] {
 			if r.fingerprint == f.killer {
-				f.moved++
+				f.homeChanges++
 				return
 			}
 		}
 	}
 }
 
-// play sends the killer often and harmless requests in between, and kills daemons if
-// faults are wanted. It returns the number of harmless requests.
-func (f *fleet) play(steps int, faults bool) int {
+// simulate sends the killer often, with harmless requests in between, and kills daemons if faults is
+// set. It returns the number of harmless requests.
+func (f *fleet) simulate(steps int, faults bool) int {
 	harmless := 0
 	for i := range steps {
 		if f.rng.Intn(5) == 0 {
-			f.try(i, call{fingerprint: f.killer, killer: true})
+			f.attempt(i, call{fingerprint: f.killer, killer: true})
 		}
 		if f.rng.Intn(4) == 0 {
 			harmless++
-			f.try(i, call{fingerprint: Of("b", []byte(fmt.Sprint(harmless)))})
+			f.attempt(i, call{fingerprint: Of("b", []byte(fmt.Sprint(harmless)))})
 		}
 		if faults && f.rng.Intn(60) == 0 {
-			f.kill(i, f.rng.Intn(simDaemons))
+			f.killDaemon(i, f.rng.Intn(simDaemons))
 		}
 		if faults && f.rng.Intn(40) == 0 {
-			f.restart(i, f.rng.Intn(simDaemons))
+			f.restartDaemon(i, f.rng.Intn(simDaemons))
 		}
 		f.step(i)
 	}
 	for d := range f.up {
-		f.restart(steps, d)
+		f.restartDaemon(steps, d)
 	}
-	// The caller gives up; what waits is answered.
+	// The caller stops sending the killer; waiting harmless requests are answered.
 	var kept []call
 	for _, c := range f.waiting {
 		if !c.killer {
@@ -283,29 +283,27 @@
 	return harmless
 }
 
-// One request crashes each target that runs it, and its caller sends it again, several
-// at a time and to any daemon, while daemons die and restart. Requests of others that
-// ran beside it are tried elsewhere and all answered. Two targets fall; each change of
-// the home while the request is in flight may cost one more, since the next home can't
-// know of it before that target dies.
+// A request crashes each target that runs it. Its caller sends it repeatedly, several at a time and to
+// any daemon, while daemons die and restart. Harmless requests that ran beside it are retried elsewhere
+// and must all be answered. At most MaxDeaths targets may die, plus one for each change of the home
+// while the request is in flight, since the next home can't know of it before that target dies.
 //
-// Seed 1943 once cost a third: the home died just after the second death, and the next
-// one had not heard of it yet. Daemons therefore read the stored findings when the
-// places of requests move.
+// Seed 1943: the home died just after the second death, and the next home had not received the record,
+// which cost a third target. Daemons therefore read the stored records when the home changes.
 //
-// Seed -4405549660 once left a harmless request without an answer: its daemon died, the
-// next home had not heard of the first death, and it ran beside the cause a second time.
-// Two deaths refused it. Only a death with nothing else in flight proves a cause.
-func TestTwoTargetsFallToOneFingerprint(t *testing.T) {
+// Seed -4405549660: a harmless request was not answered. Its daemon died, the next home had not received
+// the record of the first death, and the request ran beside the cause a second time and was refused
+// after two deaths. Only a death with no other request in flight proves a cause.
+func TestDeathsPerFingerprintAreBounded(t *testing.T) {
 	worst, extra := 0, 0
 	check := func(t rapid.TB, seed int64, faults bool) {
 		f := newFleet(seed, 1)
-		harmless := f.play(600, faults)
-		if f.deaths > MaxDeaths+f.moved {
-			t.Fatalf("%d targets fell, %d changes of the home with it in flight", f.deaths, f.moved)
+		harmless := f.simulate(600, faults)
+		if f.deaths > MaxDeaths+f.homeChanges {
+			t.Fatalf("%d targets died, %d changes of the home with the request in flight", f.deaths, f.homeChanges)
 		}
 		if !faults && f.deaths > MaxDeaths {
-			t.Fatalf("%d targets fell", f.deaths)
+			t.Fatalf("%d targets died", f.deaths)
 		}
 		if f.answered != harmless {
 			t.Fatalf("%d of %d harmless requests answered", f.answered, harmless)
@@ -320,32 +318,32 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		check(rt, rapid.Int64().Draw(rt, "seed"), rapid.Bool().Draw(rt, "faults"))
 	})
-	t.Logf("at most %d targets fell; more than %d in %d cases", worst, MaxDeaths, extra)
+	t.Logf("at most %d targets died; more than %d in %d cases", worst, MaxDeaths, extra)
 
 	naive := newFleet(1, 1)
 	naive.naive = true
-	naive.play(600, false)
+	naive.simulate(600, false)
 	if naive.deaths <= MaxDeaths {
-		t.Errorf("%d targets fell to the naive twin; the test shows nothing", naive.deaths)
+		t.Errorf("%d targets died with the naive variant, so the test proves nothing", naive.deaths)
 	}
-	t.Logf("naive: %d targets fell", naive.deaths)
+	t.Logf("naive variant: %d targets died", naive.deaths)
 }
 
-// While daemons disagree on the home, and can't reach the store, each of them that
-// runs the request may lose two targets before it hears of the others.
-func TestBoundWhileHomesDisagree(t *testing.T) {
+// While daemons disagree on the home and can't reach the key-value service, each of them that runs the
+// request may lose MaxDeaths targets before it receives the records of the others.
+func TestDeathBoundWhenHomesDisagree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		homes := rapid.IntRange(2, simDaemons).Draw(rt, "homes")
 		f := newFleet(rapid.Int64().Draw(rt, "seed"), homes)
 		f.storeDown = true
-		f.play(600, false)
+		f.simulate(600, false)
 		if f.deaths > MaxDeaths*homes {
-			rt.Fatalf("%d targets fell to %d homes", f.deaths, homes)
+			rt.Fatalf("%d targets died with %d homes", f.deaths, homes)
 		}
 	})
 }
 
-// Merging is idempotent, and its order and grouping do not matter.
+// Merging is idempotent and independent of order and grouping.
 func TestMerge(t *testing.T) {
 	draw := rapid.Custom(func(rt *rapid.T) CrashRecord {
 		deaths := rapid.SliceOfN(rapid.SampledFrom([]Death{"t1@1", "t2@1", "t3@4"}), 1, 3).Draw(rt, "deaths")
@@ -356,21 +354,21 @@
 		}
 	})
 	rapid.Check(t, func(rt *rapid.T) {
-		findings := rapid.SliceOfN(draw, 0, 8).Draw(rt, "findings")
-		shuffled := rapid.Permutation(findings).Draw(rt, "shuffled")
+		records := rapid.SliceOfN(draw, 0, 8).Draw(rt, "findings")
+		shuffled := rapid.Permutation(records).Draw(rt, "shuffled")
 		a, b := New(Params{}), New(Params{})
-		a.Merge(epoch, findings)
+		a.Merge(epoch, records)
 		for _, f := range shuffled {
 			b.Merge(epoch, []CrashRecord{f})
 		}
 		if !reflect.DeepEqual(a.All(epoch), b.All(epoch)) || a.Hash(epoch) != b.Hash(epoch) {
-			rt.Fatalf("%v and %v", a.All(epoch), b.All(epoch))
+			rt.Fatalf("records differ by merge order: %v and %v", a.All(epoch), b.All(epoch))
 		}
 		if changed := a.Merge(epoch, b.All(epoch)); len(changed) != 0 {
-			rt.Fatalf("merged again: %v changed", changed)
+			rt.Fatalf("merging the same records again changed %v", changed)
 		}
 		if a.Hash(epoch) == New(Params{}).Hash(epoch) && len(a.All(epoch)) > 0 {
-			rt.Fatal("the hash does not cover the findings")
+			rt.Fatal("the hash does not cover the records")
 		}
 	})
 }
--- a/internal/policy/quarantine/table_test.go
+++ b/internal/policy/quarantine/table_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-func TestTable(t *testing.T) {
+func TestRegistryDecisions(t *testing.T) {
 	r := New(Params{Retention: time.Minute, MaxRecords: 3})
 	datadriven.RunTest(t, "testdata/gate", func(t *testing.T, d *datadriven.TestData) string {
 		var ms int64
@@ -54,15 +54,15 @@
 	return out + "\n"
 }
 
-func list(findings []CrashRecord) string {
+func list(records []CrashRecord) string {
 	var out strings.Builder
-	for _, f := range findings {
-		fmt.Fprintf(&out, "%s %v until %s%s\n", f.Fingerprint, f.Deaths, f.Expires.Sub(epoch), proof(f))
+	for _, f := range records {
+		fmt.Fprintf(&out, "%s %v until %s%s\n", f.Fingerprint, f.Deaths, f.Expires.Sub(epoch), provenSuffix(f))
 	}
 	return out.String()
 }
 
-func proof(f CrashRecord) string {
+func provenSuffix(f CrashRecord) string {
 	if f.Proven {
 		return ", proven"
 	}
