--- a/internal/policy/rollout/rollout.go
+++ b/internal/policy/rollout/rollout.go
@@ -1,12 +1,12 @@
-// Package rollout brings targets to the weight version, adapter and role that the
-// table wants, under a cap on weight loads at once and while requests go on.
+// Package rollout brings targets to the weight version, adapter and role that the table requests. It
+// bounds the number of concurrent weight loads and keeps the service available.
 //
-// It is run by the holder of a lease, which gives orders under the lease's epoch. Each
-// step reads what the targets are now and orders what is missing, so it does not matter
-// which order was lost or who gave it.
+// A lease holder runs the rollout and issues orders under the lease's epoch. Each call of Reconcile
+// compares the targets' current state with the desired state and orders the difference. Lost orders
+// and orders of previous holders therefore need no special handling.
 //
-// The package is pure: it holds no clock, I/O, goroutine or randomness. A Rollout is
-// not safe for concurrent use.
+// The package is pure: it holds no clock, I/O, goroutine or randomness. A Rollout is not safe for
+// concurrent use.
 package rollout
 
 import (
@@ -28,33 +28,33 @@
 
 // Params bounds a rollout. Zero values take the defaults above.
 type Params struct {
-	// LoadCap is the number of replicas that may load weights at once. More would slow
-	// each of them.
+	// LoadCap is the number of replicas that may load weights at once. More concurrent loads would
+	// slow each other down.
 	LoadCap int
-	// MaxUnavailableShare is the share of a model's replicas that may be out at once, because
-	// they load or can't be reached; at least one.
+	// MaxUnavailableShare is the share of a model's replicas that may be unavailable at once, because
+	// they load weights or are unreachable. At least one replica may be.
 	MaxUnavailableShare float64
-	// OrderTimeout is the longest time from giving an order to its effect in the
-	// target's state. The sender gives up on it well before.
+	// OrderTimeout is the longest time from issuing an order to its effect in the target's state. The
+	// sender's own timeout is considerably shorter.
 	OrderTimeout time.Duration
-	// LoadTimeout is how long a target that can't be read counts as loading.
+	// LoadTimeout is how long an unreachable target counts as loading.
 	LoadTimeout time.Duration
-	// TakeoverWait is how long a new holder gives no orders. It must cover the longest
-	// time that an order of the holder before may still take effect. A target that does
-	// not check epochs would obey such an order; one that does might too, as long as it
-	// has seen none of the new epoch. Zero: OrderTimeout.
+	// TakeoverWait is how long a new holder issues no orders. It must cover the longest time for which
+	// an order of the previous holder may still take effect. A target that does not check epochs would
+	// execute such an order, and so would one that checks them but has not seen the new epoch yet.
+	// Zero: OrderTimeout.
 	TakeoverWait time.Duration
-	// DrainTimeout is how long a replica that serves is kept free of new requests before it
-	// is ordered to load, unless it has none left before. An order makes it refuse new
-	// ones and wait for those that run, so that a replica with long requests is out for
-	// seconds; drained first, it is out for the load alone. Zero: not at all.
+	// DrainTimeout is how long a serving replica receives no new requests before it is ordered to load.
+	// The order is sent earlier if the replica has no requests left. A replica with a load order refuses
+	// new requests and waits for running ones, so that without draining, long requests make it
+	// unavailable for seconds in addition to the load. Zero: replicas are not drained.
 	DrainTimeout time.Duration
-	// PrefillTimeout is how long a replica is drained at most while prompts are being computed
-	// there. Zero: as long as DrainFor.
+	// PrefillTimeout is the longest time for which a replica is drained while it computes prompts.
+	// Zero: only DrainTimeout applies.
 	PrefillTimeout time.Duration
 }
 
-// Desired is what the table wants of one target. Empty fields are left as they are.
+// Desired is the state that the table requests for a target. Empty fields are not changed.
 type Desired struct {
 	Target  request.TargetID
 	Model   request.Model
@@ -63,46 +63,45 @@
 	Role    string
 }
 
-// Observed is the outcome of reading a target's state.
+// Observed is the result of reading a target's state.
 type Observed struct {
 	Target        request.TargetID
-	State         engineapi.State // if Reachable
-	ReadAt        time.Time       // when the request for it was sent
+	State         engineapi.State // set if Reachable
+	ReadAt        time.Time       // when the read request was sent
 	Reachable     bool            // the read succeeded
 	Leaving       bool
-	InFlight      int // requests in flight there; the least busy are brought on first
-	PrefillTokens int // prompt tokens that are still to be computed there
-	// NoOrderBefore is the time before which it must get no order; zero: any.
+	InFlight      int // requests in flight; targets with the fewest are updated first
+	PrefillTokens int // prompt tokens that are not computed yet
+	// NoOrderBefore is the earliest time for an order to the target; zero: any time.
 	NoOrderBefore time.Time
 }
 
-// Action is a decision for the caller to carry out: Order, Drain, Wait or StepDown.
+// Action is a step for the caller to carry out: Order, Drain, Wait or StepDown.
 type Action interface{ isAction() }
 
-// Order is to be sent to a target. A lost answer needs no care: the next steps read
-// the target's state and send the order again, with the same operation id, if it had
-// no effect.
+// Order is to be sent to a target. A lost response needs no handling: later calls of Reconcile read the
+// target's state and return the order again, with the same operation id, if it had no effect.
 type Order struct {
 	Target request.TargetID
 	Order  engineapi.Order
-	// PrefillDone says that no prompt is being computed there, as far as is known: what runs may
-	// go on under other weights without a prompt's KV cache coming from both.
+	// PrefillDone is set if the target is presumably computing no prompt. Running streams may then
+	// continue on the new weights; a prompt in prefill would get its KV cache from both versions.
 	PrefillDone bool
 }
 
-// Wait says why a target is not brought on now.
+// Wait gives the reason why a target is not updated now.
 type Wait struct {
-	Target request.TargetID // empty: all
+	Target request.TargetID // empty: all targets
 	Reason Reason
-	Until  time.Time // zero: until something changes
+	Until  time.Time // zero: until the observed state changes
 }
 
-// Drain says that a target is to get no new requests from now on. It is given again until
+// Drain requests that a target receives no new requests from now on. It is returned on each call until
 // the target is ordered to load.
 type Drain struct{ Target request.TargetID }
 
-// StepDown says that a target has seen a higher epoch: another daemon holds the lease.
-// No order may be given any more.
+// StepDown reports that a target has seen a higher epoch: another daemon holds the lease. The caller must
+// not send any more orders.
 type StepDown struct{ Epoch uint64 }
 
 func (Order) isAction()    {}
@@ -110,37 +109,37 @@
 func (Wait) isAction()     {}
 func (StepDown) isAction() {}
 
-// Reason says why a target waits.
+// Reason is the reason why a target waits.
 type Reason string
 
 // The reasons of Wait.
 const (
-	ReasonTakeover       Reason = "takeover"    // orders of the holder before may still act
-	ReasonLoadCap        Reason = "load_cap"    // as many load as may
-	ReasonMaxUnavailable Reason = "out_share"   // as many replicas are out as may
-	ReasonUnreachable    Reason = "unreachable" // its state can't be read
-	ReasonPending        Reason = "pending"     // an order has not shown its effect yet
-	ReasonLoading        Reason = "loading"     // it loads
+	ReasonTakeover       Reason = "takeover"    // orders of the previous holder may still take effect
+	ReasonLoadCap        Reason = "load_cap"    // LoadCap is reached
+	ReasonMaxUnavailable Reason = "out_share"   // MaxUnavailableShare is reached
+	ReasonUnreachable    Reason = "unreachable" // the target's state can't be read
+	ReasonPending        Reason = "pending"     // the effect of an order was not observed yet
+	ReasonLoading        Reason = "loading"     // the target is loading weights
 )
 
-// pending is an order whose effect has not been seen.
+// pending is an order whose effect was not observed yet.
 type pending struct {
 	order  Order
 	sentAt time.Time
 }
 
-// Rollout is the state of one holder of the duty.
+// Rollout is the rollout state of one lease holder.
 type Rollout struct {
-	params  Params
-	epoch   uint64
-	since   time.Time // start of the epoch here
-	pending map[request.TargetID]pending
-	last    map[request.TargetID]Observed  // by the last read that succeeded
-	drained map[request.TargetID]time.Time // since when a target gets no new requests
-	seq     uint64
+	params        Params
+	epoch         uint64
+	epochStart    time.Time // when this holder first saw the epoch
+	pending       map[request.TargetID]pending
+	lastObserved  map[request.TargetID]Observed  // last successful reads
+	drainingSince map[request.TargetID]time.Time // when draining of the target began
+	seq           uint64
 }
 
-// New returns a rollout that has not taken the duty yet.
+// New returns a rollout that holds no lease epoch yet.
 func New(p Params) *Rollout {
 	if p.LoadCap <= 0 {
 		p.LoadCap = DefaultLoadCap
@@ -158,186 +157,184 @@
 		p.TakeoverWait = p.OrderTimeout
 	}
 	return &Rollout{
-		params:  p,
-		pending: make(map[request.TargetID]pending),
-		last:    make(map[request.TargetID]Observed),
-		drained: make(map[request.TargetID]time.Time),
+		params:        p,
+		pending:       make(map[request.TargetID]pending),
+		lastObserved:  make(map[request.TargetID]Observed),
+		drainingSince: make(map[request.TargetID]time.Time),
 	}
 }
 
-// Forget drops what is known of a target's order and state: it is gone, or has started again
-// and knows nothing of the order.
+// Forget removes the orders and state of a target that was removed, or that restarted and lost its
+// orders.
 func (r *Rollout) Forget(target request.TargetID) {
 	delete(r.pending, target)
-	delete(r.last, target)
-	delete(r.drained, target)
+	delete(r.lastObserved, target)
+	delete(r.drainingSince, target)
 }
 
-// SetMaxUnavailableShare changes the share of a model's replicas that may be out at once.
+// SetMaxUnavailableShare changes the share of a model's replicas that may be unavailable at once.
 func (r *Rollout) SetMaxUnavailableShare(share float64) { r.params.MaxUnavailableShare = share }
 
-// Reconcile returns what to do now under an epoch. wanted and observed must cover all the
-// targets that share the cap. The caller makes sure that the lease lasts longer than
-// an order may take.
-func (r *Rollout) Reconcile(now time.Time, epoch uint64, wanted []Desired, observed []Observed) []Action {
+// Reconcile returns the actions to take now under an epoch. desired and observed must cover all targets
+// that share the cap. The caller must ensure that the lease outlasts the sending of an order.
+func (r *Rollout) Reconcile(now time.Time, epoch uint64, desired []Desired, observed []Observed) []Action {
 	if epoch != r.epoch {
-		r.epoch, r.since = epoch, now
+		r.epoch, r.epochStart = epoch, now
 		clear(r.pending)
 	}
-	v := r.view(now, wanted, observed)
-	if v.highest > epoch {
-		return []Action{StepDown{Epoch: v.highest}}
+	v := r.view(now, desired, observed)
+	if v.highestEpoch > epoch {
+		return []Action{StepDown{Epoch: v.highestEpoch}}
 	}
-	if until := r.since.Add(r.params.TakeoverWait); now.Before(until) {
-		return append(r.drainAhead(now, v, wanted), Wait{Reason: ReasonTakeover, Until: until})
+	if until := r.epochStart.Add(r.params.TakeoverWait); now.Before(until) {
+		return append(r.drainDuringTakeover(now, v, desired), Wait{Reason: ReasonTakeover, Until: until})
 	}
 	var actions []Action
-	for _, w := range r.sorted(v, wanted) {
-		if action := r.stepTarget(now, w, v); action != nil {
+	for _, d := range r.byPriority(v, desired) {
+		if action := r.reconcileTarget(now, d, v); action != nil {
 			actions = append(actions, action)
 		}
 	}
 	return actions
 }
 
-// stepTarget returns what to do about one target, or nil if it is as wanted.
-func (r *Rollout) stepTarget(now time.Time, w Desired, v *view) Action {
-	o := v.of(w.Target)
+// reconcileTarget returns the action for one target, or nil if it is in the desired state.
+func (r *Rollout) reconcileTarget(now time.Time, d Desired, v *view) Action {
+	o := v.observedOf(d.Target)
 	if o.Leaving {
 		return nil
 	}
 	if !o.Reachable {
-		return Wait{Target: w.Target, Reason: ReasonUnreachable}
+		return Wait{Target: d.Target, Reason: ReasonUnreachable}
 	}
-	if p, ok := r.pending[w.Target]; ok {
-		return r.stepPending(now, p, w, o)
+	if p, ok := r.pending[d.Target]; ok {
+		return r.reconcilePending(now, p, d, o)
 	}
-	if o.ReadAt.Before(r.since.Add(r.params.TakeoverWait)) {
-		// Read before an order of the holder before could take effect.
-		return Wait{Target: w.Target, Reason: ReasonTakeover}
+	if o.ReadAt.Before(r.epochStart.Add(r.params.TakeoverWait)) {
+		// The state was read when an order of the previous holder could still take effect.
+		return Wait{Target: d.Target, Reason: ReasonTakeover}
 	}
 	if o.State.Loading != "" {
-		return Wait{Target: w.Target, Reason: ReasonLoading}
+		return Wait{Target: d.Target, Reason: ReasonLoading}
 	}
-	if w.Version != "" && o.State.Version != w.Version {
-		return r.load(now, w, o, v)
+	if d.Version != "" && o.State.Version != d.Version {
+		return r.reconcileVersion(now, d, o, v)
 	}
-	if w.Adapter != "" && !slices.Contains(o.State.Adapters, w.Adapter) {
-		adapter := engineapi.Order{Kind: engineapi.OrderLoadAdapter, Model: w.Model, Adapter: w.Adapter}
-		return r.order(now, Order{Target: w.Target, Order: adapter})
+	if d.Adapter != "" && !slices.Contains(o.State.Adapters, d.Adapter) {
+		adapter := engineapi.Order{Kind: engineapi.OrderLoadAdapter, Model: d.Model, Adapter: d.Adapter}
+		return r.issueOrder(now, Order{Target: d.Target, Order: adapter})
 	}
-	if w.Role != "" && o.State.Role != w.Role {
-		role := engineapi.Order{Kind: engineapi.OrderSetRole, Model: w.Model, Role: w.Role}
-		return r.order(now, Order{Target: w.Target, Order: role})
+	if d.Role != "" && o.State.Role != d.Role {
+		role := engineapi.Order{Kind: engineapi.OrderSetRole, Model: d.Model, Role: d.Role}
+		return r.issueOrder(now, Order{Target: d.Target, Order: role})
 	}
 	return nil
 }
 
-// load orders a weight version if the cap and the share of replicas out allow it. With
-// DrainFor a replica that serves is drained first.
-func (r *Rollout) load(now time.Time, w Desired, o Observed, v *view) Action {
+// reconcileVersion orders a weight load if LoadCap and MaxUnavailableShare allow it. With a DrainTimeout,
+// a serving replica is drained first.
+func (r *Rollout) reconcileVersion(now time.Time, d Desired, o Observed, v *view) Action {
 	serving := o.State.Version != ""
 	if serving && r.params.DrainTimeout > 0 {
-		if action := r.drain(now, w, o, v); action != nil {
+		if action := r.drain(now, d, o, v); action != nil {
 			return action
 		}
 		if v.loading >= r.params.LoadCap || now.Before(o.NoOrderBefore) {
-			return Drain{Target: w.Target}
+			return Drain{Target: d.Target}
 		}
-		delete(r.drained, w.Target)
+		delete(r.drainingSince, d.Target)
 		v.loading++
-		return r.orderLoad(now, w, o.PrefillTokens == 0)
+		return r.orderLoad(now, d, o.PrefillTokens == 0)
 	}
 	if v.loading >= r.params.LoadCap {
-		return Wait{Target: w.Target, Reason: ReasonLoadCap}
+		return Wait{Target: d.Target, Reason: ReasonLoadCap}
 	}
-	if serving && v.out[w.Model] >= v.mayBeOut(w.Model, r.params.MaxUnavailableShare) {
-		return Wait{Target: w.Target, Reason: ReasonMaxUnavailable}
+	if serving && v.unavailable[d.Model] >= v.maxUnavailable(d.Model, r.params.MaxUnavailableShare) {
+		return Wait{Target: d.Target, Reason: ReasonMaxUnavailable}
 	}
 	v.loading++
 	if serving {
-		v.out[w.Model]++
+		v.unavailable[d.Model]++
 	}
-	return r.orderLoad(now, w, false)
+	return r.orderLoad(now, d, false)
 }
 
-func (r *Rollout) orderLoad(now time.Time, w Desired, computed bool) Order {
-	load := engineapi.Order{Kind: engineapi.OrderLoadVersion, Model: w.Model, Version: w.Version}
-	return r.order(now, Order{Target: w.Target, Order: load, PrefillDone: computed})
+func (r *Rollout) orderLoad(now time.Time, d Desired, computed bool) Order {
+	load := engineapi.Order{Kind: engineapi.OrderLoadVersion, Model: d.Model, Version: d.Version}
+	return r.issueOrder(now, Order{Target: d.Target, Order: load, PrefillDone: computed})
 }
 
-// drain returns what a target still waits for before it may load; nil once it is drained.
-func (r *Rollout) drain(now time.Time, w Desired, o Observed, v *view) Action {
-	since, draining := r.drained[w.Target]
+// drain returns the action of a target that must not load yet, or nil once it is drained.
+func (r *Rollout) drain(now time.Time, d Desired, o Observed, v *view) Action {
+	since, draining := r.drainingSince[d.Target]
 	if !draining {
-		if v.out[w.Model] >= v.mayBeOut(w.Model, r.params.MaxUnavailableShare) {
-			return Wait{Target: w.Target, Reason: ReasonMaxUnavailable}
+		if v.unavailable[d.Model] >= v.maxUnavailable(d.Model, r.params.MaxUnavailableShare) {
+			return Wait{Target: d.Target, Reason: ReasonMaxUnavailable}
 		}
-		v.out[w.Model]++
+		v.unavailable[d.Model]++
 		since = now
-		r.drained[w.Target] = now
+		r.drainingSince[d.Target] = now
 	}
-	drained := now.Sub(since)
-	if o.InFlight > 0 && drained < r.params.DrainTimeout || o.PrefillTokens > 0 && drained < r.params.PrefillTimeout {
-		return Drain{Target: w.Target}
+	drainedFor := now.Sub(since)
+	if o.InFlight > 0 && drainedFor < r.params.DrainTimeout || o.PrefillTokens > 0 && drainedFor < r.params.PrefillTimeout {
+		return Drain{Target: d.Target}
 	}
 	return nil
 }
 
-// drainAhead drains the targets that come first while no order may be given yet.
-func (r *Rollout) drainAhead(now time.Time, v *view, wanted []Desired) []Action {
+// drainDuringTakeover drains the first targets by priority while no order may be issued yet.
+func (r *Rollout) drainDuringTakeover(now time.Time, v *view, desired []Desired) []Action {
 	if r.params.DrainTimeout <= 0 {
 		return nil
 	}
 	var actions []Action
-	for _, w := range r.sorted(v, wanted) {
-		o := v.of(w.Target)
-		if !o.Reachable || o.Leaving || w.Version == "" || o.State.Version == w.Version {
+	for _, d := range r.byPriority(v, desired) {
+		o := v.observedOf(d.Target)
+		if !o.Reachable || o.Leaving || d.Version == "" || o.State.Version == d.Version {
 			continue
 		}
-		if action := r.drain(now, w, o, v); action != nil {
+		if action := r.drain(now, d, o, v); action != nil {
 			actions = append(actions, action)
 			continue
 		}
-		actions = append(actions, Drain{Target: w.Target}) // it is free and waits for its order
+		actions = append(actions, Drain{Target: d.Target}) // drained, waits for its order
 	}
 	return actions
 }
 
-// stepPending waits for the effect of an order. If the state that was read after it
-// should have taken effect shows nothing of it, it is sent again, or forgotten if the
-// table wants something else by now. One that was out of reach for so long that it no
-// longer counted as loading has lost its place under the cap and is ordered anew.
-func (r *Rollout) stepPending(now time.Time, p pending, w Desired, o Observed) Action {
+// reconcilePending waits for the effect of an order. If a state that was read after OrderTimeout does not
+// show the effect, the order is sent again, or dropped if the table has changed. A target that was
+// unreachable for LoadTimeout no longer counted against LoadCap; its order is dropped and issued anew.
+func (r *Rollout) reconcilePending(now time.Time, p pending, d Desired, o Observed) Action {
 	until := p.sentAt.Add(r.params.OrderTimeout)
 	if o.ReadAt.Before(until) {
 		return Wait{Target: o.Target, Reason: ReasonPending, Until: until}
 	}
-	if !p.wanted(w) || now.Sub(p.sentAt) >= r.params.LoadTimeout {
-		delete(r.pending, w.Target)
+	if !p.stillDesired(d) || now.Sub(p.sentAt) >= r.params.LoadTimeout {
+		delete(r.pending, d.Target)
 		return Wait{Target: o.Target, Reason: ReasonPending, Until: now}
 	}
 	p.sentAt = now
-	r.pending[w.Target] = p
+	r.pending[d.Target] = p
 	return p.order
 }
 
-// wanted reports whether the table still wants what was ordered.
-func (p pending) wanted(w Desired) bool {
+// stillDesired reports whether the table still requests what was ordered.
+func (p pending) stillDesired(d Desired) bool {
 	order := p.order.Order
 	switch order.Kind {
 	case engineapi.OrderLoadVersion:
-		return order.Version == w.Version
+		return order.Version == d.Version
 	case engineapi.OrderLoadAdapter:
-		return order.Adapter == w.Adapter
+		return order.Adapter == d.Adapter
 	case engineapi.OrderSetRole:
-		return order.Role == w.Role
+		return order.Role == d.Role
 	}
 	return false
 }
 
-// order gives an order its epoch and id, and notes it as sent.
-func (r *Rollout) order(now time.Time, o Order) Order {
+// issueOrder assigns the epoch and operation id of an order and records it as pending.
+func (r *Rollout) issueOrder(now time.Time, o Order) Order {
 	r.seq++
 	o.Order.Epoch = r.epoch
 	o.Order.OperationID = fmt.Sprintf("%s/%d.%d", o.Target, r.epoch, r.seq)
@@ -345,7 +342,7 @@
 	return o
 }
 
-// settled reports whether a state shows the effect of an order, or of a newer one.
+// settled reports whether a state shows the effect of the order or of a newer one.
 func (p pending) settled(s engineapi.State) bool {
 	order := p.order.Order
 	if s.LastOrder == order.OperationID {
--- a/internal/policy/rollout/view.go
+++ b/internal/policy/rollout/view.go
@@ -10,60 +10,60 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// view is what one step goes by.
+// view is the state on which one call of Reconcile is based.
 type view struct {
-	observed map[request.TargetID]Observed
-	loading  int                   // targets that load, or may
-	out      map[request.Model]int // replicas that don't serve
-	replicas map[request.Model]int
-	highest  uint64 // epoch that any target has seen
+	observed     map[request.TargetID]Observed
+	loading      int                   // targets that load or may be loading weights
+	unavailable  map[request.Model]int // replicas that don't serve
+	replicas     map[request.Model]int
+	highestEpoch uint64 // highest epoch reported by a target
 }
 
-func (r *Rollout) view(now time.Time, wanted []Desired, observed []Observed) *view {
+func (r *Rollout) view(now time.Time, desired []Desired, observed []Observed) *view {
 	v := &view{
-		observed: make(map[request.TargetID]Observed),
-		out:      make(map[request.Model]int),
-		replicas: make(map[request.Model]int),
+		observed:    make(map[request.TargetID]Observed),
+		unavailable: make(map[request.Model]int),
+		replicas:    make(map[request.Model]int),
 	}
 	for _, o := range observed {
-		o = r.remember(o)
+		o = r.withLastState(o)
 		v.observed[o.Target] = o
-		v.highest = max(v.highest, o.State.HighestEpoch)
+		v.highestEpoch = max(v.highestEpoch, o.State.HighestEpoch)
 	}
-	r.settle(v)
-	for _, w := range wanted {
-		o := v.of(w.Target)
-		v.replicas[w.Model]++
-		if o.Reachable && o.State.Version == w.Version {
-			delete(r.drained, w.Target)
+	r.dropSettledOrders(v)
+	for _, d := range desired {
+		o := v.observedOf(d.Target)
+		v.replicas[d.Model]++
+		if o.Reachable && o.State.Version == d.Version {
+			delete(r.drainingSince, d.Target)
 		}
-		_, drained := r.drained[w.Target]
-		loads := r.mayLoad(now, o)
+		_, drained := r.drainingSince[d.Target]
+		loads := r.mayBeLoading(now, o)
 		if loads {
 			v.loading++
 		}
 		if loads || drained || !o.Reachable || o.Leaving || o.State.Version == "" {
-			v.out[w.Model]++
+			v.unavailable[d.Model]++
 		}
 	}
 	return v
 }
 
-// remember keeps what was read last. A target that can't be read now counts as it was
-// then: a failed read says nothing, and one that loads goes on loading.
-func (r *Rollout) remember(o Observed) Observed {
+// withLastState records a successful read, and completes a failed one with the last known state. A
+// failed read does not mean that the state changed: a target that was loading continues to load.
+func (r *Rollout) withLastState(o Observed) Observed {
 	if o.Reachable {
-		r.last[o.Target] = o
+		r.lastObserved[o.Target] = o
 		return o
 	}
-	last := r.last[o.Target]
+	last := r.lastObserved[o.Target]
 	o.State, o.ReadAt = last.State, last.ReadAt
 	return o
 }
 
-// settle forgets the orders whose effect shows. A state that was read before the order
-// was sent shows nothing about it.
-func (r *Rollout) settle(v *view) {
+// dropSettledOrders removes pending orders whose effect was observed. A state that was read before an
+// order was sent says nothing about its effect.
+func (r *Rollout) dropSettledOrders(v *view) {
 	for target, p := range r.pending {
 		o, known := v.observed[target]
 		if !known {
@@ -76,14 +76,14 @@
 	}
 }
 
-// mayLoad reports whether a target loads weights as far as can be known. One that was
-// ordered to, and one that can't be read, might be loading; the latter for LoadTimeout,
-// so that a dead target does not hold up the others for ever.
-func (r *Rollout) mayLoad(now time.Time, o Observed) bool {
+// mayBeLoading reports whether a target may be loading weights. A target with a pending load order and
+// an unreachable target may be loading; the latter counts for LoadTimeout only, so that a dead target
+// does not block the others forever.
+func (r *Rollout) mayBeLoading(now time.Time, o Observed) bool {
 	if p, ok := r.pending[o.Target]; ok && p.order.Order.Kind == engineapi.OrderLoadVersion {
 		return o.Reachable || now.Sub(p.sentAt) < r.params.LoadTimeout
 	}
-	settled := r.since.Add(r.params.TakeoverWait)
+	settled := r.epochStart.Add(r.params.TakeoverWait)
 	if o.Reachable {
 		return o.State.Loading != "" || o.ReadAt.Before(settled)
 	}
@@ -97,37 +97,37 @@
 	return now.Sub(from) < r.params.LoadTimeout
 }
 
-// of returns what was observed of a target, or that it was never read.
-func (v *view) of(target request.TargetID) Observed {
+// observedOf returns the observation of a target, or one of an unreachable target if there is none.
+func (v *view) observedOf(target request.TargetID) Observed {
 	if o, ok := v.observed[target]; ok {
 		return o
 	}
 	return Observed{Target: target}
 }
 
-// mayBeOut returns how many replicas of a model may be out at once.
-func (v *view) mayBeOut(model request.Model, share float64) int {
+// maxUnavailable returns how many replicas of a model may be unavailable at once.
+func (v *view) maxUnavailable(model request.Model, share float64) int {
 	return max(1, int(float64(v.replicas[model])*share))
 }
 
-// sorted returns the targets in the order in which they are brought on: those that
-// serve nothing first, since loading them takes nothing away, then those that may be
-// ordered at once, then those with the least work, whose requests end soonest.
-func (r *Rollout) sorted(v *view, wanted []Desired) []Desired {
-	out := slices.Clone(wanted)
+// byPriority returns the targets in the order in which they are updated: first those without weights,
+// since loading them takes no capacity away, then those that may be ordered earliest, then those with
+// the fewest requests in flight, which end soonest.
+func (r *Rollout) byPriority(v *view, desired []Desired) []Desired {
+	out := slices.Clone(desired)
 	slices.SortStableFunc(out, func(a, b Desired) int {
-		emptyA, emptyB := v.of(a.Target).State.Version == "", v.of(b.Target).State.Version == ""
+		emptyA, emptyB := v.observedOf(a.Target).State.Version == "", v.observedOf(b.Target).State.Version == ""
 		if emptyA != emptyB {
 			if emptyA {
 				return -1
 			}
 			return 1
 		}
-		if c := v.of(a.Target).NoOrderBefore.Compare(v.of(b.Target).NoOrderBefore); c != 0 {
+		if c := v.observedOf(a.Target).NoOrderBefore.Compare(v.observedOf(b.Target).NoOrderBefore); c != 0 {
 			return c
 		}
 		return cmp.Or(
-			cmp.Compare(v.of(a.Target).InFlight, v.of(b.Target).InFlight),
+			cmp.Compare(v.observedOf(a.Target).InFlight, v.observedOf(b.Target).InFlight),
 			strings.Compare(string(a.Target), string(b.Target)),
 		)
 	})
