--- a/internal/policy/quarantine/quarantine.go
+++ b/internal/policy/quarantine/quarantine.go
@@ -1,16 +1,16 @@
-// Package quarantine keeps a request that crashes targets from crashing many.
+// Package quarantine limits the number of targets that one request can crash.
 //
-// The requests in flight at a target that died are suspects. A suspect runs alone, so
-// that a second death proves what caused it; at two deaths, one of them alone, it is
-// refused for a time. A request of another caller that ran beside the cause twice, since
-// its daemon died and the next one had not heard of the first death, is no more than a
-// suspect.
-// A request is known by its fingerprint, since its caller sends it again under a new
-// request id. What was found outlives a daemon and reaches its peers as Findings,
-// which merge in any order. docs/design/quarantine.md states the bound.
+// The requests in flight at a target that died are suspects. A suspect runs alone, so that a second
+// death proves its cause. After two deaths, at least one of them alone, the request is refused until
+// the record expires. A request of another caller may run beside the cause twice, if its daemon dies
+// and the next daemon has not received the record of the first death; it remains a suspect.
 //
-// The package is pure: it holds no clock, I/O, goroutine or randomness. A Register is
-// not safe for concurrent use.
+// A request is identified by its fingerprint, since callers send it again under a new request id. The
+// state outlives a daemon and reaches its peers as CrashRecords, which merge in any order.
+// docs/design/quarantine.md states the bound.
+//
+// The package is pure: it holds no clock, I/O, goroutine or randomness. A Registry is not safe for
+// concurrent use.
 package quarantine
 
 import (
@@ -23,33 +23,33 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// MaxDeaths is the number of targets that may fall to one fingerprint.
+// MaxDeaths is the number of targets that one fingerprint may crash.
 const MaxDeaths = 2
 
 // Defaults of Params.
 const (
-	DefaultKeepFor     = 30 * time.Minute
-	DefaultMaxFindings = 10_000
+	DefaultRetention  = 30 * time.Minute
+	DefaultMaxRecords = 10_000
 )
 
-// Params bounds a register. Zero values take the defaults above.
+// Params bounds a registry. Zero values take the defaults above.
 type Params struct {
-	// KeepFor is how long a finding counts after its last death.
-	KeepFor time.Duration
-	// MaxFindings bounds the findings kept; the first to expire go first.
-	MaxFindings int
-	// Counted is the number of deaths at which a request is refused although no death
-	// alone proved that it caused them. It is for targets that can't be emptied for a
-	// suspect: suspects run like any other request, and one that a target answered in
-	// full is cleared by that. Zero: suspects run alone.
-	Counted int
+	// Retention is how long a record is valid after its last death.
+	Retention time.Duration
+	// MaxRecords bounds the stored records; those that expire first are evicted first.
+	MaxRecords int
+	// UnprovenDeaths is the number of deaths at which a request is refused although none of them proved
+	// the request to be the cause. It is for targets that can't be emptied for a suspect: suspects run
+	// like any other request, and a suspect that a target answered completely is cleared. Zero:
+	// suspects run alone.
+	UnprovenDeaths int
 }
 
 // Fingerprint identifies a request by its organisation and content.
 type Fingerprint string
 
-// Of returns the fingerprint of a request: the SHA-256 digest of the organisation and
-// the parts that decide what a target does, such as the path and the body.
+// Of returns the fingerprint of a request: the SHA-256 digest of the organisation and of the parts
+// that determine the target's work, such as the path and the body.
 func Of(org request.OrgID, parts ...[]byte) Fingerprint {
 	h := sha256.New()
 	write := func(part []byte) {
@@ -65,125 +65,125 @@
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)))
 }
 
-// Mode says how a request may run.
+// Mode is the way in which a request may run.
 type Mode string
 
 const (
-	// Free lets the request run anywhere.
-	Free Mode = "free"
-	// Only lets it run at Verdict.Target, where the same request is in flight. Were
-	// equal requests spread over many targets, all of those could die before the
-	// first death is known.
-	Only Mode = "only"
-	// Alone lets it run at a target with nothing else in flight. Findings that were
-	// written by others have to be read and merged before.
+	// Unrestricted allows the request to run on any target.
+	Unrestricted Mode = "free"
+	// SameTarget allows it to run on Decision.Target, where the same request is in flight. If equal
+	// requests were spread over many targets, all these targets could die before the first death is
+	// known.
+	SameTarget Mode = "only"
+	// Alone allows it to run on a target with no other request in flight. The caller must have merged
+	// the records that other daemons wrote.
 	Alone Mode = "alone"
-	// Wait means that it is in flight as a suspect, and has to wait for that.
+	// Wait means that the request is in flight as a suspect, and has to wait for its end.
 	Wait Mode = "wait"
-	// Refuse means that it has brought down MaxDeaths targets.
+	// Refuse means that the request has crashed MaxDeaths targets.
 	Refuse Mode = "refuse"
 )
 
-// Verdict answers Gate and Begin.
-type Verdict struct {
+// Decision is the result of Check and Begin.
+type Decision struct {
 	Mode   Mode
-	Target request.TargetID // with Only
-	Err    *request.Error   // with Refuse: the final answer
+	Target request.TargetID // set with SameTarget
+	Err    *request.Error   // set with Refuse: the final error
 }
 
-// flight is one request that a target holds.
-type flight struct {
+// inFlightRequest is a request that was sent to a target.
+type inFlightRequest struct {
 	fingerprint Fingerprint
 	target      request.TargetID
 	alone       bool
 }
 
-// Register is one daemon's knowledge of suspects, and of what it has in flight.
-type Register struct {
-	params   Params
-	flights  map[request.ID]flight
-	targets  map[Fingerprint]map[request.TargetID]int // requests in flight
-	findings map[Fingerprint]*Finding
+// Registry holds one daemon's crash records and the requests that it has in flight.
+type Registry struct {
+	params          Params
+	inFlight        map[request.ID]inFlightRequest
+	inFlightTargets map[Fingerprint]map[request.TargetID]int // number of requests in flight
+	records         map[Fingerprint]*CrashRecord
 }
 
-// New returns an empty register.
-func New(p Params) *Register {
-	if p.KeepFor <= 0 {
-		p.KeepFor = DefaultKeepFor
+// New returns an empty registry.
+func New(p Params) *Registry {
+	if p.Retention <= 0 {
+		p.Retention = DefaultRetention
 	}
-	if p.MaxFindings <= 0 {
-		p.MaxFindings = DefaultMaxFindings
+	if p.MaxRecords <= 0 {
+		p.MaxRecords = DefaultMaxRecords
 	}
-	return &Register{
-		params:   p,
-		flights:  make(map[request.ID]flight),
-		targets:  make(map[Fingerprint]map[request.TargetID]int),
-		findings: make(map[Fingerprint]*Finding),
+	return &Registry{
+		params:          p,
+		inFlight:        make(map[request.ID]inFlightRequest),
+		inFlightTargets: make(map[Fingerprint]map[request.TargetID]int),
+		records:         make(map[Fingerprint]*CrashRecord),
 	}
 }
 
-// Gate says how a request may run now, before it is placed.
-func (r *Register) Gate(now time.Time, fp Fingerprint) Verdict {
-	finding := r.finding(now, fp)
-	if r.params.Counted > 0 {
-		return r.count(now, finding)
+// Check returns how a request may run now, before it is placed.
+func (r *Registry) Check(now time.Time, fp Fingerprint) Decision {
+	record := r.record(now, fp)
+	if r.params.UnprovenDeaths > 0 {
+		return r.checkUnproven(now, record)
 	}
-	running := r.targets[fp]
+	running := r.inFlightTargets[fp]
 	switch {
-	case finding != nil && finding.Proven && len(finding.Deaths) >= MaxDeaths:
-		return Verdict{Mode: Refuse, Err: refusal(now, finding)}
-	case finding != nil && len(running) > 0:
-		return Verdict{Mode: Wait}
-	case finding != nil:
-		return Verdict{Mode: Alone}
+	case record != nil && record.Proven && len(record.Deaths) >= MaxDeaths:
+		return Decision{Mode: Refuse, Err: quarantinedError(now, record)}
+	case record != nil && len(running) > 0:
+		return Decision{Mode: Wait}
+	case record != nil:
+		return Decision{Mode: Alone}
 	}
 	for target := range running {
-		return Verdict{Mode: Only, Target: target}
+		return Decision{Mode: SameTarget, Target: target}
 	}
-	return Verdict{Mode: Free}
+	return Decision{Mode: Unrestricted}
 }
 
-// count refuses a request that was in flight at too many deaths, and was never answered.
-func (r *Register) count(now time.Time, f *Finding) Verdict {
-	if f == nil || f.Answered || len(f.Deaths) < r.params.Counted {
-		return Verdict{Mode: Free}
+// checkUnproven refuses a request with UnprovenDeaths deaths that no target has answered.
+func (r *Registry) checkUnproven(now time.Time, f *CrashRecord) Decision {
+	if f == nil || f.Answered || len(f.Deaths) < r.params.UnprovenDeaths {
+		return Decision{Mode: Unrestricted}
 	}
-	return Verdict{Mode: Refuse, Err: refusal(now, f)}
+	return Decision{Mode: Refuse, Err: quarantinedError(now, f)}
 }
 
-// Sighting is the death of a target with a request in flight.
-type Sighting struct {
+// CrashReport is the death of a target with a request in flight.
+type CrashReport struct {
 	Fingerprint Fingerprint
 	Target      request.TargetID
 	Incarnation uint64 // as for OnTargetDied
 }
 
-// OnSighting notes a death with a request that is not in the register, and returns the
-// finding if it changed.
-func (r *Register) OnSighting(now time.Time, s Sighting) []Finding {
-	return r.suspect(now, s.Target, s.Incarnation, map[Fingerprint]bool{s.Fingerprint: false})
+// OnCrashReport records a death with a request that is not in the registry, and returns the record if
+// it changed.
+func (r *Registry) OnCrashReport(now time.Time, s CrashReport) []CrashRecord {
+	return r.recordDeath(now, s.Target, s.Incarnation, map[Fingerprint]bool{s.Fingerprint: false})
 }
 
-// OnAnswered is told that a target ran a request to its end. One that is suspect is cleared:
-// what crashes targets crashes each that runs it. It returns the finding if it changed.
-func (r *Register) OnAnswered(now time.Time, fp Fingerprint) []Finding {
-	f := r.finding(now, fp)
+// OnAnswered records that a target ran a request to its end. This clears a suspect, since a request
+// that crashes targets crashes each target that runs it. It returns the record if it changed.
+func (r *Registry) OnAnswered(now time.Time, fp Fingerprint) []CrashRecord {
+	f := r.record(now, fp)
 	if f == nil || f.Answered {
 		return nil
 	}
 	f.Answered = true
-	return []Finding{f.clone()}
+	return []CrashRecord{f.clone()}
 }
 
-// Begin enters a request that is about to be sent to a target. alone says that the
-// target was granted with nothing else in flight. If ok is false the request must not
-// be sent: the verdict has changed since Gate, or never allowed it.
-func (r *Register) Begin(now time.Time, fp Fingerprint, id request.ID, target request.TargetID, alone bool) (v Verdict, ok bool) {
-	v = r.Gate(now, fp)
+// Begin records a request that is about to be sent to a target. alone says that the target was granted
+// with no other request in flight. If ok is false the request must not be sent: the decision has
+// changed since Check, or never allowed it.
+func (r *Registry) Begin(now time.Time, fp Fingerprint, id request.ID, target request.TargetID, alone bool) (v Decision, ok bool) {
+	v = r.Check(now, fp)
 	switch v.Mode {
-	case Free:
+	case Unrestricted:
 		ok = true
-	case Only:
+	case SameTarget:
 		ok = v.Target == target
 	case Alone:
 		ok = alone
@@ -192,50 +192,49 @@
 		return v, false
 	}
 	r.End(id)
-	r.flights[id] = flight{fingerprint: fp, target: target, alone: alone && v.Mode == Alone}
-	if r.targets[fp] == nil {
-		r.targets[fp] = make(map[request.TargetID]int)
+	r.inFlight[id] = inFlightRequest{fingerprint: fp, target: target, alone: alone && v.Mode == Alone}
+	if r.inFlightTargets[fp] == nil {
+		r.inFlightTargets[fp] = make(map[request.TargetID]int)
 	}
-	r.targets[fp][target]++
+	r.inFlightTargets[fp][target]++
 	return v, true
 }
 
-// End is told that a request is no longer in flight: it was answered, refused or
-// cancelled. If its target has died, OnTargetDied comes first.
-func (r *Register) End(id request.ID) {
-	f, ok := r.flights[id]
+// End records that a request is no longer in flight: it was answered, refused or cancelled. If its
+// target died, OnTargetDied must be called first.
+func (r *Registry) End(id request.ID) {
+	f, ok := r.inFlight[id]
 	if !ok {
 		return
 	}
-	delete(r.flights, id)
-	running := r.targets[f.fingerprint]
+	delete(r.inFlight, id)
+	running := r.inFlightTargets[f.fingerprint]
 	running[f.target]--
 	if running[f.target] <= 0 {
 		delete(running, f.target)
 	}
 	if len(running) == 0 {
-		delete(r.targets, f.fingerprint)
+		delete(r.inFlightTargets, f.fingerprint)
 	}
 }
 
-// OnTargetDied makes suspects of all that was in flight at a target, and returns the
-// findings that changed, to be written and sent to peers before any of them is sent to
-// a target again. incarnation tells the deaths of one target apart; zero: unknown.
-func (r *Register) OnTargetDied(now time.Time, target request.TargetID, incarnation uint64) []Finding {
+// OnTargetDied makes all requests in flight at a target suspects, and returns the records that changed.
+// The caller must write them and send them to peers before it sends any of these requests to a target
+// again. incarnation distinguishes the deaths of one target; zero: unknown.
+func (r *Registry) OnTargetDied(now time.Time, target request.TargetID, incarnation uint64) []CrashRecord {
 	suspects := make(map[Fingerprint]bool) // whether it ran alone
-	for id, f := range r.flights {
+	for id, f := range r.inFlight {
 		if f.target == target {
 			suspects[f.fingerprint] = suspects[f.fingerprint] || f.alone
 			r.End(id)
 		}
 	}
-	return r.suspect(now, target, incarnation, suspects)
+	return r.recordDeath(now, target, incarnation, suspects)
 }
 
-// OnWitness is OnTargetDied for requests that other daemons had in flight, known from
-// the grants of the target's steward. It matters when the daemon that sent the request
-// has died as well.
-func (r *Register) OnWitness(now time.Time, target request.TargetID, incarnation uint64, suspects []Fingerprint) []Finding {
+// OnCoordinatorReport does the same as OnTargetDied for requests of other daemons, which the target's
+// coordinator knows from its grants. It is needed if the daemon that sent the request died as well.
+func (r *Registry) OnCoordinatorReport(now time.Time, target request.TargetID, incarnation uint64, suspects []Fingerprint) []CrashRecord {
 	distinct := make(map[Fingerprint]bool)
 	for _, fp := range suspects {
 		distinct[fp] = false
@@ -243,23 +242,23 @@
 	if len(distinct) == 1 {
 		distinct[suspects[0]] = true
 	}
-	return r.suspect(now, target, incarnation, distinct)
+	return r.recordDeath(now, target, incarnation, distinct)
 }
 
-func (r *Register) suspect(now time.Time, target request.TargetID, incarnation uint64, suspects map[Fingerprint]bool) []Finding {
-	var found []Finding
-	for _, fp := range keys(suspects) {
-		found = append(found, Finding{
+func (r *Registry) recordDeath(now time.Time, target request.TargetID, incarnation uint64, suspects map[Fingerprint]bool) []CrashRecord {
+	var records []CrashRecord
+	for _, fp := range sortedKeys(suspects) {
+		records = append(records, CrashRecord{
 			Fingerprint: fp,
-			Deaths:      []Death{deathOf(now, target, incarnation)},
-			Expires:     now.Add(r.params.KeepFor).Truncate(time.Millisecond),
+			Deaths:      []Death{newDeath(now, target, incarnation)},
+			Expires:     now.Add(r.params.Retention).Truncate(time.Millisecond),
 			Proven:      suspects[fp],
 		})
 	}
-	return r.Merge(now, found)
+	return r.Merge(now, records)
 }
 
-func refusal(now time.Time, f *Finding) *request.Error {
+func quarantinedError(now time.Time, f *CrashRecord) *request.Error {
 	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, f.Expires.Sub(now),
 		"%d targets died while they ran this request", len(f.Deaths))
 }
