--- a/internal/engineapi/engineapi.go
+++ b/internal/engineapi/engineapi.go
@@ -75,12 +75,12 @@
 
 // Codes of Error.
 const (
-	CodeWrongVersion = "wrong_version"
-	CodeStaleEpoch   = "stale_epoch"
-	CodeBusy         = "busy"
-	CodeLeaving      = "leaving"
-	CodeUnknown      = "unknown_stream"
-	CodeBadRequest   = "bad_request"
+	CodeWrongVersion  = "wrong_version"
+	CodeStaleEpoch    = "stale_epoch"
+	CodeBusy          = "busy"
+	CodeLeaving       = "leaving"
+	CodeUnknownStream = "unknown_stream"
+	CodeBadRequest    = "bad_request"
 )
 
 // Load is a lagging report of an engine's work.
@@ -165,7 +165,7 @@
 type ImportResponse struct {
 	Imported int   `json:"imported"`
 	Bytes    int64 `json:"bytes"`
-	Torn     int   `json:"torn"` // blocks that failed length or digest
+	Corrupt  int   `json:"torn"` // blocks that failed length or digest
 }
 
 // OrderKind says what an order changes.
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -22,11 +22,11 @@
 }
 
 type errorDetail struct {
-	Code         request.Code `json:"code"`
-	Message      string       `json:"message"`
-	Field        string       `json:"field,omitempty"`
-	Ran          request.Ran  `json:"ran"`
-	RetryAfterMs int64        `json:"retry_after_ms,omitempty"`
+	Code         request.Code       `json:"code"`
+	Message      string             `json:"message"`
+	Field        string             `json:"field,omitempty"`
+	Ran          request.RunOutcome `json:"ran"`
+	RetryAfterMs int64              `json:"retry_after_ms,omitempty"`
 }
 
 func detailOf(e *request.Error) errorDetail {
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -63,10 +63,10 @@
 	sent        bool // the present try of a call may have reached its target
 	replay      *journal.Result
 	tries       int
-	ran         request.Ran // what is known of earlier tries; empty: none was made
-	output      int64       // tokens relayed, for the limiter
-	prefilled   int64       // tokens recomputed, for the steward
-	failed      bool        // the target failed with this request
+	ran         request.RunOutcome // what is known of earlier tries; empty: none was made
+	output      int64              // tokens relayed, for the limiter
+	prefilled   int64              // tokens recomputed, for the steward
+	failed      bool               // the target failed with this request
 }
 
 // serviceCall is a call of a plain service.
@@ -87,7 +87,7 @@
 func (j *Job) Decided(err error) { j.decided <- err }
 
 // noteRan remembers how an earlier try ended. That one ran outweighs that one may have.
-func (j *Job) noteRan(ran request.Ran) {
+func (j *Job) noteRan(ran request.RunOutcome) {
 	if j.ran == request.DidRun || j.ran == request.InDoubt && ran == request.NotRun {
 		return
 	}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -160,7 +160,7 @@
 	return client.RecoverSilence(ctx) == nil
 }
 
-func cancelled(ran request.Ran) *request.Error {
+func cancelled(ran request.RunOutcome) *request.Error {
 	return &request.Error{Code: request.CodeCancelled, Status: statusClientGone, Message: "the caller left", Ran: ran}
 }
 
--- a/internal/loadgen/try.go
+++ b/internal/loadgen/try.go
@@ -28,10 +28,10 @@
 
 // refusal is an answer that says why there is none.
 type refusal struct {
-	Code         request.Code `json:"code"`
-	Message      string       `json:"message"`
-	Ran          request.Ran  `json:"ran"`
-	RetryAfterMs int64        `json:"retry_after_ms"`
+	Code         request.Code       `json:"code"`
+	Message      string             `json:"message"`
+	Ran          request.RunOutcome `json:"ran"`
+	RetryAfterMs int64              `json:"retry_after_ms"`
 }
 
 // Error implements the error interface.
--- a/internal/mirror/group.go
+++ b/internal/mirror/group.go
@@ -107,10 +107,10 @@
 	}
 	c := &Group{
 		relayed: o.Relayed,
-		client:  &transfer.Client{HTTP: o.Client, Head: readTimeout}, log: o.Logger.Named("copies"), metrics: o.Metrics,
+		client:  &transfer.Client{HTTP: o.Client, HeaderTimeout: readTimeout}, log: o.Logger.Named("copies"), metrics: o.Metrics,
 		by: map[string]*Mirror{}, lags: map[string]*lag{},
 	}
-	c.client.Done = c.countReceived
+	c.client.OnClose = c.countReceived
 	for _, m := range o.Mirrors {
 		c.order = append(c.order, m.prefix)
 		c.by[m.prefix] = m
@@ -227,7 +227,7 @@
 }
 
 func (c *Group) countReceived(_ *http.Request, result transfer.Result) {
-	c.metrics.Tagged(map[string]string{"whole": strconv.FormatBool(result.Whole)}).Counter("copies_received_bytes").Inc(result.Received)
+	c.metrics.Tagged(map[string]string{"whole": strconv.FormatBool(result.Complete)}).Counter("copies_received_bytes").Inc(result.Received)
 }
 
 // Read implements Copies.
--- a/internal/placer/eligible_test.go
+++ b/internal/placer/eligible_test.go
@@ -149,7 +149,7 @@
 	j := job("s")
 	j.Route.Homes = []routing.Region{"us"} // the store stands in failure domain "a"
 	p := place(t, w, j)
-	for i, to := range p.Send.SaveTo {
+	for i, to := range p.Meta.SaveTo {
 		if to != "" {
 			t.Errorf("part %d is saved to %s", i, to)
 		}
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -119,7 +119,7 @@
 	}
 	version := r.Weights(j.Model)
 	own := cacheSalt(version, j.Org)
-	send := relay.Send{Weights: version, CacheSalt: own, Urgency: min(maxUrgency, j.Priority())}
+	send := relay.AttemptMeta{Weights: version, CacheSalt: own, Priority: min(maxUrgency, j.Priority())}
 	if own != salt {
 		// While weights are rolled out the replica may serve others than were asked for.
 		e.release(salt, j, stored)
@@ -132,7 +132,7 @@
 	e.record(r, j, own)
 	first, stop := e.watchFetch(chosen, need, sources, stored)
 	return &relay.Placement{
-		Replica: r, Send: send, BeginBy: e.beginBy(j.Model, version), First: first, Ended: e.ended(stop, own, j, stored), Reason: reason(chosen, &send, j.OutputTokens),
+		Replica: r, Meta: send, StartDeadline: e.beginBy(j.Model, version), OnFirstEvent: first, OnEnd: e.ended(stop, own, j, stored), Reason: reason(chosen, &send, j.OutputTokens),
 		Flight: begin(r, need, pick.Default.ToCompute(need, chosen.Parts)),
 	}, nil
 }
@@ -144,7 +144,7 @@
 	for len(usable) > 0 {
 		candidates := e.candidates(j, usable, salt, stored)
 		n := pick.Sampled(pick.Default, need, candidates)
-		if err := admit(pick.Default.Wait(need, &candidates[n]), longest); err != nil && !j.Begun {
+		if err := admit(pick.Default.Wait(need, &candidates[n]), longest); err != nil && !j.ResponseStarted {
 			return nil, nil, err
 		}
 		if e.Quotas.Take(time.Now(), usable[n]) {
@@ -305,7 +305,7 @@
 // comes over a link that nobody counted it on. A link that had turned slow was held full by the
 // beginnings that prompts share, which all replicas fetched anew while waiting prompts took their
 // memory; each prompt waited for as long as fetches may take, for seconds after the link was well.
-func unfetch(send *relay.Send, parts []pick.Part, sources []pick.Source, stored []Stored) []Stored {
+func unfetch(send *relay.AttemptMeta, parts []pick.Part, sources []pick.Source, stored []Stored) []Stored {
 	unused := make([]Stored, len(parts))
 	computed := false
 	for i, source := range sources {
@@ -325,7 +325,7 @@
 // reason tells for the log, part by part, what is thought to lie in the replica's memory
 // (m), is fetched from a store (s) or another replica (r), or is computed (-), a + for one
 // that is saved, and the replica's load.
-func reason(c *pick.Candidate, send *relay.Send, output int) string {
+func reason(c *pick.Candidate, send *relay.AttemptMeta, output int) string {
 	var b strings.Builder
 	for i, p := range c.Parts {
 		switch {
@@ -368,7 +368,7 @@
 
 // fill names where each part comes from and goes to. A source is named also for parts
 // thought to be there: the replica fetches only what it lacks.
-func (e *Engine) fill(send *relay.Send, j *relay.Job, stored []Stored, until int64, to *replicas.Replica) {
+func (e *Engine) fill(send *relay.AttemptMeta, j *relay.Job, stored []Stored, until int64, to *replicas.Replica) {
 	send.FetchFrom = make([]string, len(j.Parts))
 	send.SaveTo = make([]string, len(j.Parts))
 	for i := range j.Parts {
--- a/internal/placer/memory.go
+++ b/internal/placer/memory.go
@@ -84,7 +84,7 @@
 }
 
 // fillFromPeers names another replica for parts that no store gives.
-func (e *Engine) fillFromPeers(send *relay.Send, j *relay.Job, to *replicas.Replica) {
+func (e *Engine) fillFromPeers(send *relay.AttemptMeta, j *relay.Job, to *replicas.Replica) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i, p := range j.Parts {
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -106,7 +106,7 @@
 
 func done(p *relay.Placement) {
 	p.Flight.End()
-	p.Ended(true)
+	p.OnEnd(true)
 }
 
 // A session returns and goes where its context lies, as long as that replica is free.
@@ -137,7 +137,7 @@
 	again.Started = 1_772_000_000_000
 	w.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{again}})
 	p := place(t, w, job("s"))
-	for _, from := range p.Send.FetchFrom {
+	for _, from := range p.Meta.FetchFrom {
 		if from != "" {
 			t.Errorf("a part is fetched from %s, which holds nothing", from)
 		}
@@ -157,14 +157,14 @@
 	w := newWorld(1)
 	w.shelf.held["w1/shared"] = true
 	p := place(t, w, job("s"))
-	if got := p.Send.FetchFrom; got[0] != "store:1" || got[1] != "" || got[2] != "" {
+	if got := p.Meta.FetchFrom; got[0] != "store:1" || got[1] != "" || got[2] != "" {
 		t.Errorf("fetch %q", got)
 	}
-	if got := p.Send.SaveTo; got[0] != "" || got[1] != "store:1" || got[2] != "" {
+	if got := p.Meta.SaveTo; got[0] != "" || got[1] != "store:1" || got[2] != "" {
 		t.Errorf("save %q", got)
 	}
-	if until := p.Send.FetchUntil; until <= 0 || until > leave || p.Send.CacheSalt != "w1" || p.Send.Weights != 1 {
-		t.Errorf("sent %+v", p.Send)
+	if until := p.Meta.FetchUntil; until <= 0 || until > leave || p.Meta.CacheSalt != "w1" || p.Meta.Weights != 1 {
+		t.Errorf("sent %+v", p.Meta)
 	}
 }
 
@@ -175,7 +175,7 @@
 	alone, other := job("s"), job("s")
 	alone.Org = &routing.Org{ID: "o1", Isolated: true}
 	other.Org = &routing.Org{ID: "o2"}
-	a, b := place(t, w, alone).Send.CacheSalt, place(t, w, other).Send.CacheSalt
+	a, b := place(t, w, alone).Meta.CacheSalt, place(t, w, other).Meta.CacheSalt
 	if a == b || b != "w1" {
 		t.Errorf("salts %q and %q", a, b)
 	}
@@ -187,8 +187,8 @@
 	w := newWorld(2)
 	w.named = 2
 	p := place(t, w, job("s"))
-	if want := w.since.Add(2 * time.Second); !p.BeginBy.Equal(want) {
-		t.Errorf("must begin by %s, want %s", p.BeginBy, want)
+	if want := w.since.Add(2 * time.Second); !p.StartDeadline.Equal(want) {
+		t.Errorf("must begin by %s, want %s", p.StartDeadline, want)
 	}
 	done(p)
 	w.since = time.Now().Add(-1100 * time.Millisecond)
@@ -198,8 +198,8 @@
 		t.Fatalf("got %v", err)
 	}
 	w.put(1, 2)
-	if p := place(t, w, job("s")); p.Replica.Info().ID != "r1" || p.Send.CacheSalt != "w2" || !p.BeginBy.IsZero() {
-		t.Errorf("placed at %s with %+v", p.Replica.Info().ID, p.Send)
+	if p := place(t, w, job("s")); p.Replica.Info().ID != "r1" || p.Meta.CacheSalt != "w2" || !p.StartDeadline.IsZero() {
+		t.Errorf("placed at %s with %+v", p.Replica.Info().ID, p.Meta)
 	}
 }
 
@@ -212,8 +212,8 @@
 	w.shelf.held["w2/shared"] = true
 	w.set.Get("r1").Load.Begin(49_000, 20_000) // the one on new weights is busy
 	p := place(t, w, job("s"))
-	if p.Replica.Info().ID != "r0" || p.Send.CacheSalt != "w1" || p.Send.FetchFrom[0] != "" {
-		t.Errorf("at %s: %+v", p.Replica.Info().ID, p.Send)
+	if p.Replica.Info().ID != "r0" || p.Meta.CacheSalt != "w1" || p.Meta.FetchFrom[0] != "" {
+		t.Errorf("at %s: %+v", p.Replica.Info().ID, p.Meta)
 	}
 }
 
@@ -253,7 +253,7 @@
 	w := newWorld(1)
 	w.set.Get("r0").Load.Begin(1000, 30_000) // 600 ms of prompts
 	begun := job("s")
-	begun.Begun = true
+	begun.ResponseStarted = true
 	if _, err := w.engine.Place(context.Background(), begun, nil); err != nil {
 		t.Errorf("refused: %v", err)
 	}
@@ -278,7 +278,7 @@
 		t.Error("nothing is reported")
 	}
 	p := place(t, w, job("s"))
-	p.First()
+	p.OnFirstEvent()
 	select {
 	case got := <-reported:
 		if got.Overdue {
@@ -302,7 +302,7 @@
 		if busy {
 			w.set.Get(id(0)).Load.Begin(100, quietPrefill+1)
 		}
-		place(t, w, job("s")).First()
+		place(t, w, job("s")).OnFirstEvent()
 		got := <-reported
 		if got.Overdue || got.Busy != busy || got.Claim != int64(len(job("s").Parts)) {
 			t.Errorf("busy %t: reported %+v", busy, got)
@@ -372,7 +372,7 @@
 	for _, ran := range []bool{true, false} {
 		w := newWorld(1)
 		p := place(t, w, job("s"))
-		p.Ended(ran)
+		p.OnEnd(ran)
 		if gaveBack := len(w.shelf.released) > 0; gaveBack == ran {
 			t.Errorf("ran %t: gave back %v", ran, w.shelf.released)
 		}
@@ -386,8 +386,8 @@
 	w.shelf.held["w1/shared"], w.shelf.held["w1/s"] = true, true
 	w.shelf.takes = 10 * time.Second
 	p := place(t, w, job("s"))
-	if p.Send.FetchFrom[0] != "" || p.Send.FetchFrom[1] != "" {
-		t.Fatalf("fetches from %v", p.Send.FetchFrom)
+	if p.Meta.FetchFrom[0] != "" || p.Meta.FetchFrom[1] != "" {
+		t.Fatalf("fetches from %v", p.Meta.FetchFrom)
 	}
 	if want := []string{"w1/shared", "w1/s"}; !slices.Equal(w.shelf.released, want) {
 		t.Errorf("gave back %v, want %v", w.shelf.released, want)
@@ -416,8 +416,8 @@
 		j.Parts = j.Parts[1:2]
 		j.Start = time.Now().Add(-c.waited)
 		p := place(t, w, j)
-		got := storeroom.LeaveFor - time.Duration(leave-p.Send.FetchUntil)*time.Millisecond
-		if p.Send.FetchFrom[0] == "" {
+		got := storeroom.LeaveFor - time.Duration(leave-p.Meta.FetchUntil)*time.Millisecond
+		if p.Meta.FetchFrom[0] == "" {
 			t.Fatalf("%s: not fetched", c.name)
 		}
 		if got < c.atLeast || got > c.limit {
@@ -432,14 +432,14 @@
 	w := newWorld(1)
 	w.shelf.held["w1/shared"] = true
 	p := place(t, w, job("s"))
-	p.Ended(true)
+	p.OnEnd(true)
 	if want := []string{"w1/shared"}; !slices.Equal(w.shelf.released, want) {
 		t.Errorf("gave back %v, want %v", w.shelf.released, want)
 	}
 	p = place(t, w, job("t"))
 	w.shelf.released = nil
-	p.First()
-	p.Ended(true)
+	p.OnFirstEvent()
+	p.OnEnd(true)
 	if len(w.shelf.released) > 0 {
 		t.Errorf("gave back %v after the first token", w.shelf.released)
 	}
@@ -459,8 +459,8 @@
 		w.shelf.held["w1/shared"] = true
 		w.shelf.takes = c.takes
 		p := place(t, w, job("s"))
-		if named := p.Send.FetchFrom[0] != ""; named != c.named {
-			t.Errorf("%s: fetch from %q", c.takes, p.Send.FetchFrom)
+		if named := p.Meta.FetchFrom[0] != ""; named != c.named {
+			t.Errorf("%s: fetch from %q", c.takes, p.Meta.FetchFrom)
 		}
 	}
 }
--- a/internal/planner/import.go
+++ b/internal/planner/import.go
@@ -127,7 +127,7 @@
 		if err != nil {
 			return bytes, err
 		}
-		if answer.Torn > 0 {
+		if answer.Corrupt > 0 {
 			return bytes, errTorn
 		}
 		if answer.Imported < len(blocks) {
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -56,7 +56,7 @@
 		addresses: opts.Addresses,
 		clientID:  opts.ClientID,
 		timeout:   opts.Timeout,
-		http:      &transfer.Client{HTTP: &http.Client{Transport: rt}, Head: opts.Timeout},
+		http:      &transfer.Client{HTTP: &http.Client{Transport: rt}, HeaderTimeout: opts.Timeout},
 		health:    health,
 	}
 }
--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -45,7 +45,7 @@
 				var code, ran string
 				d.ScanArgs(t, "code", &code)
 				d.ScanArgs(t, "ran", &ran)
-				f := Failure{Err: &request.Error{Code: request.Code(code), Ran: request.Ran(ran)}, Resumable: d.HasArg("resumable")}
+				f := Failure{Err: &request.Error{Code: request.Code(code), Ran: request.RunOutcome(ran)}, Resumable: d.HasArg("resumable")}
 				return describe(b.Decide(now, rng, r, f)) + fmt.Sprintf("%.1f left\n", b.Left(now))
 			}
 			d.Fatalf(t, "unknown command %s", d.Cmd)
@@ -87,7 +87,7 @@
 			first++
 			r := Request{Repeatable: rng.IntN(2) == 0, Started: rng.IntN(4) == 0}
 			for {
-				ran := []request.Ran{request.NotRun, request.DidRun, request.InDoubt}[rng.IntN(3)]
+				ran := []request.RunOutcome{request.NotRun, request.DidRun, request.InDoubt}[rng.IntN(3)]
 				f := Failure{Err: &request.Error{Code: codes[rng.IntN(len(codes))], Ran: ran}, Resumable: rng.IntN(4) == 0}
 				d := b.Decide(now, rng, r, f)
 				if _, ok := d.(ResumeStream); ok {
--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -15,7 +15,7 @@
 // accept reads a request whole and finds its route and organisation.
 func (s *Server) accept(r *http.Request) (*Job, error) {
 	j := &Job{Start: time.Now(), Method: r.Method, Host: r.Host, URI: r.RequestURI, Header: r.Header}
-	meta, metaErr := s.o.Dialect.Meta(r.Header)
+	meta, metaErr := s.o.Dialect.ParseRequest(r.Header)
 	j.Meta = meta // also for the log of a refusal
 	state, current := s.o.State()
 	if state == nil {
@@ -30,7 +30,7 @@
 		return j, request.Refuse(request.CodeDraining, http.StatusServiceUnavailable, stoppingRetry, "this daemon stops")
 	}
 	if state.NeedsKey(j.Route) {
-		if j.Org = state.OrgOf(s.o.Dialect.Key(r.Header)); j.Org == nil {
+		if j.Org = state.OrgOf(s.o.Dialect.CallerKey(r.Header)); j.Org == nil {
 			return j, s.ifCurrent(current, request.Refuse(request.CodeUnauthorized, http.StatusUnauthorized, 0, "the key is not known"))
 		}
 	}
@@ -57,7 +57,7 @@
 // notReadyBack returns when to come back to a daemon that waits for the desired state. Callers come
 // back a few times only: told half a second in an outage of two, they used up their retries in it.
 func (s *Server) notReadyBack() time.Duration {
-	expected := time.Duration(outageFactor * float64(s.o.Outage()))
+	expected := time.Duration(outageFactor * float64(s.o.OutageDuration()))
 	back := min(max(notReadyRetry, expected), maxNotReadyRetry)
 	return time.Duration(float64(back) * (1 - notReadySpread/2 + notReadySpread*rand.Float64()))
 }
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -41,7 +41,7 @@
 }
 
 func (s *Server) deliverWhole(w http.ResponseWriter, j *Job, t *try) {
-	s.o.Dialect.Incoming(w.Header(), t.response.Header)
+	s.o.Dialect.CopyResponseHeader(w.Header(), t.response.Header)
 	w.Header().Set("Content-Length", fmt.Sprint(len(t.body)))
 	s.closeIfStopping(w)
 	w.WriteHeader(t.response.Status)
@@ -56,7 +56,7 @@
 // deliverLong passes a long answer on as it comes. Where it breaks off, so does ours: the
 // connection ends without the closing chunk.
 func (s *Server) deliverLong(w http.ResponseWriter, j *Job, t *try) {
-	s.o.Dialect.Incoming(w.Header(), t.response.Header)
+	s.o.Dialect.CopyResponseHeader(w.Header(), t.response.Header)
 	if n := t.response.ContentLength; n >= 0 {
 		w.Header().Set("Content-Length", fmt.Sprint(n))
 	}
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -16,8 +16,8 @@
 		status = t.response.Status
 	}
 	s.o.Metrics.Tagged(map[string]string{"outcome": t.outcome.String()}).Counter("tries").Inc(1)
-	s.o.Logger.Info(loglines.TryFailed, "request", j.ID, "try", sends, "replica", t.placement.Send.Replica,
-		"outcome", t.outcome.String(), "status", status, "weights", t.placement.Send.Weights,
+	s.o.Logger.Info(loglines.TryFailed, "request", j.ID, "try", sends, "replica", t.placement.Meta.Replica,
+		"outcome", t.outcome.String(), "status", status, "weights", t.placement.Meta.Weights,
 		"why", t.placement.Reason, "error", t.err, "retry_after_ms", t.answer.RetryAfter.Milliseconds(), "after_ms", sinceMs(j.Start))
 }
 
@@ -34,7 +34,7 @@
 	if !s.o.Logger.IsInfo() {
 		return
 	}
-	args := []any{"request", j.ID, "route", j.Route.Name, "how", how, "status", t.response.Status, "replica", t.placement.Send.Replica,
+	args := []any{"request", j.ID, "route", j.Route.Name, "how", how, "status", t.response.Status, "replica", t.placement.Meta.Replica,
 		"why", t.placement.Reason, "after_ms", sinceMs(j.Start)}
 	if late := lateness(j, t, k, first); late != "" {
 		args = append(args, "late", late)
--- a/internal/relay/outage_test.go
+++ b/internal/relay/outage_test.go
@@ -8,7 +8,7 @@
 // Callers come back a few times only. In an outage of seconds they are told to come back when it may
 // be over, and not all at once.
 func TestCallersAreToldToComeBackAfterTheOutage(t *testing.T) {
-	s := New(Options{Outage: func() time.Duration { return 1400 * time.Millisecond }})
+	s := New(Options{OutageDuration: func() time.Duration { return 1400 * time.Millisecond }})
 	seen := map[time.Duration]bool{}
 	for range 50 {
 		back := s.notReadyBack()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,26 +25,26 @@
 // plainDialect is the smallest set of headers that the relay needs.
 type plainDialect struct{}
 
-func (plainDialect) Meta(h http.Header) (Meta, error) {
-	m := Meta{ID: request.ID(h.Get("Id")), LastEvent: h.Get("Last")}
+func (plainDialect) ParseRequest(h http.Header) (Meta, error) {
+	m := Meta{ID: request.ID(h.Get("Id")), LastEventID: h.Get("Last")}
 	if ms, err := strconv.Atoi(h.Get("Left")); err == nil {
 		m.TimeLeft = time.Duration(ms) * time.Millisecond
 	}
 	return m, nil
 }
 
-func (plainDialect) Key(h http.Header) string { return h.Get("Key") }
+func (plainDialect) CallerKey(h http.Header) string { return h.Get("Key") }
 
-func (plainDialect) Outgoing(h http.Header, s Send) http.Header {
+func (plainDialect) AttemptHeader(h http.Header, s AttemptMeta) http.Header {
 	out := http.Header{"Id": h["Id"], "Left": {strconv.FormatInt(s.TimeLeft.Milliseconds(), 10)}, "Org": {string(s.Org)}}
-	if s.LastEvent != "" {
-		out["Last"] = []string{s.LastEvent}
+	if s.LastEventID != "" {
+		out["Last"] = []string{s.LastEventID}
 	}
 	return out
 }
 
-func (plainDialect) Answer(status int, h http.Header) Answer {
-	a := Answer{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest}
+func (plainDialect) ParseResponse(status int, h http.Header) ResponseMeta {
+	a := ResponseMeta{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest}
 	if limit := h.Get("Limit"); limit != "" {
 		a.RateLimit, a.Invalid = strconv.ParseFloat(limit, 64)
 	}
@@ -54,7 +54,7 @@
 	return a
 }
 
-func (plainDialect) Incoming(to, from http.Header) {
+func (plainDialect) CopyResponseHeader(to, from http.Header) {
 	for _, name := range []string{"Id", "Signed", "Content-Type"} {
 		if v := from[name]; v != nil {
 			to[name] = v
@@ -115,8 +115,8 @@
 	w.state = routing.NewSnapshot(1, routes, []*routing.Service{{ID: "s"}}, keys, routing.CallerLimits{MaxBodyBytes: 1000})
 	w.server = New(Options{
 		Dialect: plainDialect{}, Plain: w.placer,
-		State:  func() (*routing.Snapshot, bool) { return w.state, w.current },
-		Budget: func() retry.Params { return retry.Params{Burst: 10} },
+		State:       func() (*routing.Snapshot, bool) { return w.state, w.current },
+		RetryBudget: func() retry.Params { return retry.Params{Burst: 10} },
 	})
 	w.front = httptest.NewServer(w.server)
 	t.Cleanup(w.front.Close)
@@ -467,7 +467,7 @@
 	stream.Prefix = "/stream/"
 	w := newWorld(t, stream, route(routing.KindOnce))
 	w.replica(func(c net.Conn, id string) { ok(c, id, "fine") })
-	w.server.Stop(-time.Millisecond)
+	w.server.StartDraining(-time.Millisecond)
 	if answer, _, err := w.call(http.MethodPost, "/stream/x", nil); err != nil || answer.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("stream: %v, %v", answer, err)
 	}
@@ -505,7 +505,7 @@
 	started uint64 // of the replica that died last
 }
 
-func (c *counted) Refused(fingerprint func() quarantine.Fingerprint) *request.Error {
+func (c *counted) Check(fingerprint func() quarantine.Fingerprint) *request.Error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.deaths[fingerprint()] < 3 {
@@ -514,14 +514,14 @@
 	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, time.Minute, "replicas died")
 }
 
-func (c *counted) Died(_ context.Context, s quarantine.Sighting) {
+func (c *counted) RecordCrash(_ context.Context, s quarantine.Sighting) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deaths[s.Fingerprint]++
 	c.started = s.Incarnation
 }
 
-func (c *counted) Answered(context.Context, func() quarantine.Fingerprint) {}
+func (c *counted) RecordSuccess(context.Context, func() quarantine.Fingerprint) {}
 
 func (c *counted) all() int {
 	c.mu.Lock()
@@ -539,7 +539,7 @@
 func TestRequestThatCrashesReplicasIsStopped(t *testing.T) {
 	w := newWorld(t, route(routing.KindOnce))
 	suspects := &counted{deaths: map[quarantine.Fingerprint]int{}}
-	w.server.o.Suspects = suspects
+	w.server.o.CrashTracker = suspects
 	for range 6 {
 		w.crashing()
 	}
@@ -570,7 +570,7 @@
 // a replica that is idle. It was refused after two, with "no replica took it".
 func TestDeadReplicasCostNoBudget(t *testing.T) {
 	w := newWorld(t, route(routing.KindOnce))
-	w.server.o.Budget = func() retry.Params { return retry.Params{Burst: 0.1, Share: 0.001, PerSecond: 0.001} }
+	w.server.o.RetryBudget = func() retry.Params { return retry.Params{Burst: 0.1, Share: 0.001, PerSecond: 0.001} }
 	for range maxUnsent - 1 {
 		w.deadReplica()
 	}
@@ -588,7 +588,7 @@
 // Retries of all daemons share one budget. Used up, a failed try is the end.
 func TestRetriesKeepToTheBudget(t *testing.T) {
 	w := newWorld(t, route(routing.KindIdempotent))
-	w.server.o.Budget = func() retry.Params { return retry.Params{Burst: 1, Share: 0.001, PerSecond: 0.001} }
+	w.server.o.RetryBudget = func() retry.Params { return retry.Params{Burst: 1, Share: 0.001, PerSecond: 0.001} }
 	w.replica(cut)
 	w.replica(func(c net.Conn, id string) { ok(c, id, "fine") })
 	statuses := []int{}
@@ -626,7 +626,7 @@
 func (h *hurried) Place(ctx context.Context, j *Job, tried []request.TargetID) (*Placement, error) {
 	p, err := h.listed.Place(ctx, j, tried)
 	if err == nil && len(tried) == 0 {
-		p.BeginBy = time.Now().Add(50 * time.Millisecond)
+		p.StartDeadline = time.Now().Add(50 * time.Millisecond)
 	}
 	return p, err
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -55,14 +55,14 @@
 	// State returns the desired state in force, nil if none is known, and whether it is
 	// surely current.
 	State func() (s *routing.Snapshot, current bool)
-	// Outage returns for how long nothing could be read that might be newer; nil: unknown.
-	Outage func() time.Duration
-	// Budget bounds the retries of one service here; the share of this daemon.
-	Budget func() retry.Params
-	// Suspects refuses requests that crash replicas; nil: none is refused.
-	Suspects Suspects
-	Logger   hclog.Logger
-	Metrics  tally.Scope
+	// OutageDuration returns for how long nothing could be read that might be newer; nil: unknown.
+	OutageDuration func() time.Duration
+	// RetryBudget bounds the retries of one service here; the share of this daemon.
+	RetryBudget func() retry.Params
+	// CrashTracker refuses requests that crash replicas; nil: none is refused.
+	CrashTracker CrashTracker
+	Logger       hclog.Logger
+	Metrics      tally.Scope
 }
 
 // Server is the callers' HTTP handler.
@@ -87,8 +87,8 @@
 	if o.Metrics == nil {
 		o.Metrics = tally.NoopScope
 	}
-	if o.Outage == nil {
-		o.Outage = func() time.Duration { return 0 }
+	if o.OutageDuration == nil {
+		o.OutageDuration = func() time.Duration { return 0 }
 	}
 	o.Logger = o.Logger.Named("relay")
 	s := &Server{
@@ -103,9 +103,9 @@
 	return s
 }
 
-// Stop makes each answer the last on its connection. Streams that come later than
+// StartDraining makes each answer the last on its connection. Streams that come later than
 // lastStream are refused: they could outlast the process.
-func (s *Server) Stop(lastStream time.Duration) {
+func (s *Server) StartDraining(lastStream time.Duration) {
 	s.noStreams.Set(time.Now().Add(lastStream))
 	s.stopping.Store(true)
 }
@@ -122,8 +122,8 @@
 		s.refuse(w, j, err)
 		return
 	}
-	if s.o.Suspects != nil {
-		if err := s.o.Suspects.Refused(j.fingerprint); err != nil {
+	if s.o.CrashTracker != nil {
+		if err := s.o.CrashTracker.Check(j.fingerprint); err != nil {
 			s.refuse(w, j, err)
 			return
 		}
@@ -136,18 +136,18 @@
 // serve sends the job until it is answered, or nothing more may be tried.
 func (s *Server) serve(ctx context.Context, w http.ResponseWriter, j *Job) {
 	s.budget(j.Service.ID, func(b *retry.Budget) bool { b.OnFirstTry(time.Now()); return true })
-	k := &sink{w: w, control: http.NewResponseController(w), last: j.LastEvent}
+	k := &sink{w: w, control: http.NewResponseController(w), last: j.LastEventID}
 	var tried []request.TargetID
 	var n counts
 	for {
-		j.Begun = k.started
+		j.ResponseStarted = k.started
 		p, err := s.placer(j).Place(ctx, j, tried)
 		if err != nil {
 			s.end(ctx, w, j, k, n.mayHaveRun > 0, err)
 			return
 		}
-		if k.last != j.LastEvent {
-			p.Send.LastEvent = k.last
+		if k.last != j.LastEventID {
+			p.Meta.LastEventID = k.last
 		}
 		t := s.send(ctx, j, p)
 		if t.outcome == answered {
@@ -166,7 +166,7 @@
 		}
 		s.logTry(j, t, n.sent+n.unsent)
 		t.done(t.body != nil)
-		tried = append(tried, p.Send.Replica)
+		tried = append(tried, p.Meta.Replica)
 		if ctx.Err() != nil || t.outcome == callerEnd || !s.mayFollow(ctx, j, t, n, k) {
 			s.end(ctx, w, j, k, n.mayHaveRun > 0, t.err)
 			return
@@ -238,7 +238,7 @@
 	defer s.mu.Unlock()
 	b, ok := s.budgets[id]
 	if !ok {
-		b = retry.NewBudget(time.Now(), s.o.Budget())
+		b = retry.NewBudget(time.Now(), s.o.RetryBudget())
 		s.budgets[id] = b
 	}
 	return use(b)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -126,7 +126,7 @@
 	}
 	k.started = true
 	k.firstAt = time.Now()
-	s.o.Dialect.Incoming(k.w.Header(), t.response.Header)
+	s.o.Dialect.CopyResponseHeader(k.w.Header(), t.response.Header)
 	s.closeIfStopping(k.w)
 	k.w.WriteHeader(t.response.Status)
 }
--- a/internal/relay/try.go
+++ b/internal/relay/try.go
@@ -32,7 +32,7 @@
 type try struct {
 	placement *Placement
 	response  *upstream.Response
-	answer    Answer
+	answer    ResponseMeta
 	body      []byte // of an answer that is read whole before it is delivered
 	cancel    context.CancelFunc
 	timer     *time.Timer // of giveUpUnbegun, nil if there is none
@@ -48,14 +48,14 @@
 		return
 	}
 	t.placement.Flight.Computed()
-	if t.placement.First != nil {
-		t.placement.First()
+	if t.placement.OnFirstEvent != nil {
+		t.placement.OnFirstEvent()
 	}
 }
 
 // giveUpUnbegun ends the try at BeginBy unless it has begun.
 func (t *try) giveUpUnbegun() {
-	by := t.placement.BeginBy
+	by := t.placement.StartDeadline
 	if by.IsZero() {
 		return
 	}
@@ -77,8 +77,8 @@
 		t.timer.Stop()
 	}
 	t.placement.Flight.End()
-	if t.placement.Ended != nil {
-		t.placement.Ended(t.outcome != notRun && t.outcome != notSent)
+	if t.placement.OnEnd != nil {
+		t.placement.OnEnd(t.outcome != notRun && t.outcome != notSent)
 	}
 }
 
@@ -91,15 +91,15 @@
 func (s *Server) send(ctx context.Context, j *Job, p *Placement) *try {
 	ctx, cancel := context.WithCancel(ctx)
 	t := &try{placement: p, cancel: cancel}
-	p.Send.Replica = p.Replica.Info().ID
-	p.Send.Org = j.OrgID()
-	p.Send.TimeLeft = time.Until(j.Deadline)
+	p.Meta.Replica = p.Replica.Info().ID
+	p.Meta.Org = j.OrgID()
+	p.Meta.TimeLeft = time.Until(j.Deadline)
 	t.giveUpUnbegun()
 	p.Replica.Health.Try()
 	t.response, t.err = p.Replica.Pool.Do(ctx, &upstream.Request{
 		Method: j.Method, URI: j.URI, Host: j.Host, Body: j.Body,
-		Header: s.o.Dialect.Outgoing(j.Header, p.Send),
-		Mine:   func(h http.Header) bool { return s.o.Dialect.Answer(0, h).ID == string(j.ID) },
+		Header:  s.o.Dialect.AttemptHeader(j.Header, p.Meta),
+		Matches: func(h http.Header) bool { return s.o.Dialect.ParseResponse(0, h).ID == string(j.ID) },
 	})
 	if t.err != nil {
 		t.outcome = s.unanswered(ctx, p, t.err)
@@ -108,7 +108,7 @@
 		}
 		return t
 	}
-	t.answer = s.o.Dialect.Answer(t.response.Status, t.response.Header)
+	t.answer = s.o.Dialect.ParseResponse(t.response.Status, t.response.Header)
 	s.noteSignals(t)
 	t.outcome = s.judge(j, t)
 	if t.outcome == answered || t.outcome == failed {
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -31,26 +31,26 @@
 	PromptTokens int
 	OutputTokens int    // at most
 	Parts        []Part // of the prompt, first part first
-	LastEvent    string // where a stream goes on, empty at its start
+	LastEventID  string // where a stream goes on, empty at its start
 }
 
-// Send is what a try tells the replica beside the caller's own headers.
-type Send struct {
-	Replica   request.TargetID
-	TimeLeft  time.Duration
-	Org       request.OrgID
-	LastEvent string // set when the relay itself resumes a stream
-	Weights   uint64 // the version that the replica must serve; zero: any
-	CacheSalt string
+// AttemptMeta is what a try tells the replica beside the caller's own headers.
+type AttemptMeta struct {
+	Replica     request.TargetID
+	TimeLeft    time.Duration
+	Org         request.OrgID
+	LastEventID string // set when the relay itself resumes a stream
+	Weights     uint64 // the version that the replica must serve; zero: any
+	CacheSalt   string
 	// FetchFrom and SaveTo name an address for each part, empty for none.
 	FetchFrom  []string
 	SaveTo     []string
 	FetchUntil int64 // on the replicas' clock, ms; a fetch is thrown away after it
-	Urgency    int   // 0 to 9, 0 is first
+	Priority   int   // 0 to 9, 0 is first
 }
 
-// Answer is what a replica's headers say.
-type Answer struct {
+// ResponseMeta is what a replica's headers say.
+type ResponseMeta struct {
 	ID      string
 	Signed  bool   // the replica vouches for the answer
 	NotRun  bool   // it did not run the request
@@ -67,17 +67,17 @@
 
 // Dialect reads and writes the headers that callers and replicas use.
 type Dialect interface {
-	// Meta reads a caller's headers. Its error names the header.
-	Meta(h http.Header) (Meta, error)
-	// Key returns the caller's key, empty if there is none.
-	Key(h http.Header) string
-	// Outgoing returns the headers of a try: the caller's without those that concern the
+	// ParseRequest reads a caller's headers. Its error names the header.
+	ParseRequest(h http.Header) (Meta, error)
+	// CallerKey returns the caller's key, empty if there is none.
+	CallerKey(h http.Header) string
+	// AttemptHeader returns the headers of a try: the caller's without those that concern the
 	// connection or that only the system sets, and those of s.
-	Outgoing(h http.Header, s Send) http.Header
-	// Answer reads a replica's headers.
-	Answer(status int, h http.Header) Answer
-	// Incoming copies a replica's headers to the caller's answer.
-	Incoming(to, from http.Header)
+	AttemptHeader(h http.Header, s AttemptMeta) http.Header
+	// ParseResponse reads a replica's headers.
+	ParseResponse(status int, h http.Header) ResponseMeta
+	// CopyResponseHeader copies a replica's headers to the caller's answer.
+	CopyResponseHeader(to, from http.Header)
 }
 
 // Job is a request on its way.
@@ -93,9 +93,9 @@
 	Org      *routing.Org // nil if the route needs none
 	Start    time.Time
 	Deadline time.Time // the earlier of the caller's and the route's
-	// Begun is set once the caller has a part of the answer. A stream that is resumed is not
+	// ResponseStarted is set once the caller has a part of the answer. A stream that is resumed is not
 	// refused for a wait: its caller would lose what it has.
-	Begun bool
+	ResponseStarted bool
 }
 
 // OrgID returns the organisation's id, empty if there is none.
@@ -125,16 +125,16 @@
 // Placement is a replica chosen for a try.
 type Placement struct {
 	Replica *replicas.Replica
-	Send    Send
+	Meta    AttemptMeta
 	Flight  *replicas.Flight
 	Reason  string // for the log: what decided
-	// BeginBy is when the answer must have begun; zero: no such time. A try that waits
+	// StartDeadline is when the answer must have begun; zero: no such time. A try that waits
 	// longer is given up: its replica's weights may not be used any more.
-	BeginBy time.Time
-	// First is told when the first event came; nil: nobody needs it.
-	First func()
-	// Ended is told once how the try ended; nil: nobody needs it.
-	Ended func(ran bool)
+	StartDeadline time.Time
+	// OnFirstEvent is told when the first event came; nil: nobody needs it.
+	OnFirstEvent func()
+	// OnEnd is told once how the try ended; nil: nobody needs it.
+	OnEnd func(ran bool)
 }
 
 // Placer chooses replicas.
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -29,16 +29,16 @@
 // daemon that accepted the request and is echoed by targets in every frame.
 type ID string
 
-// Ran tells a caller whether its request had an effect.
-type Ran string
+// RunOutcome tells a caller whether its request had an effect.
+type RunOutcome string
 
 const (
 	// NotRun promises that no target started the request.
-	NotRun Ran = "not_run"
+	NotRun RunOutcome = "not_run"
 	// DidRun states that a target ran the request.
-	DidRun Ran = "ran"
+	DidRun RunOutcome = "ran"
 	// InDoubt states that the request may or may not have run.
-	InDoubt Ran = "in_doubt"
+	InDoubt RunOutcome = "in_doubt"
 )
 
 // Code is the stable identity of an error in answers to callers.
@@ -79,7 +79,7 @@
 	Status     int // HTTP status
 	Message    string
 	Field      string // the offending field of the request, if any
-	Ran        Ran
+	Ran        RunOutcome
 	RetryAfter time.Duration // zero: coming back will not help
 }
 
--- a/internal/schedules/outage_test.go
+++ b/internal/schedules/outage_test.go
@@ -102,7 +102,7 @@
 }
 
 // sendOnce sends a key and runs it if a ticket comes.
-func sendOnce(o once, key string, ran map[string]int) request.Ran {
+func sendOnce(o once, key string, ran map[string]int) request.RunOutcome {
 	s, result, err := o.Start(key)
 	if result != nil {
 		return request.DidRun
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -155,7 +155,7 @@
 	tears := 1
 	switches.Apply(fault.Command{TearReads: &tears})
 	imports.Blocks = export.Written[:6]
-	if got, err := second.Import(ctx, imports); err != nil || got.Imported != 5 || got.Torn != 1 {
+	if got, err := second.Import(ctx, imports); err != nil || got.Imported != 5 || got.Corrupt != 1 {
 		t.Fatalf("torn import %+v: %v", got, err)
 	}
 	if got := ask(t, second, completion("back", prompt(20, "a"), 3)); got.CachedTokens != 5*block.TokensPerBlock {
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -58,7 +58,7 @@
 	}
 	s := e.find(r)
 	if s == nil {
-		refuse(w, refusal(engineapi.CodeUnknown, "no such stream"))
+		refuse(w, refusal(engineapi.CodeUnknownStream, "no such stream"))
 		return
 	}
 	e.serveFrames(w, r, s, from)
@@ -67,7 +67,7 @@
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	s := e.find(r)
 	if s == nil {
-		refuse(w, refusal(engineapi.CodeUnknown, "no such stream"))
+		refuse(w, refusal(engineapi.CodeUnknownStream, "no such stream"))
 		return
 	}
 	e.mu.Lock()
@@ -223,7 +223,7 @@
 	switch e.Code {
 	case engineapi.CodeBadRequest:
 		status = http.StatusBadRequest
-	case engineapi.CodeUnknown:
+	case engineapi.CodeUnknownStream:
 		status = http.StatusNotFound
 	case engineapi.CodeStaleEpoch:
 		status = http.StatusConflict
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -171,7 +171,7 @@
 		out.Bytes += b.Length
 	}
 	if errors.Is(err, errTorn) {
-		out.Torn = 1
+		out.Corrupt = 1
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/suspect/counted.go
+++ b/internal/suspect/counted.go
@@ -69,18 +69,18 @@
 	c.any.Store(c.keeper.count() > 0)
 }
 
-// Refused returns the final answer to a request that has brought down too many targets; nil
+// Check returns the final answer to a request that has brought down too many targets; nil
 // if it may run. fingerprint is called only where there are findings at all.
-func (c *Counted) Refused(fingerprint func() quarantine.Fingerprint) *request.Error {
+func (c *Counted) Check(fingerprint func() quarantine.Fingerprint) *request.Error {
 	if !c.any.Load() {
 		return nil
 	}
 	return c.keeper.gate(fingerprint()).Err
 }
 
-// Died notes that a target died while it ran a request here, and tells the other daemons. It
+// RecordCrash notes that a target died while it ran a request here, and tells the other daemons. It
 // returns once a finding of several deaths is written, or the write has failed.
-func (c *Counted) Died(ctx context.Context, s quarantine.Sighting) {
+func (c *Counted) RecordCrash(ctx context.Context, s quarantine.Sighting) {
 	found := c.note(s)
 	if c.o.Tell != nil {
 		c.o.Tell(s)
@@ -98,8 +98,8 @@
 	return c.keeper.register.OnSighting(c.keeper.opts.Now(), s)
 }
 
-// Answered notes that a target ran a request to its end.
-func (c *Counted) Answered(ctx context.Context, fingerprint func() quarantine.Fingerprint) {
+// RecordSuccess notes that a target ran a request to its end.
+func (c *Counted) RecordSuccess(ctx context.Context, fingerprint func() quarantine.Fingerprint) {
 	if !c.any.Load() {
 		return
 	}
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -122,7 +122,7 @@
 func (c *Client) Cancel(ctx context.Context, id request.ID) error {
 	err := c.call(ctx, "cancel", c.o.HeaderTimeout, http.MethodDelete, streamPath(id), nil, nil)
 	var refused *engineapi.Error
-	if errors.As(err, &refused) && refused.Code == engineapi.CodeUnknown {
+	if errors.As(err, &refused) && refused.Code == engineapi.CodeUnknownStream {
 		return nil
 	}
 	return err
--- a/internal/transfer/transfer.go
+++ b/internal/transfer/transfer.go
@@ -36,38 +36,38 @@
 	ErrStalled  = errors.New("transfer: the answer makes no progress")
 )
 
-// CutError says that an answer ended early.
-type CutError struct {
+// TruncatedError says that an answer ended early.
+type TruncatedError struct {
 	Received int64         // bytes of the body
 	After    time.Duration // since the request was sent
 	Cause    error
 }
 
 // Error implements the error interface.
-func (e *CutError) Error() string {
+func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("transfer: cut after %d bytes in %d ms: %v", e.Received, e.After.Milliseconds(), e.Cause)
 }
 
 // Unwrap returns what cut the answer.
-func (e *CutError) Unwrap() error { return e.Cause }
+func (e *TruncatedError) Unwrap() error { return e.Cause }
 
 // Result is how the body of one answer ended.
 type Result struct {
 	Received int64 // bytes
-	Whole    bool  // read to its end
+	Complete bool  // read to its end
 }
 
 // Client sends requests. It is safe for concurrent use.
 type Client struct {
 	HTTP *http.Client
-	// Head bounds the time until an answer begins.
-	Head time.Duration
-	// Done is told of each body when it is closed; nil: nobody is.
-	Done func(r *http.Request, result Result)
+	// HeaderTimeout bounds the time until an answer begins.
+	HeaderTimeout time.Duration
+	// OnClose is told of each body when it is closed; nil: nobody is.
+	OnClose func(r *http.Request, result Result)
 }
 
 // Do sends a request. The answer's body must be closed.
-func (c *Client) Do(r *http.Request) (*http.Response, error) { return c.DoWithin(r, c.Head) }
+func (c *Client) Do(r *http.Request) (*http.Response, error) { return c.DoWithin(r, c.HeaderTimeout) }
 
 // DoWithin is Do with another bound on the time until the answer begins.
 func (c *Client) DoWithin(r *http.Request, head time.Duration) (*http.Response, error) {
@@ -122,18 +122,18 @@
 	case nil:
 		return n, nil
 	case io.EOF:
-		b.result.Whole = true
+		b.result.Complete = true
 		return n, io.EOF
 	default:
-		return n, &CutError{Received: b.result.Received, After: time.Since(b.begun), Cause: because(b.ctx, err)}
+		return n, &TruncatedError{Received: b.result.Received, After: time.Since(b.begun), Cause: because(b.ctx, err)}
 	}
 }
 
 // Close implements io.Closer.
 func (b *body) Close() error {
 	b.limit.Stop()
-	if b.client.Done != nil {
-		b.client.Done(b.request, b.result)
+	if b.client.OnClose != nil {
+		b.client.OnClose(b.request, b.result)
 	}
 	err := b.ReadCloser.Close()
 	b.giveUp(nil)
--- a/internal/transfer/transfer_test.go
+++ b/internal/transfer/transfer_test.go
@@ -29,7 +29,7 @@
 	results := make(chan Result, 1)
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
-	return &Client{HTTP: &http.Client{Transport: transport}, Head: 300 * time.Millisecond, Done: func(_ *http.Request, r Result) { results <- r }}, results
+	return &Client{HTTP: &http.Client{Transport: transport}, HeaderTimeout: 300 * time.Millisecond, OnClose: func(_ *http.Request, r Result) { results <- r }}, results
 }
 
 func send(w http.ResponseWriter, bytes int) {
@@ -51,7 +51,7 @@
 		t.Error(err)
 	}
 	answer.Body.Close()
-	if got := <-results; got != (Result{Received: 5000, Whole: true}) {
+	if got := <-results; got != (Result{Received: 5000, Complete: true}) {
 		t.Errorf("told %+v", got)
 	}
 }
@@ -70,7 +70,7 @@
 	}
 	_, err = io.ReadAll(answer.Body)
 	answer.Body.Close()
-	var cut *CutError
+	var cut *TruncatedError
 	if !errors.As(err, &cut) || cut.Received != 5000 || !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("the error is %v", err)
 	}
@@ -97,7 +97,7 @@
 		t.Error(err)
 	}
 	answer.Body.Close()
-	if got := <-results; got != (Result{Received: pieces * minProgress, Whole: true}) {
+	if got := <-results; got != (Result{Received: pieces * minProgress, Complete: true}) {
 		t.Errorf("told %+v", got)
 	}
 }
@@ -128,7 +128,7 @@
 		if took := time.Since(begun); took > 2*stallTimeout {
 			t.Errorf("trickle of %d: given up after %s", trickle, took)
 		}
-		if got := <-results; got.Whole || got.Received < 2*minProgress {
+		if got := <-results; got.Complete || got.Received < 2*minProgress {
 			t.Errorf("trickle of %d: told %+v", trickle, got)
 		}
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -45,8 +45,8 @@
 	rested time.Duration // before it was taken; zero for a new one
 }
 
-// Dialer opens connections that notice a peer that is gone.
-func Dialer(timeout time.Duration) *net.Dialer {
+// NewDialer opens connections that notice a peer that is gone.
+func NewDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
@@ -116,7 +116,7 @@
 
 // NewPool returns a pool without connections.
 func NewPool(address string, dialTimeout time.Duration, maxIdle int) *Pool {
-	return &Pool{address: address, dialer: Dialer(dialTimeout), maxIdle: maxIdle}
+	return &Pool{address: address, dialer: NewDialer(dialTimeout), maxIdle: maxIdle}
 }
 
 // Dials returns how many connections were opened.
--- a/internal/upstream/try.go
+++ b/internal/upstream/try.go
@@ -42,8 +42,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine reports whether an answer belongs to this request.
-	Mine func(http.Header) bool
+	// Matches reports whether an answer belongs to this request.
+	Matches func(http.Header) bool
 }
 
 // Response is an answer whose body is still to be read.
@@ -137,7 +137,7 @@
 		if raw.StatusCode >= 100 && raw.StatusCode < 200 {
 			continue
 		}
-		if r.Mine == nil || r.Mine(raw.Header) {
+		if r.Matches == nil || r.Matches(raw.Header) {
 			return raw, nil
 		}
 		if _, err := io.CopyN(io.Discard, raw.Body, maxForeignBytes); err != io.EOF {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -81,7 +81,7 @@
 func ask(id, body string) *Request {
 	return &Request{
 		Method: http.MethodPost, URI: "/p?q=1", Host: "h", Body: []byte(body), Header: http.Header{"Id": {id}},
-		Mine: func(h http.Header) bool { return h.Get("Id") == id },
+		Matches: func(h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
