--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -12,26 +12,26 @@
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
-// accept reads a request whole and finds its route and organisation.
+// accept reads the complete request and resolves its route, organisation, service and deadline.
 func (s *Server) accept(r *http.Request) (*Job, error) {
 	j := &Job{Start: time.Now(), Method: r.Method, Host: r.Host, URI: r.RequestURI, Header: r.Header}
 	meta, metaErr := s.o.Dialect.ParseRequest(r.Header)
-	j.Meta = meta // also for the log of a refusal
+	j.Meta = meta // set before any refusal, whose log line includes it
 	state, current := s.o.State()
 	if state == nil {
-		return j, request.Refuse(request.CodeStale, http.StatusServiceUnavailable, s.notReadyBack(), "no desired state is known yet")
+		return j, request.Refuse(request.CodeStale, http.StatusServiceUnavailable, s.notReadyRetryAfter(), "the desired state has not been loaded yet")
 	}
 	path := rawPath(r.RequestURI)
 	j.Route = state.Match(r.Host, path)
 	if j.Route == nil {
-		return j, s.ifCurrent(current, request.Refuse(request.CodeUnknownService, http.StatusNotFound, 0, "no route for %s%s", r.Host, path))
+		return j, s.unlessStale(current, request.Refuse(request.CodeUnknownService, http.StatusNotFound, 0, "no route for %s%s", r.Host, path))
 	}
-	if s.tooLate(j) {
-		return j, request.Refuse(request.CodeDraining, http.StatusServiceUnavailable, stoppingRetry, "this daemon stops")
+	if s.refusedByDrain(j) {
+		return j, request.Refuse(request.CodeDraining, http.StatusServiceUnavailable, drainingRetry, "this daemon is shutting down")
 	}
 	if state.NeedsKey(j.Route) {
 		if j.Org = state.OrgOf(s.o.Dialect.CallerKey(r.Header)); j.Org == nil {
-			return j, s.ifCurrent(current, request.Refuse(request.CodeUnauthorized, http.StatusUnauthorized, 0, "the key is not known"))
+			return j, s.unlessStale(current, request.Refuse(request.CodeUnauthorized, http.StatusUnauthorized, 0, "the API key is unknown"))
 		}
 	}
 	if metaErr != nil {
@@ -39,27 +39,28 @@
 	}
 	j.Service = state.Services[j.Route.ServiceFor(splitKey(j))]
 	if j.Service == nil {
-		return j, request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, fullRetry, "the route's service is not known")
+		return j, request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, noCapacityRetry, "the route refers to an unknown service")
 	}
 	j.Deadline = deadline(j)
 	return j, s.readBody(r, j, state.Limits.MaxBodyBytes)
 }
 
-// ifCurrent replaces a refusal by "come back" where the desired state may be old: the
-// route or key may have been added since.
-func (s *Server) ifCurrent(current bool, e *request.Error) error {
+// unlessStale returns e if the desired state is current. Otherwise it returns a retryable
+// refusal, because the route or key may have been added since the state was read.
+func (s *Server) unlessStale(current bool, e *request.Error) error {
 	if current {
 		return e
 	}
-	return request.Refuse(request.CodeStale, http.StatusServiceUnavailable, s.notReadyBack(), "the desired state may be old")
+	return request.Refuse(request.CodeStale, http.StatusServiceUnavailable, s.notReadyRetryAfter(), "the desired state may be stale")
 }
 
-// notReadyBack returns when to come back to a daemon that waits for the desired state. Callers come
-// back a few times only: told half a second in an outage of two, they used up their retries in it.
-func (s *Server) notReadyBack() time.Duration {
+// notReadyRetryAfter returns the Retry-After of a daemon that waits for the desired state. It grows
+// with the outage because callers retry only a few times: with a fixed 500 ms they used up their
+// retries within an outage of two seconds.
+func (s *Server) notReadyRetryAfter() time.Duration {
 	expected := time.Duration(outageFactor * float64(s.o.OutageDuration()))
-	back := min(max(notReadyRetry, expected), maxNotReadyRetry)
-	return time.Duration(float64(back) * (1 - notReadySpread/2 + notReadySpread*rand.Float64()))
+	delay := min(max(minNotReadyRetry, expected), maxNotReadyRetry)
+	return time.Duration(float64(delay) * (1 - notReadyJitter/2 + notReadyJitter*rand.Float64()))
 }
 
 func (s *Server) readBody(r *http.Request, j *Job, limit int64) error {
@@ -71,13 +72,13 @@
 		return &request.Error{Code: request.CodeBadRequest, Status: http.StatusBadRequest, Message: "body: " + err.Error(), Ran: request.NotRun}
 	}
 	if int64(len(body)) > limit {
-		return &request.Error{Code: request.CodePayloadTooLarge, Status: http.StatusRequestEntityTooLarge, Message: "body: too long", Ran: request.NotRun}
+		return &request.Error{Code: request.CodePayloadTooLarge, Status: http.StatusRequestEntityTooLarge, Message: "body: exceeds the size limit", Ran: request.NotRun}
 	}
 	j.Body = body
 	return nil
 }
 
-// rawPath returns the path of a request line, still escaped.
+// rawPath returns the path of a request URI without unescaping it.
 func rawPath(uri string) string {
 	if !strings.HasPrefix(uri, "/") {
 		if u, err := url.Parse(uri); err == nil {
@@ -88,8 +89,8 @@
 	return path
 }
 
-// splitKey decides which of a route's services takes a request: requests of one session
-// go to one service.
+// splitKey returns the key by which a route distributes requests over its services. Requests of
+// one session have the same key and therefore use the same service.
 func splitKey(j *Job) string {
 	if n := len(j.Parts); n > 0 {
 		return j.Parts[n-1].ID
@@ -98,14 +99,14 @@
 }
 
 func deadline(j *Job) time.Time {
-	left := j.Route.Timeout
-	if j.TimeLeft > 0 && (left <= 0 || j.TimeLeft < left) {
-		left = j.TimeLeft
+	timeout := j.Route.Timeout
+	if j.TimeLeft > 0 && (timeout <= 0 || j.TimeLeft < timeout) {
+		timeout = j.TimeLeft
 	}
-	return j.Start.Add(left)
+	return j.Start.Add(timeout)
 }
 
-// tooLate reports whether a request must not begin any more.
-func (s *Server) tooLate(j *Job) bool {
-	return j.Route.Kind == routing.KindStream && s.stopping.Load() && !s.noStreams.IsAhead(time.Now())
+// refusedByDrain reports whether the draining daemon refuses the request.
+func (s *Server) refusedByDrain(j *Job) bool {
+	return j.Route.Kind == routing.KindStream && s.draining.Load() && !s.streamCutoff.IsAhead(time.Now())
 }
--- /dev/null
+++ b/internal/relay/attempt.go
@@ -0,0 +1,201 @@
+package relay
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/bluebellscale/bluebellscale/internal/upstream"
+)
+
+// outcome is the result of an attempt. It decides whether the request may be retried.
+type outcome int
+
+const (
+	answered   outcome = iota // the replica's response is ready to be delivered
+	notSent                   // no byte of the request reached the replica
+	notRun                    // the replica stated that it did not run the request
+	mayHaveRun                // it is unknown whether the request ran
+	failed                    // the request ran and the replica returned an error
+	cancelled                 // the caller disconnected or the deadline passed
+)
+
+func (o outcome) String() string {
+	return [...]string{"answered", "not_sent", "not_run", "may_have_run", "failed", "ended"}[o]
+}
+
+// attempt is one transmission of a job to a replica.
+type attempt struct {
+	placement    *Placement
+	response     *upstream.Response
+	meta         ResponseMeta
+	body         []byte // complete response body if it was buffered, otherwise nil
+	cancel       context.CancelFunc
+	startTimer   *time.Timer // of cancelUnlessStarted, nil without a StartDeadline
+	outcome      outcome
+	err          error
+	started      atomic.Bool // the first event or the complete response has arrived
+	startOverdue atomic.Bool // cancelled because it had not started by Placement.StartDeadline
+}
+
+// recordFirstEvent records that the replica has computed the prompt.
+func (a *attempt) recordFirstEvent() {
+	if a.started.Swap(true) {
+		return
+	}
+	a.placement.Flight.Computed()
+	if a.placement.OnFirstEvent != nil {
+		a.placement.OnFirstEvent()
+	}
+}
+
+// cancelUnlessStarted schedules the cancellation of the attempt at its StartDeadline.
+func (a *attempt) cancelUnlessStarted() {
+	by := a.placement.StartDeadline
+	if by.IsZero() {
+		return
+	}
+	a.startTimer = time.AfterFunc(time.Until(by), func() {
+		if !a.started.Load() {
+			a.startOverdue.Store(true)
+			a.cancel()
+		}
+	})
+}
+
+// release returns the connection to its pool and ends the flight and the placement.
+func (a *attempt) release(complete bool) {
+	if a.response != nil {
+		a.response.Done(complete)
+	}
+	a.cancel()
+	if a.startTimer != nil {
+		a.startTimer.Stop()
+	}
+	a.placement.Flight.End()
+	if a.placement.OnEnd != nil {
+		a.placement.OnEnd(a.outcome != notRun && a.outcome != notSent)
+	}
+}
+
+// maxBufferedBody bounds the responses that are buffered before delivery, so that a truncated
+// response can still become a retry or a clean error. Longer responses are streamed to the caller.
+const maxBufferedBody = 256 << 10
+
+// send makes one attempt. It leaves the body of a stream unread.
+func (s *Server) send(ctx context.Context, j *Job, p *Placement) *attempt {
+	ctx, cancel := context.WithCancel(ctx)
+	a := &attempt{placement: p, cancel: cancel}
+	p.Meta.Replica = p.Replica.Info().ID
+	p.Meta.Org = j.OrgID()
+	p.Meta.TimeLeft = time.Until(j.Deadline)
+	a.cancelUnlessStarted()
+	p.Replica.Health.Try()
+	a.response, a.err = p.Replica.Pool.Do(ctx, &upstream.Request{
+		Method: j.Method, URI: j.URI, Host: j.Host, Body: j.Body,
+		Header:  s.o.Dialect.AttemptHeader(j.Header, p.Meta),
+		Matches: func(h http.Header) bool { return s.o.Dialect.ParseResponse(0, h).ID == string(j.ID) },
+	})
+	if a.err != nil {
+		a.outcome = s.classifyError(ctx, p, a.err)
+		if a.startOverdue.Load() && a.outcome == cancelled {
+			a.outcome = mayHaveRun
+		}
+		return a
+	}
+	a.meta = s.o.Dialect.ParseResponse(a.response.Status, a.response.Header)
+	s.applySignals(a)
+	a.outcome = s.classifyResponse(j, a)
+	if a.outcome == answered || a.outcome == failed {
+		s.bufferBody(ctx, j, a)
+	}
+	s.updateReplica(j, a)
+	return a
+}
+
+// classifyError maps a connection error to an outcome.
+func (s *Server) classifyError(ctx context.Context, p *Placement, err error) outcome {
+	switch {
+	case errors.Is(err, upstream.ErrNotSent) && ctx.Err() != nil:
+		p.Replica.Health.Abandoned()
+		return notSent
+	case errors.Is(err, upstream.ErrUnreachable):
+		p.Replica.Unreachable(time.Now())
+		return notSent
+	case errors.Is(err, upstream.ErrNotSent):
+		p.Replica.Health.Unreachable(time.Now())
+		return notSent
+	case ctx.Err() != nil:
+		p.Replica.Health.Abandoned()
+		return cancelled
+	default:
+		p.Replica.Health.Unreachable(time.Now())
+		return mayHaveRun
+	}
+}
+
+// classifyResponse maps the status and headers of a response to an outcome. A success without the
+// replica's signature is not accepted: a faulty replica may send bytes that belong to no request.
+func (s *Server) classifyResponse(j *Job, a *attempt) outcome {
+	status := a.response.Status
+	switch {
+	case a.meta.NotRun:
+		return notRun
+	case status >= 200 && status < 300 && (!a.meta.Signed || a.response.Header.Get("Content-Encoding") != ""):
+		return mayHaveRun
+	case status >= 500:
+		return failed
+	default:
+		return answered
+	}
+}
+
+// bufferBody reads a short response completely, so that truncation is detected before any byte
+// has been sent to the caller.
+func (s *Server) bufferBody(ctx context.Context, j *Job, a *attempt) {
+	r := a.response
+	if a.outcome == answered && isStream(r.Header) || r.ContentLength > maxBufferedBody {
+		return
+	}
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody+1))
+	switch {
+	case err == nil && len(body) > maxBufferedBody:
+		r.Body = io.MultiReader(newReader(body), r.Body)
+	case err == nil:
+		a.body = body
+		if a.body == nil {
+			a.body = []byte{}
+		}
+	case ctx.Err() != nil:
+		a.outcome, a.err = cancelled, err
+	default:
+		a.outcome, a.err = mayHaveRun, err
+	}
+}
+
+// updateReplica records the outcome in the replica's health.
+func (s *Server) updateReplica(j *Job, a *attempt) {
+	r := a.placement.Replica
+	if j.Model != "" && a.meta.Weights > 0 {
+		r.SawWeights(j.Model, a.meta.Weights)
+	}
+	switch a.outcome {
+	case answered:
+		r.Answered(time.Now(), false)
+	case notRun:
+		r.Answered(time.Now(), false)
+		if j.Model != "" {
+			r.Refused(time.Now())
+		}
+	case failed:
+		r.Answered(time.Now(), true)
+	case mayHaveRun:
+		r.Health.Unreachable(time.Now())
+	case cancelled:
+		r.Health.Abandoned()
+	}
+}
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -9,51 +9,51 @@
 
 func sinceMs(t time.Time) int64 { return time.Since(t).Milliseconds() }
 
-// logTry says how a try ended that gave the caller no answer.
-func (s *Server) logTry(j *Job, t *try, sends int) {
+// logFailedAttempt logs an attempt that gave the caller no response.
+func (s *Server) logFailedAttempt(j *Job, a *attempt, number int) {
 	status := 0
-	if t.response != nil {
-		status = t.response.Status
+	if a.response != nil {
+		status = a.response.Status
 	}
-	s.o.Metrics.Tagged(map[string]string{"outcome": t.outcome.String()}).Counter("tries").Inc(1)
-	s.o.Logger.Info(loglines.TryFailed, "request", j.ID, "try", sends, "replica", t.placement.Meta.Replica,
-		"outcome", t.outcome.String(), "status", status, "weights", t.placement.Meta.Weights,
-		"why", t.placement.Reason, "error", t.err, "retry_after_ms", t.answer.RetryAfter.Milliseconds(), "after_ms", sinceMs(j.Start))
+	s.o.Metrics.Tagged(map[string]string{"outcome": a.outcome.String()}).Counter("tries").Inc(1)
+	s.o.Logger.Info(loglines.TryFailed, "request", j.ID, "try", number, "replica", a.placement.Meta.Replica,
+		"outcome", a.outcome.String(), "status", status, "weights", a.placement.Meta.Weights,
+		"why", a.placement.Reason, "error", a.err, "retry_after_ms", a.meta.RetryAfter.Milliseconds(), "after_ms", sinceMs(j.Start))
 }
 
-// logEnd says what was delivered.
-func (s *Server) logEnd(j *Job, t *try, k *sink, how string) {
+// logAnswered records the latency of a delivered response and logs it.
+func (s *Server) logAnswered(j *Job, a *attempt, k *sink, how string) {
 	s.o.Metrics.Counter("answered").Inc(1)
 	took := time.Since(j.Start)
 	first := took
 	if k != nil && !k.firstAt.IsZero() {
 		first = k.firstAt.Sub(j.Start)
 	}
-	s.first[j.Route.Kind].RecordDuration(first)
-	s.whole[j.Route.Kind].RecordDuration(took)
+	s.timeToFirst[j.Route.Kind].RecordDuration(first)
+	s.timeToComplete[j.Route.Kind].RecordDuration(took)
 	if !s.o.Logger.IsInfo() {
 		return
 	}
-	args := []any{"request", j.ID, "route", j.Route.Name, "how", how, "status", t.response.Status, "replica", t.placement.Meta.Replica,
-		"why", t.placement.Reason, "after_ms", sinceMs(j.Start)}
-	if late := lateness(j, t, k, first); late != "" {
-		args = append(args, "late", late)
+	args := []any{"request", j.ID, "route", j.Route.Name, "how", how, "status", a.response.Status, "replica", a.placement.Meta.Replica,
+		"why", a.placement.Reason, "after_ms", sinceMs(j.Start)}
+	if cause := lateCause(j, a, k, first); cause != "" {
+		args = append(args, "late", cause)
 	}
 	if k != nil {
-		args = append(args, "first_ms", k.firstAt.Sub(j.Start).Milliseconds(), "events", k.count,
-			"pause_ms", k.pause.Milliseconds())
+		args = append(args, "first_ms", k.firstAt.Sub(j.Start).Milliseconds(), "events", k.events,
+			"pause_ms", k.longestGap.Milliseconds())
 	}
 	s.o.Logger.Info(loglines.Answered, args...)
 }
 
-// lateness says what made an answer late by its route's objectives; empty if it is not. The
-// way by which the parts of the prompt came goes with it, as the placer tells it.
-func lateness(j *Job, t *try, k *sink, first time.Duration) string {
+// lateCause names the objective of its route that a response missed, or returns "". For a missed
+// first event it adds how the parts of the prompt were obtained, the first word of the placer's reason.
+func lateCause(j *Job, a *attempt, k *sink, first time.Duration) string {
 	switch {
 	case j.Route.Objective > 0 && first > j.Route.Objective:
-		way, _, _ := strings.Cut(t.placement.Reason, " ")
+		way, _, _ := strings.Cut(a.placement.Reason, " ")
 		return "first words, " + way
-	case k != nil && j.Route.MaxPause > 0 && k.pause > j.Route.MaxPause:
+	case k != nil && j.Route.MaxPause > 0 && k.longestGap > j.Route.MaxPause:
 		return "a pause"
 	}
 	return ""
--- a/internal/relay/outage_test.go
+++ b/internal/relay/outage_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Callers come back a few times only. In an outage of seconds they are told to come back when it may
-// be over, and not all at once.
-func TestCallersAreToldToComeBackAfterTheOutage(t *testing.T) {
+// Callers retry only a few times. During an outage of seconds, Retry-After must extend beyond its
+// expected end and must be jittered, so that the callers do not return at the same time.
+func TestRetryAfterGrowsWithOutageAndIsJittered(t *testing.T) {
 	s := New(Options{OutageDuration: func() time.Duration { return 1400 * time.Millisecond }})
 	seen := map[time.Duration]bool{}
 	for range 50 {
-		back := s.notReadyBack()
+		back := s.notReadyRetryAfter()
 		if back < 1600*time.Millisecond || back > 2600*time.Millisecond {
-			t.Fatalf("back in %s", back)
+			t.Fatalf("Retry-After is %s, want 1.6 s to 2.6 s", back)
 		}
 		seen[back] = true
 	}
 	if len(seen) < 10 {
-		t.Error("all at once")
+		t.Error("fewer than 10 distinct Retry-After values in 50 refusals")
 	}
-	if back := New(Options{}).notReadyBack(); back > time.Second {
-		t.Errorf("back in %s with no outage known", back)
+	if back := New(Options{}).notReadyRetryAfter(); back > time.Second {
+		t.Errorf("Retry-After is %s without an outage, want at most 1 s", back)
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -22,7 +22,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
-// plainDialect is the smallest set of headers that the relay needs.
+// plainDialect implements the smallest set of headers that the relay needs.
 type plainDialect struct{}
 
 func (plainDialect) ParseRequest(h http.Header) (Meta, error) {
@@ -62,13 +62,13 @@
 	}
 }
 
-// listed places tries on replicas in a fixed order.
-type listed struct {
+// fixedOrderPlacer tries replicas in a fixed order.
+type fixedOrderPlacer struct {
 	mu       sync.Mutex
 	replicas []*replicas.Replica
 }
 
-func (l *listed) Place(_ context.Context, _ *Job, tried []request.TargetID) (*Placement, error) {
+func (l *fixedOrderPlacer) Place(_ context.Context, _ *Job, tried []request.TargetID) (*Placement, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.replicas {
@@ -76,20 +76,20 @@
 			return &Placement{Replica: r, Flight: r.Load.Begin(0, 0)}, nil
 		}
 	}
-	return nil, request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, time.Second, "no replica")
+	return nil, request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, time.Second, "no untried replica")
 }
 
-// arrival is one request as a replica saw it.
+// arrival is a request as received by a replica.
 type arrival struct {
-	id, last, body string
-	left           int
+	id, lastEventID, body string
+	timeLeftMs            int
 }
 
-// world is a relay before replicas that a test plays by hand.
-type world struct {
+// fixture is a relay with fake replicas whose responses a test scripts.
+type fixture struct {
 	t        *testing.T
 	set      *replicas.Set
-	placer   *listed
+	placer   *fixedOrderPlacer
 	server   *Server
 	front    *httptest.Server
 	state    *routing.Snapshot
@@ -100,9 +100,9 @@
 
 const testHost = "h"
 
-func newWorld(t *testing.T, routes ...*routing.Route) *world {
+func newFixture(t *testing.T, routes ...*routing.Route) *fixture {
 	t.Helper()
-	w := &world{t: t, set: replicas.NewSet(), placer: &listed{}, current: true}
+	f := &fixture{t: t, set: replicas.NewSet(), placer: &fixedOrderPlacer{}, current: true}
 	for _, r := range routes {
 		r.Host = testHost
 		r.Shares = []routing.Share{{Service: "s", Weight: 1}}
@@ -112,51 +112,51 @@
 		r.MaxAttempts = max(r.MaxAttempts, 2)
 	}
 	keys := map[string]*routing.Org{"k": {ID: "org"}}
-	w.state = routing.NewSnapshot(1, routes, []*routing.Service{{ID: "s"}}, keys, routing.CallerLimits{MaxBodyBytes: 1000})
-	w.server = New(Options{
-		Dialect: plainDialect{}, Plain: w.placer,
-		State:       func() (*routing.Snapshot, bool) { return w.state, w.current },
+	f.state = routing.NewSnapshot(1, routes, []*routing.Service{{ID: "s"}}, keys, routing.CallerLimits{MaxBodyBytes: 1000})
+	f.server = New(Options{
+		Dialect: plainDialect{}, Plain: f.placer,
+		State:       func() (*routing.Snapshot, bool) { return f.state, f.current },
 		RetryBudget: func() retry.Params { return retry.Params{Burst: 10} },
 	})
-	w.front = httptest.NewServer(w.server)
-	t.Cleanup(w.front.Close)
-	return w
+	f.front = httptest.NewServer(f.server)
+	t.Cleanup(f.front.Close)
+	return f
 }
 
-// replica adds a replica that handles each request on a connection of its own.
-func (w *world) replica(handle func(c net.Conn, id string)) net.Listener {
-	w.t.Helper()
+// addReplica adds a replica that handles each request on a connection of its own.
+func (f *fixture) addReplica(handle func(c net.Conn, id string)) net.Listener {
+	f.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { l.Close() })
+	f.t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go w.play(c, handle)
+			go f.serveConn(c, handle)
 		}
 	}()
-	id := request.TargetID(fmt.Sprint("r", len(w.placer.replicas)))
-	w.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{ID: id, Service: "s", Address: l.Addr().String(), Started: startedAt}}})
-	w.placer.replicas = append(w.placer.replicas, w.set.Get(id))
+	id := request.TargetID(fmt.Sprint("r", len(f.placer.replicas)))
+	f.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{ID: id, Service: "s", Address: l.Addr().String(), Started: startedAt}}})
+	f.placer.replicas = append(f.placer.replicas, f.set.Get(id))
 	return l
 }
 
-// deadReplica adds a replica at whose address nobody listens.
-func (w *world) deadReplica() {
-	w.t.Helper()
-	w.replica(func(net.Conn, string) {})
-	id := w.placer.replicas[len(w.placer.replicas)-1].Info().ID
-	w.set.Apply(time.Now(), replicas.Change{Gone: []request.TargetID{id}})
-	w.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{ID: id, Service: "s", Address: "127.0.0.1:1"}}})
-	w.placer.replicas[len(w.placer.replicas)-1] = w.set.Get(id)
+// addUnreachableReplica adds a replica whose address has no listener.
+func (f *fixture) addUnreachableReplica() {
+	f.t.Helper()
+	f.addReplica(func(net.Conn, string) {})
+	id := f.placer.replicas[len(f.placer.replicas)-1].Info().ID
+	f.set.Apply(time.Now(), replicas.Change{Gone: []request.TargetID{id}})
+	f.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{ID: id, Service: "s", Address: "127.0.0.1:1"}}})
+	f.placer.replicas[len(f.placer.replicas)-1] = f.set.Get(id)
 }
 
-func (w *world) play(c net.Conn, handle func(c net.Conn, id string)) {
+func (f *fixture) serveConn(c net.Conn, handle func(c net.Conn, id string)) {
 	defer c.Close()
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
@@ -167,35 +167,35 @@
 		return
 	}
 	left, _ := strconv.Atoi(r.Header.Get("Left"))
-	w.mu.Lock()
-	w.arrivals = append(w.arrivals, arrival{id: r.Header.Get("Id"), last: r.Header.Get("Last"), body: string(body), left: left})
-	w.mu.Unlock()
+	f.mu.Lock()
+	f.arrivals = append(f.arrivals, arrival{id: r.Header.Get("Id"), lastEventID: r.Header.Get("Last"), body: string(body), timeLeftMs: left})
+	f.mu.Unlock()
 	handle(c, r.Header.Get("Id"))
 }
 
-func (w *world) arrived() []arrival {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.arrivals)
+func (f *fixture) received() []arrival {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.arrivals)
 }
 
-// call sends a request to the relay and returns the answer with its body; the error is
-// that of reading the body.
-func (w *world) call(method, path string, header http.Header) (*http.Response, string, error) {
-	w.t.Helper()
-	return w.send(method, path, header, "body")
+// call sends a request to the relay and returns the response with its body. The error may come from
+// reading the body.
+func (f *fixture) call(method, path string, header http.Header) (*http.Response, string, error) {
+	f.t.Helper()
+	return f.send(method, path, header, "body")
 }
 
-func (w *world) post(body string) (*http.Response, string, error) {
-	w.t.Helper()
-	return w.send(http.MethodPost, "/x", nil, body)
+func (f *fixture) post(body string) (*http.Response, string, error) {
+	f.t.Helper()
+	return f.send(http.MethodPost, "/x", nil, body)
 }
 
-func (w *world) send(method, path string, header http.Header, content string) (*http.Response, string, error) {
-	w.t.Helper()
-	r, err := http.NewRequest(method, w.front.URL+path, strings.NewReader(content))
+func (f *fixture) send(method, path string, header http.Header, content string) (*http.Response, string, error) {
+	f.t.Helper()
+	r, err := http.NewRequest(method, f.front.URL+path, strings.NewReader(content))
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	r.Host = testHost
 	r.Header = http.Header{"Id": {"1"}, "Key": {"k"}}
@@ -211,81 +211,81 @@
 	return answer, string(body), err
 }
 
-func ok(c net.Conn, id, body string) {
+func writeOK(c net.Conn, id, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: x\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func notExecuted(c net.Conn, id string) {
+func writeNotRun(c net.Conn, id string) {
 	fmt.Fprintf(c, "HTTP/1.1 503 Busy\r\nId: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", id)
 }
 
-func cut(net.Conn, string) {}
+func closeWithoutResponse(net.Conn, string) {}
 
 func route(kind routing.Kind) *routing.Route {
 	return &routing.Route{Name: string(kind), Prefix: "/", Kind: kind}
 }
 
-// Two crews start one batch: a replica begins a call that must run once, its connection
-// dies, and the daemon sends the call to the next replica. Nobody can tell whether it
-// ran, so the caller gets an error that promises nothing.
-func TestCallThatMayHaveRunIsNotSentAgain(t *testing.T) {
-	w := newWorld(t, route(routing.KindOnce))
-	w.replica(cut)
-	w.replica(func(c net.Conn, id string) { ok(c, id, "second run") })
-	answer, _, err := w.call(http.MethodPost, "/x", nil)
+// A replica starts a call that must run at most once, and its connection breaks before the response.
+// If the daemon sent the call to another replica, it could run twice. The caller must get an error
+// that does not promise "not run".
+func TestOnceCallThatMayHaveRunIsNotRetried(t *testing.T) {
+	f := newFixture(t, route(routing.KindOnce))
+	f.addReplica(closeWithoutResponse)
+	f.addReplica(func(c net.Conn, id string) { writeOK(c, id, "second run") })
+	answer, _, err := f.call(http.MethodPost, "/x", nil)
 	if err != nil || answer.StatusCode != http.StatusBadGateway {
-		t.Errorf("got %v, %v", answer, err)
+		t.Errorf("got %v, %v, want status 502", answer, err)
 	}
-	if n := len(w.arrived()); n != 1 {
-		t.Errorf("%d arrivals", n)
+	if n := len(f.received()); n != 1 {
+		t.Errorf("%d arrivals, want 1", n)
 	}
 }
 
-// An idempotent call is tried elsewhere.
-func TestIdempotentCallIsSentAgain(t *testing.T) {
-	w := newWorld(t, route(routing.KindIdempotent))
-	w.replica(cut)
-	w.replica(func(c net.Conn, id string) { ok(c, id, "fine") })
-	_, body, err := w.call(http.MethodGet, "/x", nil)
+// An idempotent call whose connection breaks is retried on another replica.
+func TestIdempotentCallIsRetried(t *testing.T) {
+	f := newFixture(t, route(routing.KindIdempotent))
+	f.addReplica(closeWithoutResponse)
+	f.addReplica(func(c net.Conn, id string) { writeOK(c, id, "fine") })
+	_, body, err := f.call(http.MethodGet, "/x", nil)
 	if err != nil || body != "fine" {
 		t.Errorf("got %q, %v", body, err)
 	}
 }
 
-// A replica that says "not run" lets any call go elsewhere; if all say it, so do we, with
-// when to come back.
-func TestNotRunGoesElsewhere(t *testing.T) {
-	w := newWorld(t, route(routing.KindOnce))
-	w.replica(notExecuted)
-	w.replica(func(c net.Conn, id string) { ok(c, id, "fine") })
-	if _, body, err := w.call(http.MethodPost, "/x", nil); err != nil || body != "fine" {
+// After "not run", any call may be sent to another replica. If all replicas respond "not run", the
+// caller gets a refusal with Retry-After.
+func TestNotRunIsRetriedOnAnotherReplica(t *testing.T) {
+	f := newFixture(t, route(routing.KindOnce))
+	f.addReplica(writeNotRun)
+	f.addReplica(func(c net.Conn, id string) { writeOK(c, id, "fine") })
+	if _, body, err := f.call(http.MethodPost, "/x", nil); err != nil || body != "fine" {
 		t.Errorf("got %q, %v", body, err)
 	}
 
-	w = newWorld(t, route(routing.KindOnce))
-	w.replica(notExecuted)
-	w.replica(notExecuted)
-	answer, _, err := w.call(http.MethodPost, "/x", nil)
+	f = newFixture(t, route(routing.KindOnce))
+	f.addReplica(writeNotRun)
+	f.addReplica(writeNotRun)
+	answer, _, err := f.call(http.MethodPost, "/x", nil)
 	if err != nil || answer.StatusCode != http.StatusServiceUnavailable || answer.Header.Get("Retry-After") == "" {
-		t.Errorf("got %v, %v", answer, err)
+		t.Errorf("got %v, %v, want status 503 with Retry-After", answer, err)
 	}
 }
 
-// "Not run" was told to a caller although the first of two tries had run: the caller sends
-// the request again, and it runs a second time under a promise.
-func TestNotRunIsNotToldAfterATryThatMayHaveRun(t *testing.T) {
-	w := newWorld(t, route(routing.KindIdempotent))
-	w.replica(cut)
-	w.replica(notExecuted)
-	answer, _, err := w.call(http.MethodGet, "/x", nil)
+// The first attempt may have run and the second one did not. If the caller were told "not run", it
+// would resend the request, which could then run twice.
+func TestNotRunIsNotReportedAfterAttemptThatMayHaveRun(t *testing.T) {
+	f := newFixture(t, route(routing.KindIdempotent))
+	f.addReplica(closeWithoutResponse)
+	f.addReplica(writeNotRun)
+	answer, _, err := f.call(http.MethodGet, "/x", nil)
 	if err != nil || answer.StatusCode != http.StatusBadGateway {
-		t.Errorf("got %v, %v", answer, err)
+		t.Errorf("got %v, %v, want status 502", answer, err)
 	}
 }
 
-// A faulty replica sends a success that it does not vouch for, or one that ends early.
-// Neither may look like an answer.
-func TestSpoiledAnswerIsNoAnswer(t *testing.T) {
+// A faulty replica sends a success without a signature, or a truncated one. Neither may reach the
+// caller as a complete response.
+func TestInvalidResponseIsNotDelivered(t *testing.T) {
 	for name, handle := range map[string]func(c net.Conn, id string){
 		"unsigned": func(c net.Conn, id string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 2\r\n\r\nok", id)
@@ -300,123 +300,123 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, route(routing.KindOnce))
-			w.replica(handle)
-			answer, body, err := w.call(http.MethodPost, "/x", nil)
+			f := newFixture(t, route(routing.KindOnce))
+			f.addReplica(handle)
+			answer, body, err := f.call(http.MethodPost, "/x", nil)
 			if err == nil && answer.StatusCode < 300 {
-				t.Errorf("the caller got %d %q as a whole answer", answer.StatusCode, body)
+				t.Errorf("the caller got %d %q as a complete response", answer.StatusCode, body)
 			}
 		})
 	}
 }
 
-// A replica's own error reaches the caller as it is, with its signature.
-func TestReplicasErrorIsPassedOn(t *testing.T) {
-	w := newWorld(t, route(routing.KindOnce))
-	w.replica(func(c net.Conn, id string) {
+// A replica's own error reaches the caller unchanged, with its signature.
+func TestReplicaErrorIsPassedThrough(t *testing.T) {
+	f := newFixture(t, route(routing.KindOnce))
+	f.addReplica(func(c net.Conn, id string) {
 		fmt.Fprintf(c, "HTTP/1.1 500 Oops\r\nId: %s\r\nSigned: y\r\nContent-Length: 3\r\n\r\nbad", id)
 	})
-	answer, body, err := w.call(http.MethodPost, "/x", nil)
+	answer, body, err := f.call(http.MethodPost, "/x", nil)
 	if err != nil || answer.StatusCode != http.StatusInternalServerError || body != "bad" || answer.Header.Get("Signed") != "y" {
 		t.Errorf("got %v %q %v", answer, body, err)
 	}
 }
 
-func event(c net.Conn, id int) { fmt.Fprintf(c, "id: %d\ndata: %d\n\n", id, id) }
+func writeEvent(c net.Conn, id int) { fmt.Fprintf(c, "id: %d\ndata: %d\n\n", id, id) }
 
-func streamHead(c net.Conn, id string) {
+func writeStreamHead(c net.Conn, id string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: x\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n", id)
 }
 
-func reset(c net.Conn) {
-	time.Sleep(20 * time.Millisecond) // what was written is read before the reset
-	_ = c.(*net.TCPConn).SetLinger(0) // the test's own connection is open
+func resetConn(c net.Conn) {
+	time.Sleep(20 * time.Millisecond) // let the relay read what was written before the reset
+	_ = c.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
 }
 
-// A replica dies in the middle of an event of a stream that may be resumed. The caller
-// must get every event once and whole, from two replicas, as one answer.
+// A replica dies in the middle of an event of a resumable stream. The caller must get every event
+// exactly once and complete, from two replicas, as one response.
 func TestStreamIsResumedWithoutGapOrRepeat(t *testing.T) {
 	r := route(routing.KindStream)
 	r.Resumable = true
-	w := newWorld(t, r)
-	w.replica(func(c net.Conn, id string) {
-		streamHead(c, id)
-		event(c, 1)
-		event(c, 2)
+	f := newFixture(t, r)
+	f.addReplica(func(c net.Conn, id string) {
+		writeStreamHead(c, id)
+		writeEvent(c, 1)
+		writeEvent(c, 2)
 		fmt.Fprint(c, "id: 3\nda")
-		reset(c)
+		resetConn(c)
 	})
-	w.replica(func(c net.Conn, id string) {
-		streamHead(c, id)
-		for n := 2; n <= 4; n++ { // it repeats one
-			event(c, n)
+	f.addReplica(func(c net.Conn, id string) {
+		writeStreamHead(c, id)
+		for n := 2; n <= 4; n++ { // event 2 is repeated
+			writeEvent(c, n)
 		}
 	})
-	_, body, err := w.call(http.MethodPost, "/x", nil)
+	_, body, err := f.call(http.MethodPost, "/x", nil)
 	want := "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\nid: 4\ndata: 4\n\n"
 	if err != nil || body != want {
 		t.Errorf("got %q, %v", body, err)
 	}
-	if got := w.arrived(); len(got) != 2 || got[1].last != "2" {
+	if got := f.received(); len(got) != 2 || got[1].lastEventID != "2" {
 		t.Errorf("arrivals %+v", got)
 	}
 }
 
-// A stream that may not be resumed breaks. The caller must see that it is not complete:
-// the connection ends without the closing chunk.
+// A stream that is not resumable breaks. The caller must be able to detect this: the connection
+// ends without the final chunk.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
-	w := newWorld(t, route(routing.KindStream))
-	w.replica(func(c net.Conn, id string) {
-		streamHead(c, id)
-		event(c, 1)
-		reset(c)
+	f := newFixture(t, route(routing.KindStream))
+	f.addReplica(func(c net.Conn, id string) {
+		writeStreamHead(c, id)
+		writeEvent(c, 1)
+		resetConn(c)
 	})
-	w.replica(func(c net.Conn, id string) { streamHead(c, id) })
-	_, body, err := w.call(http.MethodPost, "/x", nil)
+	f.addReplica(func(c net.Conn, id string) { writeStreamHead(c, id) })
+	_, body, err := f.call(http.MethodPost, "/x", nil)
 	if err == nil {
-		t.Errorf("%q looks complete", body)
+		t.Errorf("truncated stream %q was delivered as complete", body)
 	}
-	if n := len(w.arrived()); n != 1 {
-		t.Errorf("%d arrivals", n)
+	if n := len(f.received()); n != 1 {
+		t.Errorf("%d arrivals, want 1", n)
 	}
 }
 
-// A replica says nothing. The caller is told at the route's time-out, not later, that
-// nobody knows whether the request ran, and the replica is told how long it has.
-func TestCallerIsToldAtTheTimeout(t *testing.T) {
+// A replica does not respond. At the route's timeout the caller must get an error that does not
+// promise "not run". The replica must have received the remaining time.
+func TestCallerGetsGatewayTimeout(t *testing.T) {
 	r := route(routing.KindOnce)
 	r.Timeout = 150 * time.Millisecond
-	w := newWorld(t, r)
+	f := newFixture(t, r)
 	release := make(chan struct{})
 	defer close(release)
-	w.replica(func(net.Conn, string) { <-release })
+	f.addReplica(func(net.Conn, string) { <-release })
 	began := time.Now()
-	answer, _, err := w.call(http.MethodPost, "/x", http.Header{"Left": {"2000"}})
+	answer, _, err := f.call(http.MethodPost, "/x", http.Header{"Left": {"2000"}})
 	if err != nil || answer.StatusCode != http.StatusGatewayTimeout {
-		t.Fatalf("got %v, %v", answer, err)
+		t.Fatalf("got %v, %v, want status 504", answer, err)
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("told after %s", took)
+		t.Errorf("timed out after %s, want at most 1 s", took)
 	}
-	if got := w.arrived(); len(got) != 1 || got[0].left > 150 {
+	if got := f.received(); len(got) != 1 || got[0].timeLeftMs > 150 {
 		t.Errorf("arrivals %+v", got)
 	}
 }
 
-// A caller leaves while its stream is quiet. The replica must see the connection end, or
-// it works on for nobody.
-func TestReplicaStopsWhenTheCallerLeaves(t *testing.T) {
-	w := newWorld(t, route(routing.KindStream))
-	gone := make(chan struct{})
-	w.replica(func(c net.Conn, id string) {
-		streamHead(c, id)
-		event(c, 1)
+// A caller disconnects while its stream is idle. The connection to the replica must be closed, or
+// the replica keeps computing a response without a recipient.
+func TestCallerDisconnectClosesReplicaConnection(t *testing.T) {
+	f := newFixture(t, route(routing.KindStream))
+	disconnected := make(chan struct{})
+	f.addReplica(func(c net.Conn, id string) {
+		writeStreamHead(c, id)
+		writeEvent(c, 1)
 		if _, err := c.Read(make([]byte, 1)); err != nil {
-			close(gone)
+			close(disconnected)
 		}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, w.front.URL+"/x", strings.NewReader("b"))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, f.front.URL+"/x", strings.NewReader("b"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -429,212 +429,211 @@
 	defer answer.Body.Close()
 	cancel()
 	select {
-	case <-gone:
+	case <-disconnected:
 	case <-time.After(500 * time.Millisecond):
-		t.Error("the replica still works")
+		t.Error("the connection to the replica is still open")
 	}
 }
 
-// A daemon that is cut off refuses a route that was added meanwhile with 404, and callers
-// don't come back. Only a current desired state may say that something does not exist.
-func TestOldDesiredStateRefusesNothingForGood(t *testing.T) {
-	w := newWorld(t, route(routing.KindOnce))
-	w.state = routing.NewSnapshot(1, []*routing.Route{{Host: testHost, Prefix: "/known/", Shares: []routing.Share{{Service: "s"}}}},
+// A partitioned daemon refused a route that had been added meanwhile with 404, and callers did not
+// retry. Only a current desired state may give final errors for unknown routes and keys.
+func TestStaleDesiredStateGivesRetryableErrors(t *testing.T) {
+	f := newFixture(t, route(routing.KindOnce))
+	f.state = routing.NewSnapshot(1, []*routing.Route{{Host: testHost, Prefix: "/known/", Shares: []routing.Share{{Service: "s"}}}},
 		[]*routing.Service{{ID: "s"}}, map[string]*routing.Org{}, routing.CallerLimits{})
 	for _, path := range []string{"/unknown", "/known/x"} {
 		for current, want := range map[bool][]int{true: {404, 401}, false: {503, 503}} {
-			w.current = current
-			answer, _, err := w.call(http.MethodPost, path, nil)
+			f.current = current
+			answer, _, err := f.call(http.MethodPost, path, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !slices.Contains(want, answer.StatusCode) {
-				t.Errorf("%s, current %t: %d", path, current, answer.StatusCode)
+				t.Errorf("%s, current %t: status %d", path, current, answer.StatusCode)
 			}
 		}
 	}
-	w.state = nil
-	if answer, _, err := w.call(http.MethodPost, "/x", nil); err != nil || answer.StatusCode != http.StatusServiceUnavailable {
+	f.state = nil
+	if answer, _, err := f.call(http.MethodPost, "/x", nil); err != nil || answer.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("without a desired state: %v, %v", answer, err)
 	}
 }
 
-// A daemon that stops takes a stream late in its grace period and is killed in the middle
-// of it. Streams are refused from some time on, calls are not, and each answer closes its
-// connection.
-func TestStreamsAreRefusedLateInAStop(t *testing.T) {
+// A draining daemon accepted a stream late in its grace period and was killed during the stream.
+// Streams are refused after the cutoff, calls are accepted, and each response closes its connection.
+func TestStreamsAreRefusedLateInDraining(t *testing.T) {
 	stream := route(routing.KindStream)
 	stream.Prefix = "/stream/"
-	w := newWorld(t, stream, route(routing.KindOnce))
-	w.replica(func(c net.Conn, id string) { ok(c, id, "fine") })
-	w.server.StartDraining(-time.Millisecond)
-	if answer, _, err := w.call(http.MethodPost, "/stream/x", nil); err != nil || answer.StatusCode != http.StatusServiceUnavailable {
+	f := newFixture(t, stream, route(routing.KindOnce))
+	f.addReplica(func(c net.Conn, id string) { writeOK(c, id, "fine") })
+	f.server.StartDraining(-time.Millisecond)
+	if answer, _, err := f.call(http.MethodPost, "/stream/x", nil); err != nil || answer.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("stream: %v, %v", answer, err)
 	}
-	answer, body, err := w.call(http.MethodPost, "/x", nil)
+	answer, body, err := f.call(http.MethodPost, "/x", nil)
 	if err != nil || body != "fine" || !answer.Close {
 		t.Errorf("call: %q, closes %t, %v", body, answer.Close, err)
 	}
 }
 
-// startedAt names the start of each replica.
+// startedAt is the start time of each replica.
 const startedAt = 1_772_000_000_000
 
-// crashing is a replica whose process ends when it runs a request with the body "poison".
-func (w *world) crashing() {
-	w.t.Helper()
+// addCrashingReplica adds a replica that crashes when it runs a request with the body "poison".
+func (f *fixture) addCrashingReplica() {
+	f.t.Helper()
 	var l net.Listener
 	handle := func(c net.Conn, id string) {
-		w.mu.Lock()
-		body := w.arrivals[len(w.arrivals)-1].body
-		w.mu.Unlock()
+		f.mu.Lock()
+		body := f.arrivals[len(f.arrivals)-1].body
+		f.mu.Unlock()
 		if body == "poison" {
 			l.Close()
-			reset(c)
+			resetConn(c)
 			return
 		}
-		ok(c, id, "fine")
+		writeOK(c, id, "fine")
 	}
-	l = w.replica(handle)
+	l = f.addReplica(handle)
 }
 
-// counted stands in for the daemons' shared register.
-type counted struct {
+// fakeCrashTracker replaces the crash register that the daemons share.
+type fakeCrashTracker struct {
 	mu      sync.Mutex
-	deaths  map[quarantine.Fingerprint]int
-	started uint64 // of the replica that died last
+	crashes map[quarantine.Fingerprint]int
+	started uint64 // start time of the last replica that crashed
 }
 
-func (c *counted) Check(fingerprint func() quarantine.Fingerprint) *request.Error {
+func (c *fakeCrashTracker) Check(fingerprint func() quarantine.Fingerprint) *request.Error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.deaths[fingerprint()] < 3 {
+	if c.crashes[fingerprint()] < 3 {
 		return nil
 	}
-	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, time.Minute, "replicas died")
+	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, time.Minute, "replicas crashed")
 }
 
-func (c *counted) RecordCrash(_ context.Context, s quarantine.Sighting) {
+func (c *fakeCrashTracker) RecordCrash(_ context.Context, s quarantine.Sighting) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deaths[s.Fingerprint]++
+	c.crashes[s.Fingerprint]++
 	c.started = s.Incarnation
 }
 
-func (c *counted) RecordSuccess(context.Context, func() quarantine.Fingerprint) {}
+func (c *fakeCrashTracker) RecordSuccess(context.Context, func() quarantine.Fingerprint) {}
 
-func (c *counted) all() int {
+func (c *fakeCrashTracker) total() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, deaths := range c.deaths {
+	for _, deaths := range c.crashes {
 		n += deaths
 	}
 	return n
 }
 
-// A request crashes each replica that runs it. Its caller sends it again and again with a new
-// id, and would take all replicas down one after the other. After three of them it is refused
-// with when to come back, and requests of others are answered by the rest.
-func TestRequestThatCrashesReplicasIsStopped(t *testing.T) {
-	w := newWorld(t, route(routing.KindOnce))
-	suspects := &counted{deaths: map[quarantine.Fingerprint]int{}}
-	w.server.o.CrashTracker = suspects
+// A request crashes each replica that runs it, and its caller resends it with new ids until all
+// replicas are down. After three crashes the request must be refused with Retry-After, and the
+// remaining replicas must serve other requests.
+func TestRequestThatCrashesReplicasIsQuarantined(t *testing.T) {
+	f := newFixture(t, route(routing.KindOnce))
+	tracker := &fakeCrashTracker{crashes: map[quarantine.Fingerprint]int{}}
+	f.server.o.CrashTracker = tracker
 	for range 6 {
-		w.crashing()
+		f.addCrashingReplica()
 	}
 	for n := 1; n <= 3; n++ {
-		if answer, _, err := w.post("poison"); err != nil || answer.StatusCode != http.StatusBadGateway {
-			t.Fatalf("try %d: %v, %v", n, answer, err)
+		if answer, _, err := f.post("poison"); err != nil || answer.StatusCode != http.StatusBadGateway {
+			t.Fatalf("attempt %d: %v, %v", n, answer, err)
 		}
-		for deadline := time.Now().Add(5 * time.Second); suspects.all() < n; time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(5 * time.Second); tracker.total() < n; time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("death %d is not noticed", n)
+				t.Fatalf("crash %d was not recorded", n)
 			}
 		}
 	}
-	answer, _, err := w.post("poison")
+	answer, _, err := f.post("poison")
 	if err != nil || answer.StatusCode != http.StatusServiceUnavailable || answer.Header.Get("Retry-After") == "" {
-		t.Fatalf("after three deaths: %v, %v", answer, err)
+		t.Fatalf("after three crashes: %v, %v", answer, err)
 	}
-	if suspects.started != startedAt {
-		t.Errorf("the death of start %d was noted, want %d", suspects.started, startedAt)
+	if tracker.started != startedAt {
+		t.Errorf("recorded start time %d, want %d", tracker.started, startedAt)
 	}
-	if _, body, err := w.post("harmless"); err != nil || body != "fine" {
+	if _, body, err := f.post("harmless"); err != nil || body != "fine" {
 		t.Errorf("another request: %q, %v", body, err)
 	}
 }
 
-// A third of the replicas dies at once. A request meets some of them in a row: nothing
-// listens there, so nothing was sent, and no retry budget may stand between the caller and
-// a replica that is idle. It was refused after two, with "no replica took it".
-func TestDeadReplicasCostNoBudget(t *testing.T) {
-	w := newWorld(t, route(routing.KindOnce))
-	w.server.o.RetryBudget = func() retry.Params { return retry.Params{Burst: 0.1, Share: 0.001, PerSecond: 0.001} }
-	for range maxUnsent - 1 {
-		w.deadReplica()
+// A third of the replicas dies at once, and a request meets several of them in a row. Nothing is
+// sent to an unreachable replica, so such attempts must not be charged to the retry budget: requests
+// were refused after two of them although other replicas were idle.
+func TestUnreachableReplicasCostNoRetryBudget(t *testing.T) {
+	f := newFixture(t, route(routing.KindOnce))
+	f.server.o.RetryBudget = func() retry.Params { return retry.Params{Burst: 0.1, Share: 0.001, PerSecond: 0.001} }
+	for range maxUnsentAttempts - 1 {
+		f.addUnreachableReplica()
 	}
-	w.replica(func(c net.Conn, id string) { ok(c, id, "fine") })
-	if _, body, err := w.call(http.MethodPost, "/x", nil); err != nil || body != "fine" {
+	f.addReplica(func(c net.Conn, id string) { writeOK(c, id, "fine") })
+	if _, body, err := f.call(http.MethodPost, "/x", nil); err != nil || body != "fine" {
 		t.Errorf("%q, %v", body, err)
 	}
-	for _, r := range w.placer.replicas[:maxUnsent-1] {
+	for _, r := range f.placer.replicas[:maxUnsentAttempts-1] {
 		if !r.Health.Resting(time.Now()) {
-			t.Errorf("%s gets requests", r.Info().ID)
+			t.Errorf("unreachable replica %s is not backing off", r.Info().ID)
 		}
 	}
 }
 
-// Retries of all daemons share one budget. Used up, a failed try is the end.
-func TestRetriesKeepToTheBudget(t *testing.T) {
-	w := newWorld(t, route(routing.KindIdempotent))
-	w.server.o.RetryBudget = func() retry.Params { return retry.Params{Burst: 1, Share: 0.001, PerSecond: 0.001} }
-	w.replica(cut)
-	w.replica(func(c net.Conn, id string) { ok(c, id, "fine") })
+// Once the retry budget is exhausted, a failed attempt is not retried.
+func TestRetriesStayWithinBudget(t *testing.T) {
+	f := newFixture(t, route(routing.KindIdempotent))
+	f.server.o.RetryBudget = func() retry.Params { return retry.Params{Burst: 1, Share: 0.001, PerSecond: 0.001} }
+	f.addReplica(closeWithoutResponse)
+	f.addReplica(func(c net.Conn, id string) { writeOK(c, id, "fine") })
 	statuses := []int{}
 	for range 3 {
-		answer, _, err := w.call(http.MethodGet, "/x", nil)
+		answer, _, err := f.call(http.MethodGet, "/x", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		statuses = append(statuses, answer.StatusCode)
 	}
 	if !slices.Equal(statuses, []int{200, 502, 502}) {
-		t.Errorf("got %v", statuses)
+		t.Errorf("got statuses %v", statuses)
 	}
 }
 
-// An answer on weights that may soon not be used waits at its replica. It is given up
-// before it begins too late, and a request that may run again goes elsewhere.
-func TestUnbegunTryIsGivenUp(t *testing.T) {
-	w := newWorld(t, route(routing.KindIdempotent))
+// A request waits at a replica whose weights may soon become unusable. The attempt must be cancelled
+// at its StartDeadline, and an idempotent request must be retried on another replica.
+func TestAttemptIsCancelledAtStartDeadline(t *testing.T) {
+	f := newFixture(t, route(routing.KindIdempotent))
 	release := make(chan struct{})
 	defer close(release)
-	w.replica(func(net.Conn, string) { <-release })
-	w.replica(func(c net.Conn, id string) { ok(c, id, "fine") })
-	w.server.o.Plain = &hurried{listed: w.placer}
+	f.addReplica(func(net.Conn, string) { <-release })
+	f.addReplica(func(c net.Conn, id string) { writeOK(c, id, "fine") })
+	f.server.o.Plain = &shortStartPlacer{fixedOrderPlacer: f.placer}
 	began := time.Now()
-	_, body, err := w.call(http.MethodGet, "/x", nil)
+	_, body, err := f.call(http.MethodGet, "/x", nil)
 	if err != nil || body != "fine" || time.Since(began) > time.Second {
 		t.Errorf("got %q after %s, %v", body, time.Since(began), err)
 	}
 }
 
-// hurried gives the first try little time to begin.
-type hurried struct{ *listed }
+// shortStartPlacer gives the first attempt a start deadline of 50 ms.
+type shortStartPlacer struct{ *fixedOrderPlacer }
 
-func (h *hurried) Place(ctx context.Context, j *Job, tried []request.TargetID) (*Placement, error) {
-	p, err := h.listed.Place(ctx, j, tried)
+func (h *shortStartPlacer) Place(ctx context.Context, j *Job, tried []request.TargetID) (*Placement, error) {
+	p, err := h.fixedOrderPlacer.Place(ctx, j, tried)
 	if err == nil && len(tried) == 0 {
 		p.StartDeadline = time.Now().Add(50 * time.Millisecond)
 	}
 	return p, err
 }
 
-// A body beyond the limit is refused before it reaches a replica.
-func TestLongBodyIsRefused(t *testing.T) {
-	w := newWorld(t, route(routing.KindOnce))
-	r, err := http.NewRequest(http.MethodPost, w.front.URL+"/x", strings.NewReader(strings.Repeat("x", 1001)))
+// A body over the size limit is refused before it reaches a replica.
+func TestOversizedBodyIsRefused(t *testing.T) {
+	f := newFixture(t, route(routing.KindOnce))
+	r, err := http.NewRequest(http.MethodPost, f.front.URL+"/x", strings.NewReader(strings.Repeat("x", 1001)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -646,6 +645,6 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Errorf("got %d", answer.StatusCode)
+		t.Errorf("got status %d, want 413", answer.StatusCode)
 	}
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -18,68 +18,67 @@
 )
 
 const (
-	// defaultBodyLimit holds while no desired state names one.
+	// defaultBodyLimit applies while the desired state sets no limit.
 	defaultBodyLimit = 4 << 20
-	// notReadyRetry and maxNotReadyRetry bound when to come back to a daemon that has no desired
-	// state yet, or can't be sure that its own is current.
-	notReadyRetry    = 500 * time.Millisecond
+	// minNotReadyRetry and maxNotReadyRetry bound the Retry-After of a daemon that has no desired
+	// state yet or can't confirm that its state is current.
+	minNotReadyRetry = 500 * time.Millisecond
 	maxNotReadyRetry = 3 * time.Second
-	// notReadySpread is the part of that which is left to chance: all callers that a fleet refused
-	// would be back at once.
-	notReadySpread = 0.4
-	// outageFactor is how much longer an outage is expected to last than it has lasted.
+	// notReadyJitter is the random share of that Retry-After. Without it all callers that the daemons
+	// refused would return at the same time.
+	notReadyJitter = 0.4
+	// outageFactor is the expected total duration of an outage, as a multiple of its duration so far.
 	outageFactor = 1.5
-	// stoppingRetry is when to come back to another daemon.
-	stoppingRetry = 20 * time.Millisecond
-	// fullRetry is when to come back after no replica could take a request. Answers take
-	// 20 to 600 ms, so a place is free by then.
-	fullRetry = 300 * time.Millisecond
-	// minTimeLeft is the least time with which a try is worth sending.
+	// drainingRetry is the Retry-After of a draining daemon; another daemon can take the request.
+	drainingRetry = 20 * time.Millisecond
+	// noCapacityRetry is the Retry-After when no replica accepted a request. Responses take 20 to
+	// 600 ms, so a replica has capacity again by then.
+	noCapacityRetry = 300 * time.Millisecond
+	// minTimeLeft is the least remaining time for which an attempt is sent.
 	minTimeLeft = 20 * time.Millisecond
-	// maxSends bounds the replicas that a request is offered to. Those that say "not run"
-	// cost a round trip each.
-	maxSends = 4
-	// maxUnsent bounds the replicas to which no connection could be opened. Such a try
-	// reaches nobody, so it costs nothing of the retry budget: where a third of the
-	// replicas died at once, requests that had met two of them were refused with the
-	// others idle.
-	maxUnsent = 8
+	// maxSentAttempts bounds the replicas to which a request is sent. Each one that responds "not run"
+	// costs a round trip.
+	maxSentAttempts = 4
+	// maxUnsentAttempts bounds the replicas to which no connection could be opened. Such an attempt
+	// reaches no replica and is not charged to the retry budget: when a third of the replicas died
+	// at once, requests that had met two of them were refused while other replicas were idle.
+	maxUnsentAttempts = 8
 )
 
-// Options of New.
+// Options configures New.
 type Options struct {
 	Dialect Dialect
-	// Placers by kind of service: Engines for model replicas, Plain for all others.
+	// Engines places requests for model replicas, Plain places requests for all other services.
 	Engines Placer
 	Plain   Placer
-	// State returns the desired state in force, nil if none is known, and whether it is
-	// surely current.
+	// State returns the effective desired state, nil if none is known, and whether it is
+	// confirmed to be current.
 	State func() (s *routing.Snapshot, current bool)
-	// OutageDuration returns for how long nothing could be read that might be newer; nil: unknown.
+	// OutageDuration returns for how long no newer desired state could be read; nil: unknown.
 	OutageDuration func() time.Duration
-	// RetryBudget bounds the retries of one service here; the share of this daemon.
+	// RetryBudget returns this daemon's share of the retry budget of one service.
 	RetryBudget func() retry.Params
-	// CrashTracker refuses requests that crash replicas; nil: none is refused.
+	// CrashTracker refuses requests that crash replicas; nil: no request is refused.
 	CrashTracker CrashTracker
 	Logger       hclog.Logger
 	Metrics      tally.Scope
 }
 
-// Server is the callers' HTTP handler.
+// Server is the HTTP handler for callers' requests.
 type Server struct {
-	o         Options
-	stopping  atomic.Bool
-	noStreams steady.Moment // when stopping, from when streams are refused
-	inFlight  atomic.Int64
+	o            Options
+	draining     atomic.Bool
+	streamCutoff steady.Moment // while draining, the time from which new streams are refused
+	inFlight     atomic.Int64
 
-	first map[routing.Kind]tally.Histogram // until the answer, or the first event
-	whole map[routing.Kind]tally.Histogram // until the end of the answer
+	timeToFirst    map[routing.Kind]tally.Histogram // latency of the first event, or of the complete response
+	timeToComplete map[routing.Kind]tally.Histogram // latency of the end of the response
 
 	mu      sync.Mutex
 	budgets map[routing.ServiceID]*retry.Budget
 }
 
-// New returns a handler.
+// New returns a Server.
 func New(o Options) *Server {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
@@ -93,24 +92,24 @@
 	o.Logger = o.Logger.Named("relay")
 	s := &Server{
 		o: o, budgets: map[routing.ServiceID]*retry.Budget{},
-		first: map[routing.Kind]tally.Histogram{}, whole: map[routing.Kind]tally.Histogram{},
+		timeToFirst: map[routing.Kind]tally.Histogram{}, timeToComplete: map[routing.Kind]tally.Histogram{},
 	}
 	for _, kind := range []routing.Kind{routing.KindIdempotent, routing.KindOnce, routing.KindStream} {
 		scope := o.Metrics.Tagged(map[string]string{"kind": string(kind)})
-		s.first[kind] = scope.Histogram("first_answer", metrics.Latencies)
-		s.whole[kind] = scope.Histogram("whole_answer", metrics.Latencies)
+		s.timeToFirst[kind] = scope.Histogram("first_answer", metrics.Latencies)
+		s.timeToComplete[kind] = scope.Histogram("whole_answer", metrics.Latencies)
 	}
 	return s
 }
 
-// StartDraining makes each answer the last on its connection. Streams that come later than
-// lastStream are refused: they could outlast the process.
+// StartDraining makes each response close its connection. Streams that arrive more than lastStream
+// from now are refused, because they could outlast the process.
 func (s *Server) StartDraining(lastStream time.Duration) {
-	s.noStreams.Set(time.Now().Add(lastStream))
-	s.stopping.Store(true)
+	s.streamCutoff.Set(time.Now().Add(lastStream))
+	s.draining.Store(true)
 }
 
-// InFlight returns the number of requests that are not answered yet.
+// InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -119,12 +118,12 @@
 	defer s.inFlight.Add(-1)
 	j, err := s.accept(r)
 	if err != nil {
-		s.refuse(w, j, err)
+		s.writeError(w, j, err)
 		return
 	}
 	if s.o.CrashTracker != nil {
 		if err := s.o.CrashTracker.Check(j.fingerprint); err != nil {
-			s.refuse(w, j, err)
+			s.writeError(w, j, err)
 			return
 		}
 	}
@@ -133,55 +132,55 @@
 	s.serve(ctx, w, j)
 }
 
-// serve sends the job until it is answered, or nothing more may be tried.
+// serve makes attempts until the job is answered or no further attempt is allowed.
 func (s *Server) serve(ctx context.Context, w http.ResponseWriter, j *Job) {
-	s.budget(j.Service.ID, func(b *retry.Budget) bool { b.OnFirstTry(time.Now()); return true })
-	k := &sink{w: w, control: http.NewResponseController(w), last: j.LastEventID}
+	s.withBudget(j.Service.ID, func(b *retry.Budget) bool { b.OnFirstTry(time.Now()); return true })
+	k := &sink{w: w, control: http.NewResponseController(w), lastEventID: j.LastEventID}
 	var tried []request.TargetID
-	var n counts
+	var n attemptCounts
 	for {
 		j.ResponseStarted = k.started
 		p, err := s.placer(j).Place(ctx, j, tried)
 		if err != nil {
-			s.end(ctx, w, j, k, n.mayHaveRun > 0, err)
+			s.finishUnanswered(ctx, w, j, k, n.mayHaveRun > 0, err)
 			return
 		}
-		if k.last != j.LastEventID {
-			p.Meta.LastEventID = k.last
+		if k.lastEventID != j.LastEventID {
+			p.Meta.LastEventID = k.lastEventID
 		}
-		t := s.send(ctx, j, p)
-		if t.outcome == answered {
-			if s.deliver(ctx, w, j, k, t) {
-				s.ranToItsEnd(ctx, j)
+		a := s.send(ctx, j, p)
+		if a.outcome == answered {
+			if s.deliver(ctx, w, j, k, a) {
+				s.recordSuccess(ctx, j)
 				return
 			}
 		}
-		n.note(t.outcome)
-		if t.outcome == mayHave && t.err != nil && !t.overdue.Load() {
-			s.broken(j, p.Replica)
+		n.add(a.outcome)
+		if a.outcome == mayHaveRun && a.err != nil && !a.startOverdue.Load() {
+			s.checkForCrash(j, p.Replica)
 		}
-		if t.outcome == failed && !s.again(ctx, j, n) {
-			s.deliverWhole(w, j, t)
+		if a.outcome == failed && !s.mayRunAgain(ctx, j, n) {
+			s.deliverBuffered(w, j, a)
 			return
 		}
-		s.logTry(j, t, n.sent+n.unsent)
-		t.done(t.body != nil)
+		s.logFailedAttempt(j, a, n.sent+n.unsent)
+		a.release(a.body != nil)
 		tried = append(tried, p.Meta.Replica)
-		if ctx.Err() != nil || t.outcome == callerEnd || !s.mayFollow(ctx, j, t, n, k) {
-			s.end(ctx, w, j, k, n.mayHaveRun > 0, t.err)
+		if ctx.Err() != nil || a.outcome == cancelled || !s.mayRetry(ctx, j, a, n, k) {
+			s.finishUnanswered(ctx, w, j, k, n.mayHaveRun > 0, a.err)
 			return
 		}
 	}
 }
 
-// counts are the tries of a request so far.
-type counts struct {
-	unsent     int // that reached no replica
+// attemptCounts counts the attempts of a request.
+type attemptCounts struct {
+	unsent     int // attempts that reached no replica
 	sent       int
-	mayHaveRun int // of those sent
+	mayHaveRun int // sent attempts whose request may have run
 }
 
-func (n *counts) note(o outcome) {
+func (n *attemptCounts) add(o outcome) {
 	switch o {
 	case notSent:
 		n.unsent++
@@ -200,40 +199,41 @@
 	return s.o.Plain
 }
 
-// mayFollow reports whether another try may follow a failed one, and takes it from the
-// budget.
-func (s *Server) mayFollow(ctx context.Context, j *Job, t *try, n counts, k *sink) bool {
+// mayRetry reports whether another attempt may follow a failed one. It charges the retry budget
+// where the retry requires it.
+func (s *Server) mayRetry(ctx context.Context, j *Job, a *attempt, n attemptCounts, k *sink) bool {
 	switch {
-	case t.outcome == failed:
-		return true // decided, and paid for, before
-	case t.outcome == notSent:
-		return n.unsent < maxUnsent && time.Until(j.Deadline) > minTimeLeft
-	case t.outcome == notRun && !k.started:
-		return n.sent < maxSends && time.Until(j.Deadline) > minTimeLeft && s.take(j)
+	case a.outcome == failed:
+		return true // mayRunAgain has allowed and charged the retry
+	case a.outcome == notSent:
+		return n.unsent < maxUnsentAttempts && time.Until(j.Deadline) > minTimeLeft
+	case a.outcome == notRun && !k.started:
+		return n.sent < maxSentAttempts && time.Until(j.Deadline) > minTimeLeft && s.takeRetry(j)
 	}
-	return s.again(ctx, j, n)
+	return s.mayRunAgain(ctx, j, n)
 }
 
-// again reports whether a request that ran, or may have, may run once more.
-func (s *Server) again(ctx context.Context, j *Job, n counts) bool {
-	if !j.Route.Repeatable() || n.mayHaveRun >= j.Route.MaxAttempts || n.sent >= maxSends {
+// mayRunAgain reports whether a request that ran or may have run may be sent again, and charges the
+// retry budget.
+func (s *Server) mayRunAgain(ctx context.Context, j *Job, n attemptCounts) bool {
+	if !j.Route.Repeatable() || n.mayHaveRun >= j.Route.MaxAttempts || n.sent >= maxSentAttempts {
 		return false
 	}
 	if ctx.Err() != nil || time.Until(j.Deadline) < minTimeLeft {
 		return false
 	}
-	return s.take(j)
+	return s.takeRetry(j)
 }
 
-func (s *Server) take(j *Job) bool {
-	ok := s.budget(j.Service.ID, func(b *retry.Budget) bool { return b.TryTake(time.Now()) })
+func (s *Server) takeRetry(j *Job) bool {
+	ok := s.withBudget(j.Service.ID, func(b *retry.Budget) bool { return b.TryTake(time.Now()) })
 	if !ok {
 		s.o.Metrics.Counter("retries_over_budget").Inc(1)
 	}
 	return ok
 }
 
-func (s *Server) budget(id routing.ServiceID, use func(*retry.Budget) bool) bool {
+func (s *Server) withBudget(id routing.ServiceID, use func(*retry.Budget) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b, ok := s.budgets[id]
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -7,42 +7,43 @@
 	"github.com/bluebellscale/bluebellscale/internal/replicas"
 )
 
-// noteSignals notes what a replica says of itself in the head of an answer. One that does not vouch
-// for its answer, and did not turn the request away either, may be faulty: what it leaves out ends
-// nothing. An answer that another replica gives at the same address says nothing of this one.
-func (s *Server) noteSignals(t *try) {
-	r := t.placement.Replica
-	if t.response.Status == http.StatusMisdirectedRequest {
+// applySignals applies the leaving, backoff and rate limit headers of a response to the replica. A
+// replica that neither signed its response nor turned the request away may be faulty, so the absence
+// of a header in it does not lift a limit. A misdirected response comes from another replica
+// at the same address and is ignored.
+func (s *Server) applySignals(a *attempt) {
+	r := a.placement.Replica
+	if a.response.Status == http.StatusMisdirectedRequest {
 		return
 	}
-	if t.answer.Invalid != nil {
-		s.o.Logger.Warn("A header of a replica can not be read", "replica", r.Info().ID, "error", t.answer.Invalid)
+	if a.meta.Invalid != nil {
+		s.o.Logger.Warn("The relay ignores an invalid header of a replica", "replica", r.Info().ID, "error", a.meta.Invalid)
 	}
-	if t.answer.Leaving && r.SawLeaving() {
-		s.o.Logger.Info("A replica says that it leaves", "replica", r.Info().ID)
+	if a.meta.Leaving && r.SawLeaving() {
+		s.o.Logger.Info("A replica reports that it is leaving", "replica", r.Info().ID)
 	}
-	if t.answer.RetryAfter > 0 {
-		r.BackOff(time.Now().Add(t.answer.RetryAfter))
+	if a.meta.RetryAfter > 0 {
+		r.BackOff(time.Now().Add(a.meta.RetryAfter))
 		s.o.Metrics.Counter("backoffs").Inc(1)
 	}
-	whole := t.answer.Invalid == nil && (t.answer.Signed || t.answer.NotRun)
-	if t.answer.RateLimit > 0 || whole {
-		s.noteLimit(r, t.answer.RateLimit)
+	trusted := a.meta.Invalid == nil && (a.meta.Signed || a.meta.NotRun)
+	if a.meta.RateLimit > 0 || trusted {
+		s.applyRateLimit(r, a.meta.RateLimit)
 	}
 }
 
-// noteLimit notes how many requests a second a replica takes, zero for as many as come.
-func (s *Server) noteLimit(r *replicas.Replica, perSecond float64) {
+// applyRateLimit records the requests per second that a replica accepts; zero means no limit.
+func (s *Server) applyRateLimit(r *replicas.Replica, perSecond float64) {
 	before, _ := r.Limit()
 	if !r.SawLimit(time.Now(), perSecond) {
 		return
 	}
 	switch {
 	case before == 0:
-		s.o.Logger.Info("A replica names a limit", "replica", r.Info().ID, "per_second", perSecond)
+		s.o.Logger.Info("A replica set a rate limit", "replica", r.Info().ID, "per_second", perSecond)
 	case perSecond == 0:
-		s.o.Logger.Info("A replica names no limit any more", "replica", r.Info().ID)
+		s.o.Logger.Info("A replica removed its rate limit", "replica", r.Info().ID)
 	default:
-		s.o.Logger.Debug("A replica names another limit", "replica", r.Info().ID, "per_second", perSecond)
+		s.o.Logger.Debug("A replica changed its rate limit", "replica", r.Info().ID, "per_second", perSecond)
 	}
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -23,21 +23,21 @@
 
 func newReader(b []byte) io.Reader { return bytes.NewReader(b) }
 
-var errEventTooLong = errors.New("relay: event too long")
+var errEventTooLong = errors.New("relay: event exceeds the size limit")
 
-// events reads whole events from a stream. A replica may stop in the middle of one;
-// passing that on would make a resumed stream unreadable.
-type events struct {
+// eventReader reads complete events from a stream. If a replica stops in the middle of an event,
+// the fragment must not reach the caller: a resumed stream could not be parsed after it.
+type eventReader struct {
 	r *bufio.Reader
 }
 
-func newEvents(body io.Reader) *events {
-	return &events{r: bufio.NewReaderSize(body, eventBufferBytes)}
+func newEventReader(body io.Reader) *eventReader {
+	return &eventReader{r: bufio.NewReaderSize(body, eventBufferBytes)}
 }
 
-// next returns the next event with its closing empty line. io.EOF means that the stream
-// ended between two events.
-func (e *events) next() ([]byte, error) {
+// next returns the next event including its terminating empty line. It returns io.EOF if the
+// stream ended between two events.
+func (e *eventReader) next() ([]byte, error) {
 	var event []byte
 	for {
 		line, err := e.r.ReadSlice('\n')
@@ -61,8 +61,8 @@
 	}
 }
 
-// more reports whether bytes of another event have arrived.
-func (e *events) more() bool { return e.r.Buffered() > 0 }
+// hasBuffered reports whether bytes of another event are buffered.
+func (e *eventReader) hasBuffered() bool { return e.r.Buffered() > 0 }
 
 func isBlank(line []byte) bool { return len(bytes.TrimRight(line, "\r\n")) == 0 }
 
@@ -76,9 +76,9 @@
 	return ""
 }
 
-// after reports whether an event's id follows another. Ids that are no numbers are taken
-// to follow.
-func after(id, last string) bool {
+// follows reports whether an event's id is greater than the last one. Ids that are not numbers
+// count as greater.
+func follows(id, last string) bool {
 	n, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return true
@@ -87,23 +87,23 @@
 	return err != nil || n > m
 }
 
-// sink is the caller's end of a stream.
+// sink writes the events of a stream to the caller.
 type sink struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	started bool
-	last    string // id of the newest event passed on
-	count   int
-	firstAt time.Time
-	lastAt  time.Time
-	pause   time.Duration // the longest between two events
+	w           http.ResponseWriter
+	control     *http.ResponseController
+	started     bool
+	lastEventID string // id of the last event that was delivered
+	events      int
+	firstAt     time.Time
+	lastAt      time.Time
+	longestGap  time.Duration // longest time between two events
 }
 
-// note counts an event.
-func (k *sink) note(now time.Time) {
-	k.count++
+// recordEvent counts an event and updates the longest gap.
+func (k *sink) recordEvent(now time.Time) {
+	k.events++
 	if !k.lastAt.IsZero() {
-		k.pause = max(k.pause, now.Sub(k.lastAt))
+		k.longestGap = max(k.longestGap, now.Sub(k.lastAt))
 	}
 	k.lastAt = now
 }
@@ -118,42 +118,42 @@
 	return k.control.Flush()
 }
 
-// start writes the head of the first replica's answer. It waits for the first event, so
-// that a stream that breaks before it can still become a clean error.
-func (s *Server) start(k *sink, t *try) {
+// startResponse writes the status and headers of the first replica's response. It is called at the
+// first event, so that a stream that breaks earlier can still become a clean error.
+func (s *Server) startResponse(k *sink, a *attempt) {
 	if k.started {
 		return
 	}
 	k.started = true
 	k.firstAt = time.Now()
-	s.o.Dialect.CopyResponseHeader(k.w.Header(), t.response.Header)
-	s.closeIfStopping(k.w)
-	k.w.WriteHeader(t.response.Status)
+	s.o.Dialect.CopyResponseHeader(k.w.Header(), a.response.Header)
+	s.closeIfDraining(k.w)
+	k.w.WriteHeader(a.response.Status)
 }
 
-// pump passes events on until the stream ends. It returns nil after a clean end.
-func (s *Server) pump(ctx context.Context, k *sink, t *try) error {
-	in := newEvents(t.response.Body)
+// copyEvents delivers events until the stream ends. It returns nil if the stream ended cleanly.
+func (s *Server) copyEvents(ctx context.Context, k *sink, a *attempt) error {
+	reader := newEventReader(a.response.Body)
 	for {
-		event, err := in.next()
+		event, err := reader.next()
 		if err == io.EOF {
-			s.start(k, t)
+			s.startResponse(k, a)
 			return k.control.Flush()
 		}
 		if err != nil {
 			return errors.Wrap(err, "relay: stream")
 		}
 		if id := eventID(event); id != "" {
-			if k.last != "" && !after(id, k.last) {
-				continue // a resumed stream repeats what the caller has
+			if k.lastEventID != "" && !follows(id, k.lastEventID) {
+				continue // a resumed stream may repeat delivered events
 			}
-			k.last = id
+			k.lastEventID = id
 		}
-		t.first()
-		s.start(k, t)
-		k.note(time.Now())
-		if err := k.write(event, !in.more()); err != nil {
-			return errors.Mark(errors.Wrap(err, "relay: caller"), errCallerGone)
+		a.recordFirstEvent()
+		s.startResponse(k, a)
+		k.recordEvent(time.Now())
+		if err := k.write(event, !reader.hasBuffered()); err != nil {
+			return errors.Mark(errors.Wrap(err, "relay: caller"), errCallerDisconnected)
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -161,4 +161,4 @@
 	}
 }
 
-var errCallerGone = errors.New("relay: the caller is gone")
+var errCallerDisconnected = errors.New("relay: the caller disconnected")
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -1,10 +1,10 @@
-// Package relay carries callers' requests to replicas and their answers back, unread:
-// method, path, body, status, headers and bytes stay as they are.
+// Package relay forwards callers' requests to replicas and the responses back without interpreting
+// bodies: method, path, body, status, headers and bytes are passed through unchanged.
 //
-// Two things hold at all times. A request that may run once is sent again only if the
-// replica surely did not run it, and "not run" is told to a caller only if that holds for
-// every try. An answer reaches the caller whole or visibly broken: bytes of another
-// request, of a second run or of a cut answer never look like a complete one.
+// The package maintains two invariants. A request that must run at most once is sent again only if
+// the replica confirmed that it did not run it, and the caller is told "not run" only if that holds
+// for every attempt. A response is delivered either completely or visibly truncated: bytes of another
+// request, of a second run or of a truncated response never look like a complete response.
 package relay
 
 import (
@@ -23,78 +23,78 @@
 	Tokens int
 }
 
-// Meta is what a caller's headers say of a request.
+// Meta holds the request metadata from a caller's headers.
 type Meta struct {
 	ID           request.ID
-	TimeLeft     time.Duration // the caller's; zero: not told
+	TimeLeft     time.Duration // the caller's timeout; zero: not set
 	Model        request.Model // empty for plain services
 	PromptTokens int
-	OutputTokens int    // at most
-	Parts        []Part // of the prompt, first part first
-	LastEventID  string // where a stream goes on, empty at its start
+	OutputTokens int    // upper bound
+	Parts        []Part // parts of the prompt in order
+	LastEventID  string // event after which a stream resumes, empty for a new stream
 }
 
-// AttemptMeta is what a try tells the replica beside the caller's own headers.
+// AttemptMeta is the metadata that an attempt sends in addition to the caller's own headers.
 type AttemptMeta struct {
 	Replica     request.TargetID
 	TimeLeft    time.Duration
 	Org         request.OrgID
 	LastEventID string // set when the relay itself resumes a stream
-	Weights     uint64 // the version that the replica must serve; zero: any
+	Weights     uint64 // weight version that the replica must serve; zero: any
 	CacheSalt   string
-	// FetchFrom and SaveTo name an address for each part, empty for none.
+	// FetchFrom and SaveTo hold a store address for each part, empty for none.
 	FetchFrom  []string
 	SaveTo     []string
-	FetchUntil int64 // on the replicas' clock, ms; a fetch is thrown away after it
-	Priority   int   // 0 to 9, 0 is first
+	FetchUntil int64 // replicas' clock, ms; a fetch that ends later is discarded
+	Priority   int   // 0 to 9, 0 is served first
 }
 
-// ResponseMeta is what a replica's headers say.
+// ResponseMeta holds the response metadata from a replica's headers.
 type ResponseMeta struct {
 	ID      string
-	Signed  bool   // the replica vouches for the answer
-	NotRun  bool   // it did not run the request
-	Weights uint64 // that it serves; zero: not told
-	// RateLimit is how many requests a second it takes from all daemons together; zero: as many
-	// as come.
+	Signed  bool   // the replica signed the response
+	NotRun  bool   // the replica did not run the request
+	Weights uint64 // weight version that the replica serves; zero: not stated
+	// RateLimit is the number of requests per second that the replica accepts from all daemons
+	// together; zero: no limit.
 	RateLimit float64
-	Leaving   bool // it takes no new requests
-	// RetryAfter is for how long it wants no request of this daemon, having turned one away.
+	Leaving   bool // the replica accepts no new requests
+	// RetryAfter is the backoff that the replica requests from this daemon with a refusal.
 	RetryAfter time.Duration
-	// Invalid names headers that can not be read; the others hold. Nil: there are none.
+	// Invalid describes headers that could not be parsed; the other fields are valid. Nil: none.
 	Invalid error
 }
 
-// Dialect reads and writes the headers that callers and replicas use.
+// Dialect parses and writes the headers that callers and replicas use.
 type Dialect interface {
-	// ParseRequest reads a caller's headers. Its error names the header.
+	// ParseRequest parses a caller's headers. Its error names the invalid header.
 	ParseRequest(h http.Header) (Meta, error)
 	// CallerKey returns the caller's key, empty if there is none.
 	CallerKey(h http.Header) string
-	// AttemptHeader returns the headers of a try: the caller's without those that concern the
-	// connection or that only the system sets, and those of s.
+	// AttemptHeader returns the headers of an attempt: those of s, and the caller's without connection
+	// headers and headers that only the system sets.
 	AttemptHeader(h http.Header, s AttemptMeta) http.Header
-	// ParseResponse reads a replica's headers.
+	// ParseResponse parses a replica's headers.
 	ParseResponse(status int, h http.Header) ResponseMeta
-	// CopyResponseHeader copies a replica's headers to the caller's answer.
+	// CopyResponseHeader copies a replica's headers to the caller's response.
 	CopyResponseHeader(to, from http.Header)
 }
 
-// Job is a request on its way.
+// Job is a request in progress.
 type Job struct {
 	Meta
 	Method   string
 	Host     string
-	URI      string // as it was received
+	URI      string // as received
 	Header   http.Header
 	Body     []byte
 	Route    *routing.Route
 	Service  *routing.Service
-	Org      *routing.Org // nil if the route needs none
+	Org      *routing.Org // nil if the route requires no key
 	Start    time.Time
-	Deadline time.Time // the earlier of the caller's and the route's
-	// ResponseStarted is set once the caller has a part of the answer. A stream that is resumed is not
-	// refused for a wait: its caller would lose what it has.
+	Deadline time.Time // earlier of the caller's and the route's deadline
+	// ResponseStarted is set once the caller has received a part of the response. A resumed stream is
+	// not refused because of queueing time, since its caller would lose what it has received.
 	ResponseStarted bool
 }
 
@@ -106,15 +106,15 @@
 	return j.Org.ID
 }
 
-// AllowedIn reports whether the request, its prompt and what is kept of that may go to a region.
+// AllowedIn reports whether the request, its prompt and the context stored for it may enter a region.
 func (j *Job) AllowedIn(region routing.Region) bool {
 	return routing.AllowedIn(region, j.Route, j.Org)
 }
 
-// HasHomes reports whether the request may not go everywhere.
+// HasHomes reports whether the request is restricted to certain regions.
 func (j *Job) HasHomes() bool { return len(j.Route.Homes) > 0 || j.Org != nil && len(j.Org.Homes) > 0 }
 
-// Priority returns the rank of the request, 0 is the most urgent.
+// Priority returns the priority of the request; 0 is the most urgent.
 func (j *Job) Priority() int {
 	if j.Org != nil && j.Org.Ranked {
 		return j.Org.Priority
@@ -122,24 +122,24 @@
 	return j.Route.Priority
 }
 
-// Placement is a replica chosen for a try.
+// Placement is the replica chosen for an attempt.
 type Placement struct {
 	Replica *replicas.Replica
 	Meta    AttemptMeta
 	Flight  *replicas.Flight
-	Reason  string // for the log: what decided
-	// StartDeadline is when the answer must have begun; zero: no such time. A try that waits
-	// longer is given up: its replica's weights may not be used any more.
+	Reason  string // why the replica was chosen, for the log
+	// StartDeadline is the time by which the response must have started; zero: none. An attempt that
+	// has not started by then is cancelled, because the weights of its replica may no longer be used.
 	StartDeadline time.Time
-	// OnFirstEvent is told when the first event came; nil: nobody needs it.
+	// OnFirstEvent is called when the first event arrives; may be nil.
 	OnFirstEvent func()
-	// OnEnd is told once how the try ended; nil: nobody needs it.
+	// OnEnd is called once at the end of the attempt, with whether the request ran or may have run; may be nil.
 	OnEnd func(ran bool)
 }
 
 // Placer chooses replicas.
 type Placer interface {
-	// Place returns where a try goes, without the replicas tried before. A *request.Error
-	// says that no replica can take the request, and when to come back.
+	// Place returns the replica for the next attempt, excluding those in tried. A *request.Error
+	// means that no replica can accept the request, and says when the caller may retry.
 	Place(ctx context.Context, j *Job, tried []request.TargetID) (*Placement, error)
 }
