--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,14 +1,14 @@
-// Package upstream sends HTTP/1.1 requests to replicas so that one try is one arrival.
+// Package upstream sends HTTP/1.1 requests to replicas without implicit retries.
 //
-// net/http's Transport sends some requests a second time by itself when a kept
-// connection dies before an answer. For a call that must run at most once this would be
-// a second run, and for all others a retry that no budget knows of. Here a connection is
-// taken, written and read in plain steps, with net/http's codec on both sides, and each
-// step's failure says how far the request can have come.
+// net/http's Transport resends some requests when a reused connection breaks before the response.
+// That would run an at-most-once call a second time, and for other calls it would be a retry
+// outside of the retry budget. This package therefore takes a connection, writes the request
+// and reads the response in separate steps, with net/http's codec for responses. The error of each
+// step states how far the request can have got.
 //
-// Replicas may send a second answer, or one that belongs to an earlier request, on a
-// kept connection. Answers are matched by the caller of Do; a connection that holds
-// bytes nobody asked for is closed and not used again.
+// Replicas may send a duplicate response, or the response to an earlier request, on a reused
+// connection. The caller of Do matches responses to requests. A connection with unsolicited bytes
+// is closed and not reused.
 package upstream
 
 import (
@@ -24,28 +24,28 @@
 )
 
 const (
-	readBufferBytes = 4 << 10 // an answer's headers fit
-	// userTimeout bounds how long bytes may stay unacknowledged, and keepAlive… how long
-	// a connection may be silent with its peer gone. A machine without power answers
-	// nothing, so only these show it.
+	readBufferBytes = 4 << 10 // enough for the headers of a response
+	// userTimeout bounds how long sent bytes may stay unacknowledged, and keepAlive… bound how long
+	// an idle connection may survive its peer. A machine without power sends no reset, so only these
+	// timeouts detect it.
 	userTimeout       = 2 * time.Second
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveProbes   = 3
 
-	tcpUserTimeout = 0x12 // TCP_USER_TIMEOUT of Linux, absent from package syscall
+	tcpUserTimeout = 0x12 // Linux TCP_USER_TIMEOUT, which package syscall does not define
 )
 
 // conn is a connection to one address.
 type conn struct {
 	net.Conn
-	br     *bufio.Reader
-	until  time.Time     // before the peer may close it for idleness
-	idleAt time.Time     // since when it rests
-	rested time.Duration // before it was taken; zero for a new one
+	br         *bufio.Reader
+	reuseUntil time.Time     // from then on the peer may close the idle connection
+	idleSince  time.Time     // when it was last returned to the pool
+	idleFor    time.Duration // idle time before the current use; zero for a new connection
 }
 
-// NewDialer opens connections that notice a peer that is gone.
+// NewDialer returns a dialer whose connections detect an unreachable peer.
 func NewDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
@@ -58,19 +58,19 @@
 
 // SetUserTimeout bounds the time that sent bytes may stay unacknowledged.
 func SetUserTimeout(raw syscall.RawConn) error {
-	var set error
+	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		set = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
+		setErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return setErr
 }
 
-// quiet reports whether the connection is open with nothing to read. An idle connection
-// that can be read holds the peer's close, or bytes that belong to no request of ours.
-func (c *conn) quiet() bool {
+// isReusable reports whether the connection is open with nothing to read. A readable idle
+// connection has been closed by the peer or holds bytes that belong to no current request.
+func (c *conn) isReusable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -82,76 +82,76 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		reusable = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
 }
 
-// abort ends a connection at once. Bytes that wait behind a broken path are dropped, so
-// that they don't reach the replica when the path is back: the request was given up.
+// abort closes the connection and discards unsent bytes, so that they don't reach the replica after
+// a network partition heals: the request has been abandoned.
 func (c *conn) abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
 	c.Close()
 }
 
-// Pool keeps idle connections to one address. It is safe for concurrent use.
+// Pool holds idle connections to one address. It is safe for concurrent use.
 type Pool struct {
 	address string
 	dialer  *net.Dialer
 	maxIdle int
 	dials   atomic.Uint64
 
-	mu     sync.Mutex
-	idle   []*conn // the one used last is at the end
-	rests  rests
-	closed bool
+	mu        sync.Mutex
+	idle      []*conn // most recently used last
+	idleLimit idleLimit
+	closed    bool
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns an empty pool.
 func NewPool(address string, dialTimeout time.Duration, maxIdle int) *Pool {
 	return &Pool{address: address, dialer: NewDialer(dialTimeout), maxIdle: maxIdle}
 }
 
-// Dials returns how many connections were opened.
+// Dials returns the number of connections opened so far.
 func (p *Pool) Dials() uint64 { return p.dials.Load() }
 
-// take returns an idle connection that is still good, nil if there is none.
+// take returns an idle connection that may be reused, or nil.
 func (p *Pool) take(now time.Time) *conn {
 	for {
 		c := p.pop()
 		if c == nil {
 			return nil
 		}
-		c.rested = now.Sub(c.idleAt)
-		if now.Before(c.until) && p.mayRest(now, c.rested) && c.quiet() {
+		c.idleFor = now.Sub(c.idleSince)
+		if now.Before(c.reuseUntil) && p.mayReuse(now, c.idleFor) && c.isReusable() {
 			return c
 		}
 		c.Close()
 	}
 }
 
-func (p *Pool) mayRest(now time.Time, rest time.Duration) bool {
+func (p *Pool) mayReuse(now time.Time, idle time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.rests.allows(now, rest)
+	return p.idleLimit.allows(now, idle)
 }
 
-// noteUse learns from how the first exchange on a connection went after its rest.
-func (p *Pool) noteUse(c *conn, err error) {
+// recordUse updates the idle limit with the outcome of an exchange on a reused connection.
+func (p *Pool) recordUse(c *conn, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		p.rests.broke(time.Now(), c.rested)
+		p.idleLimit.recordBreak(time.Now(), c.idleFor)
 		return
 	}
-	p.rests.answered(c.rested)
+	p.idleLimit.recordSuccess(c.idleFor)
 }
 
 func (p *Pool) pop() *conn {
@@ -175,7 +175,7 @@
 	return &conn{Conn: raw, br: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
-// Probe finds out whether the address accepts a connection. No request is sent.
+// Probe checks whether the address accepts a connection. It sends no request.
 func (p *Pool) Probe(ctx context.Context) error {
 	c, err := p.dial(ctx)
 	if err != nil {
@@ -184,26 +184,26 @@
 	return c.Close()
 }
 
-// put keeps a connection whose last answer was read to its end, for a time.
-func (p *Pool) put(c *conn, keepFor time.Duration) {
-	if keepFor <= 0 || c.br.Buffered() > 0 {
+// put returns a connection to the pool for at most idleTimeout. Its last response must have been read completely.
+func (p *Pool) put(c *conn, idleTimeout time.Duration) {
+	if idleTimeout <= 0 || c.br.Buffered() > 0 {
 		c.Close()
 		return
 	}
-	c.idleAt = time.Now()
-	c.until = c.idleAt.Add(keepFor)
+	c.idleSince = time.Now()
+	c.reuseUntil = c.idleSince.Add(idleTimeout)
 	p.mu.Lock()
-	keep := !p.closed && len(p.idle) < p.maxIdle
-	if keep {
+	pooled := !p.closed && len(p.idle) < p.maxIdle
+	if pooled {
 		p.idle = append(p.idle, c)
 	}
 	p.mu.Unlock()
-	if !keep {
+	if !pooled {
 		c.Close()
 	}
 }
 
-// Close closes the idle connections; those in use are closed when they come back.
+// Close closes the idle connections. Connections in use are closed when they are returned.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
@@ -214,8 +214,8 @@
 	}
 }
 
-// CloseIdle closes the idle connections, after which new ones are opened. It is used
-// after the process stood still: what the peer did meanwhile is not known.
+// CloseIdle closes the idle connections; the pool stays usable. It is used after a process stall,
+// when the state of the peer's connections is unknown.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	idle := p.idle
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -15,54 +15,54 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of Do. Test for them with errors.Is.
+// Errors returned by Do, to be tested with errors.Is.
 var (
-	// ErrNotSent says that no byte of the request reached the replica.
-	ErrNotSent = errors.New("upstream: not sent")
-	// ErrUnreachable says that no connection could be opened, so that nothing was sent.
-	ErrUnreachable = errors.New("upstream: unreachable")
-	// ErrBroken says that the replica may have the request, and its answer is lost.
-	ErrBroken = errors.New("upstream: connection broke")
-	// ErrMismatched says that only answers to other requests came.
-	ErrMismatched = errors.New("upstream: answer to another request")
+	// ErrNotSent means that no byte of the request reached the replica.
+	ErrNotSent = errors.New("upstream: request not sent")
+	// ErrUnreachable means that no connection could be opened, so that nothing was sent.
+	ErrUnreachable = errors.New("upstream: replica unreachable")
+	// ErrBroken means that the replica may have received the request and the response is lost.
+	ErrBroken = errors.New("upstream: connection broken")
+	// ErrMismatched means that only responses to other requests arrived.
+	ErrMismatched = errors.New("upstream: response to another request")
 )
 
 const (
-	maxForeignAnswers = 3         // extra answers read away before one connection is given up
-	maxForeignBytes   = 256 << 10 // of one such answer
-	inlineBodyBytes   = 8 << 10   // bodies up to this fit a socket's buffer and are written in line
-	keepAliveMargin   = 500 * time.Millisecond
-	defaultKeepFor    = 4 * time.Second // for a peer that does not say when it closes idle connections
+	maxMismatchedResponses = 3         // responses to other requests that are discarded before the connection is closed
+	maxMismatchedBytes     = 256 << 10 // body size of one such response
+	inlineBodyBytes        = 8 << 10   // bodies up to this size fit a socket buffer and are written synchronously
+	keepAliveMargin        = 500 * time.Millisecond
+	defaultIdleTimeout     = 4 * time.Second // for a peer that announces no timeout
 )
 
-// Request is one try.
+// Request is a request that Do sends once.
 type Request struct {
 	Method string
-	URI    string // as it was received, unchanged
+	URI    string // as received, unchanged
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches reports whether an answer belongs to this request.
+	// Matches reports whether a response belongs to this request.
 	Matches func(http.Header) bool
 }
 
-// Response is an answer whose body is still to be read.
+// Response is a response whose body has not been read yet.
 type Response struct {
 	Status        int
 	Header        http.Header
 	ContentLength int64 // -1: unknown
 	Body          io.Reader
 
-	pool     *Pool
-	c        *conn
-	raw      *http.Response
-	written  *atomic.Bool // the whole request was written
-	release  func() bool
-	finished sync.Once
+	pool      *Pool
+	c         *conn
+	raw       *http.Response
+	written   *atomic.Bool // the complete request has been written
+	stopAbort func() bool
+	finished  sync.Once
 }
 
-// Do sends a request once and returns the head of its answer. When ctx ends, the
-// connection is closed, which tells the replica to stop; the caller must call Done.
+// Do sends a request once and returns its response without reading the body. When ctx ends, the
+// connection is closed, which tells the replica to stop. The caller must call Done on the response.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	c := p.take(time.Now())
 	if c == nil {
@@ -74,20 +74,20 @@
 	stop := context.AfterFunc(ctx, c.abort)
 	response, err := p.exchange(c, r)
 	if ctx.Err() == nil {
-		p.noteUse(c, err)
+		p.recordUse(c, err)
 	}
 	if err != nil {
 		stop()
 		c.abort()
 		return nil, err
 	}
-	response.release = stop
+	response.stopAbort = stop
 	return response, nil
 }
 
-// exchange writes the request and reads answers until one belongs to it. A long body is
-// written beside the reading: a replica may refuse before it has read the body, and would
-// then never read the rest.
+// exchange writes the request and reads responses until one matches. The remainder of a long body is
+// written concurrently: a replica may refuse the request without reading the body, and a
+// synchronous write would then block.
 func (p *Pool) exchange(c *conn, r *Request) (*Response, error) {
 	written := &atomic.Bool{}
 	head := r.encodeHead()
@@ -108,7 +108,7 @@
 			}
 		}()
 	}
-	raw, err := readMine(c.br, r)
+	raw, err := readMatching(c.br, r)
 	if err != nil {
 		return nil, err
 	}
@@ -125,12 +125,12 @@
 	return errors.Mark(errors.Wrap(err, "upstream: write"), ErrBroken)
 }
 
-// readMine reads answers until one belongs to the request. One that does not is the late
-// or doubled answer of an earlier request on this connection.
-func readMine(br *bufio.Reader, r *Request) (*http.Response, error) {
-	ask := &http.Request{Method: r.Method}
-	for range maxForeignAnswers {
-		raw, err := http.ReadResponse(br, ask)
+// readMatching reads responses until one belongs to the request. Other responses are delayed or
+// duplicate responses to earlier requests on this connection.
+func readMatching(br *bufio.Reader, r *Request) (*http.Response, error) {
+	request := &http.Request{Method: r.Method}
+	for range maxMismatchedResponses {
+		raw, err := http.ReadResponse(br, request)
 		if err != nil {
 			return nil, errors.Mark(errors.Wrap(err, "upstream: read"), ErrBroken)
 		}
@@ -140,20 +140,20 @@
 		if r.Matches == nil || r.Matches(raw.Header) {
 			return raw, nil
 		}
-		if _, err := io.CopyN(io.Discard, raw.Body, maxForeignBytes); err != io.EOF {
+		if _, err := io.CopyN(io.Discard, raw.Body, maxMismatchedBytes); err != io.EOF {
 			break
 		}
 	}
-	return nil, errors.Mark(errors.New("upstream: no answer to this request"), ErrMismatched)
+	return nil, errors.Mark(errors.New("upstream: no response to this request"), ErrMismatched)
 }
 
-// Done ends the use of an answer. complete says that the body was read to its end; only
-// then may the connection carry another request.
+// Done ends the use of the response. The connection is reused only if complete states that the body
+// was read to its end.
 func (r *Response) Done(complete bool) {
 	r.finished.Do(func() {
-		alive := r.release()
+		alive := r.stopAbort()
 		if complete && alive && r.written.Load() && !r.raw.Close {
-			r.pool.put(r.c, keepFor(r.Header))
+			r.pool.put(r.c, idleTimeout(r.Header))
 			return
 		}
 		if complete {
@@ -164,9 +164,9 @@
 	})
 }
 
-// keepFor returns how long an idle connection may be used again. It stays below what the
-// peer says, so that a request does not cross the peer's close.
-func keepFor(h http.Header) time.Duration {
+// idleTimeout returns how long an idle connection may be reused. It is shorter than the timeout that
+// the peer announces, so that a request does not cross with the peer's close.
+func idleTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
@@ -176,7 +176,7 @@
 			return max(0, time.Duration(seconds*float64(time.Second))-keepAliveMargin)
 		}
 	}
-	return defaultKeepFor
+	return defaultIdleTimeout
 }
 
 // encodeHead returns the request line and headers.
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -3,51 +3,50 @@
 import "time"
 
 const (
-	// staleBreaks is the number of idle connections in a row that must break when they are
-	// used again before the others are thought to be dead as well. One may be a lost answer.
-	staleBreaks = 2
-	// leastRest is the shortest rest after which a break says something about the rest.
-	leastRest = 50 * time.Millisecond
-	// staleShare is the part of the rest of a connection that broke for which others are
-	// still used.
-	staleShare = 0.7
-	// staleFor is how long that holds. Then connections that rested longer are tried again.
-	staleFor = 20 * time.Second
+	// minBreaks is the number of consecutive reused connections that must break before a limit on the
+	// idle time is assumed. A single break may be a lost response.
+	minBreaks = 2
+	// minIdle is the shortest idle time after which a break counts as evidence of a limit.
+	minIdle = 50 * time.Millisecond
+	// idleLimitShare is the assumed limit as a share of the idle time of the connection that broke.
+	idleLimitShare = 0.7
+	// idleLimitTTL is how long a limit is effective. Afterwards connections with longer idle times are reused again.
+	idleLimitTTL = 20 * time.Second
 )
 
-// rests learns for how long a peer keeps idle connections. Some forget them without a word,
-// long before they say: the next request on one is reset, and a call that must run at most
-// once fails, since nobody can tell whether it ran.
-type rests struct {
-	breaks int           // in a row, of connections that rested
-	limit  time.Duration // zero: none is known
-	until  time.Time     // of the limit
+// idleLimit learns how long a peer keeps idle connections. Some peers drop them silently, long before
+// the timeout that they announce. The next request on such a connection is reset, and a call that
+// must run at most once fails because it is unknown whether it ran.
+type idleLimit struct {
+	breaks     int           // consecutive breaks of reused connections
+	limit      time.Duration // zero: no limit
+	limitUntil time.Time     // expiry of the limit
 }
 
-// broke notes that a connection broke before an answer, after a rest.
-func (r *rests) broke(now time.Time, rest time.Duration) {
-	if rest < leastRest {
+// recordBreak records that a connection broke before a response, after the given idle time.
+func (r *idleLimit) recordBreak(now time.Time, idle time.Duration) {
+	if idle < minIdle {
 		return
 	}
 	r.breaks++
-	if r.breaks < staleBreaks {
+	if r.breaks < minBreaks {
 		return
 	}
-	limit := time.Duration(staleShare * float64(rest))
-	if r.limit == 0 || limit < r.limit || now.After(r.until) {
+	limit := time.Duration(idleLimitShare * float64(idle))
+	if r.limit == 0 || limit < r.limit || now.After(r.limitUntil) {
 		r.limit = limit
 	}
-	r.until = now.Add(staleFor)
+	r.limitUntil = now.Add(idleLimitTTL)
 }
 
-// answered notes that a connection was good after a rest.
-func (r *rests) answered(rest time.Duration) {
-	if rest >= leastRest {
+// recordSuccess records that a connection was usable after the given idle time.
+func (r *idleLimit) recordSuccess(idle time.Duration) {
+	if idle >= minIdle {
 		r.breaks = 0
 	}
 }
 
-// allows reports whether a connection that rested so long may be used.
-func (r *rests) allows(now time.Time, rest time.Duration) bool {
-	return r.limit == 0 || now.After(r.until) || rest < r.limit
+// allows reports whether a connection with the given idle time may be reused.
+func (r *idleLimit) allows(now time.Time, idle time.Duration) bool {
+	return r.limit == 0 || now.After(r.limitUntil) || idle < r.limit
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,22 +18,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// replica is a server whose connections a test plays by hand.
-type replica struct {
+// fakeReplica is a server whose responses a test scripts.
+type fakeReplica struct {
 	t        *testing.T
 	listener net.Listener
 	arrivals atomic.Int64
 	done     chan struct{}
 }
 
-// serve runs handle for each connection, with the number of the connection.
-func serve(t *testing.T, handle func(r *replica, n int, c net.Conn, br *bufio.Reader)) *replica {
+// startReplica runs handle for each connection, with the index of the connection.
+func startReplica(t *testing.T, handle func(r *fakeReplica, n int, c net.Conn, br *bufio.Reader)) *fakeReplica {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &replica{t: t, listener: l, done: make(chan struct{})}
+	r := &fakeReplica{t: t, listener: l, done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		for n := 0; ; n++ {
@@ -54,14 +54,14 @@
 	return r
 }
 
-func (r *replica) pool(t *testing.T) *Pool {
+func (r *fakeReplica) pool(t *testing.T) *Pool {
 	p := NewPool(r.listener.Addr().String(), time.Second, 4)
 	t.Cleanup(p.Close)
 	return p
 }
 
-// read takes one request and counts it.
-func (r *replica) read(br *bufio.Reader) (*http.Request, string, bool) {
+// readRequest reads one request and counts it.
+func (r *fakeReplica) readRequest(br *bufio.Reader) (*http.Request, string, bool) {
 	request, err := http.ReadRequest(br)
 	if err != nil {
 		return nil, "", false
@@ -74,11 +74,11 @@
 	return request, string(body), true
 }
 
-func answer(c net.Conn, id, body string) {
+func writeResponse(c net.Conn, id, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func ask(id, body string) *Request {
+func newRequest(id, body string) *Request {
 	return &Request{
 		Method: http.MethodPost, URI: "/p?q=1", Host: "h", Body: []byte(body), Header: http.Header{"Id": {id}},
 		Matches: func(h http.Header) bool { return h.Get("Id") == id },
@@ -99,20 +99,20 @@
 	return string(body)
 }
 
-// A caller's card is printed twice: the daemon sends a call on a kept connection, the
-// replica begins it and its connection dies before the answer, and the client library
-// sends the call again by itself. One Do must be one arrival, whatever the method.
-func TestNoHiddenRepeat(t *testing.T) {
+// A replica starts a call on a reused connection, and the connection breaks before the response.
+// net/http's Transport would resend the call, which then runs twice. One Do must cause one arrival
+// for every method.
+func TestNoImplicitRetry(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
-			r := serve(t, func(r *replica, n int, c net.Conn, br *bufio.Reader) {
-				if request, _, ok := r.read(br); ok {
-					answer(c, request.Header.Get("Id"), "one")
+			r := startReplica(t, func(r *fakeReplica, n int, c net.Conn, br *bufio.Reader) {
+				if request, _, ok := r.readRequest(br); ok {
+					writeResponse(c, request.Header.Get("Id"), "one")
 				}
-				r.read(br) // the second request is read, and the connection ends
+				r.readRequest(br) // reads the second request and closes the connection
 			})
 			p := r.pool(t)
-			first, second := ask("1", ""), ask("2", "")
+			first, second := newRequest("1", ""), newRequest("2", "")
 			first.Method, second.Method = method, method
 			do(t, p, first)
 			_, err := p.Do(context.Background(), second)
@@ -126,24 +126,24 @@
 	}
 }
 
-// A caller gets another one's answer: a replica answers a request twice, and the second
-// answer is read as that of the next request on the connection.
-func TestAnswerOfAnotherRequestIsReadAway(t *testing.T) {
-	r := serve(t, func(r *replica, n int, c net.Conn, br *bufio.Reader) {
-		request, _, ok := r.read(br)
+// A replica sends two responses to one request. The second one must not be taken for the response to
+// the next request on the connection, which may belong to another caller.
+func TestMismatchedResponseIsDiscarded(t *testing.T) {
+	r := startReplica(t, func(r *fakeReplica, n int, c net.Conn, br *bufio.Reader) {
+		request, _, ok := r.readRequest(br)
 		if !ok {
 			return
 		}
-		answer(c, request.Header.Get("Id"), "mine")
-		if next, _, ok := r.read(br); ok {
-			answer(c, request.Header.Get("Id"), "late second answer")
-			answer(c, next.Header.Get("Id"), "mine too")
+		writeResponse(c, request.Header.Get("Id"), "mine")
+		if next, _, ok := r.readRequest(br); ok {
+			writeResponse(c, request.Header.Get("Id"), "late second answer")
+			writeResponse(c, next.Header.Get("Id"), "mine too")
 		}
-		r.read(br)
+		r.readRequest(br)
 	})
 	p := r.pool(t)
-	do(t, p, ask("1", ""))
-	if got := do(t, p, ask("2", "")); got != "mine too" {
+	do(t, p, newRequest("1", ""))
+	if got := do(t, p, newRequest("2", "")); got != "mine too" {
 		t.Errorf("got %q", got)
 	}
 	if p.Dials() != 1 {
@@ -151,52 +151,52 @@
 	}
 }
 
-// The same, with the second answer there before the next request is sent: a connection
-// that holds bytes nobody asked for is not used again.
-func TestConnectionWithUnaskedBytesIsNotUsedAgain(t *testing.T) {
+// The duplicate response arrives before the next request is sent. A connection with unsolicited bytes
+// must not be reused.
+func TestConnectionWithUnsolicitedBytesIsNotReused(t *testing.T) {
 	extra := make(chan struct{})
-	r := serve(t, func(r *replica, n int, c net.Conn, br *bufio.Reader) {
-		request, _, ok := r.read(br)
+	r := startReplica(t, func(r *fakeReplica, n int, c net.Conn, br *bufio.Reader) {
+		request, _, ok := r.readRequest(br)
 		if !ok {
 			return
 		}
-		answer(c, request.Header.Get("Id"), fmt.Sprint(n))
+		writeResponse(c, request.Header.Get("Id"), fmt.Sprint(n))
 		if n == 0 {
-			answer(c, "stray", "stray")
+			writeResponse(c, "stray", "stray")
 			close(extra)
 		}
-		r.read(br)
+		r.readRequest(br)
 	})
 	p := r.pool(t)
-	do(t, p, ask("1", ""))
+	do(t, p, newRequest("1", ""))
 	<-extra
 	deadline := time.Now().Add(2 * time.Second)
-	for time.Now().Before(deadline) && p.hasQuietConn() {
+	for time.Now().Before(deadline) && p.hasReusableConn() {
 		time.Sleep(time.Millisecond)
 	}
-	if got := do(t, p, ask("2", "")); got != "1" {
-		t.Errorf("answered on connection %s, want the second one", got)
+	if got := do(t, p, newRequest("2", "")); got != "1" {
+		t.Errorf("response came on connection %s, want 1", got)
 	}
 }
 
-// hasQuietConn reports whether an idle connection has nothing to read.
-func (p *Pool) hasQuietConn() bool {
+// hasReusableConn reports whether the first idle connection has nothing to read.
+func (p *Pool) hasReusableConn() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.idle) > 0 && p.idle[0].quiet()
+	return len(p.idle) > 0 && p.idle[0].isReusable()
 }
 
-// A replica refuses a long request before it has read its body and then reads on. A
-// daemon that writes the whole body first waits for ever; one that uses the connection
-// again sends the next request where the rest of the body is due.
-func TestEarlyAnswerToLongBody(t *testing.T) {
+// A replica refuses a long request before it has read the body, then keeps reading. A daemon that
+// writes the complete body first would block, and a daemon that reuses the connection would send the
+// next request in place of the rest of the body.
+func TestEarlyResponseToLongBody(t *testing.T) {
 	const long = 4 << 20
 	var rest atomic.Int64
 	ended := make(chan struct{})
-	r := serve(t, func(r *replica, n int, c net.Conn, br *bufio.Reader) {
+	r := startReplica(t, func(r *fakeReplica, n int, c net.Conn, br *bufio.Reader) {
 		if n > 0 {
-			if request, _, ok := r.read(br); ok {
-				answer(c, request.Header.Get("Id"), "second")
+			if request, _, ok := r.readRequest(br); ok {
+				writeResponse(c, request.Header.Get("Id"), "second")
 			}
 			return
 		}
@@ -206,12 +206,12 @@
 		}
 		fmt.Fprintf(c, "HTTP/1.1 503 Busy\r\nId: %s\r\nContent-Length: 0\r\n\r\n", request.Header.Get("Id"))
 		time.Sleep(20 * time.Millisecond)
-		read, _ := io.Copy(io.Discard, br) // ends when the daemon closes
+		read, _ := io.Copy(io.Discard, br) // ends when the pool closes the connection
 		rest.Store(read)
 		close(ended)
 	})
 	p := r.pool(t)
-	response, err := p.Do(context.Background(), ask("1", strings.Repeat("x", long)))
+	response, err := p.Do(context.Background(), newRequest("1", strings.Repeat("x", long)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,7 +219,7 @@
 		t.Errorf("status %d", response.Status)
 	}
 	response.Done(true)
-	if got := do(t, p, ask("2", "")); got != "second" {
+	if got := do(t, p, newRequest("2", "")); got != "second" {
 		t.Errorf("got %q", got)
 	}
 	<-ended
@@ -228,7 +228,7 @@
 	}
 }
 
-// A replica that is down is known not to have run a request.
+// A replica that refuses the connection has certainly not run the request.
 func TestRefusedConnectionIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -236,23 +236,23 @@
 	}
 	l.Close()
 	p := NewPool(l.Addr().String(), time.Second, 1)
-	if _, err := p.Do(context.Background(), ask("1", "")); !errors.Is(err, ErrNotSent) {
+	if _, err := p.Do(context.Background(), newRequest("1", "")); !errors.Is(err, ErrNotSent) {
 		t.Errorf("got %v", err)
 	}
 }
 
-// A caller leaves, and the replica works on for nobody: cancelling must close the
-// connection, which tells it to stop.
+// Cancelling a request must close its connection. Otherwise the replica keeps computing for a caller
+// that has disconnected.
 func TestCancelClosesTheConnection(t *testing.T) {
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 	began := make(chan struct{})
-	r := serve(t, func(r *replica, n int, c net.Conn, br *bufio.Reader) {
-		if _, _, ok := r.read(br); !ok {
+	r := startReplica(t, func(r *fakeReplica, n int, c net.Conn, br *bufio.Reader) {
+		if _, _, ok := r.readRequest(br); !ok {
 			return
 		}
 		close(began)
 		if _, err := br.ReadByte(); err != nil {
-			close(gone)
+			close(closed)
 		}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -260,59 +260,59 @@
 		<-began
 		cancel()
 	}()
-	if _, err := r.pool(t).Do(ctx, ask("1", "")); err == nil {
-		t.Error("a cancelled request was answered")
+	if _, err := r.pool(t).Do(ctx, newRequest("1", "")); err == nil {
+		t.Error("a cancelled request succeeded")
 	}
 	select {
-	case <-gone:
+	case <-closed:
 	case <-time.After(time.Second):
-		t.Error("the replica still has the connection")
+		t.Error("the connection to the replica is still open")
 	}
 }
 
-// A replica says when it closes idle connections; a request sent then would cross the
-// close and nobody could tell whether it ran.
-func TestKeepForStaysBelowTheReplicasTimeout(t *testing.T) {
+// A replica announces when it closes idle connections. If a request crossed with that close, it would
+// be unknown whether it ran.
+func TestIdleTimeoutStaysBelowReplicaTimeout(t *testing.T) {
 	for value, want := range map[string]time.Duration{
 		"timeout=5":        4500 * time.Millisecond,
 		"max=3, timeout=1": 500 * time.Millisecond,
 		"timeout=0":        0,
-		"":                 defaultKeepFor,
-		"timeout=x":        defaultKeepFor,
+		"":                 defaultIdleTimeout,
+		"timeout=x":        defaultIdleTimeout,
 	} {
-		if got := keepFor(http.Header{"Keep-Alive": {value}}); got != want {
+		if got := idleTimeout(http.Header{"Keep-Alive": {value}}); got != want {
 			t.Errorf("%q: %s, want %s", value, got, want)
 		}
 	}
 }
 
-// A replica forgets idle connections after 300 ms and says nothing; what is sent on one is
-// reset, and a call that must run at most once fails. The first two show it; after them idle
-// connections are used for less, and short rests still need no new connection.
-func TestForgottenConnectionsAreNotUsed(t *testing.T) {
-	var r rests
+// A replica silently drops connections after 300 ms of idleness. Requests on them are reset, and calls that
+// must run at most once fail. After two such breaks, connections must be reused only after shorter
+// idle times, and short idle times must still not require a new connection.
+func TestIdleLimitIsLearnedFromBreaks(t *testing.T) {
+	var r idleLimit
 	now := time.Unix(1000, 0)
-	r.broke(now, 400*time.Millisecond)
+	r.recordBreak(now, 400*time.Millisecond)
 	if !r.allows(now, time.Second) {
-		t.Error("one break is taken for a rule")
+		t.Error("a single break set a limit")
 	}
-	r.answered(500 * time.Millisecond)
-	r.broke(now, 400*time.Millisecond)
+	r.recordSuccess(500 * time.Millisecond)
+	r.recordBreak(now, 400*time.Millisecond)
 	if !r.allows(now, time.Second) {
-		t.Error("a longer rest did no harm in between")
+		t.Error("two breaks with a success in between set a limit")
 	}
-	r.broke(now, 500*time.Millisecond)
+	r.recordBreak(now, 500*time.Millisecond)
 	if r.allows(now, 400*time.Millisecond) || !r.allows(now, 200*time.Millisecond) {
-		t.Error("want rests of well below 500 ms only")
+		t.Error("want a limit between 200 ms and 400 ms of idle time")
 	}
-	if !r.allows(now.Add(staleFor+time.Second), time.Second) {
-		t.Error("longer rests are never tried again")
+	if !r.allows(now.Add(idleLimitTTL+time.Second), time.Second) {
+		t.Error("the limit did not expire")
 	}
 }
 
-// The same over connections: of ten calls that rest for 100 ms each, two are lost.
-func TestFewCallsAreLostOnForgottenConnections(t *testing.T) {
-	r := serve(t, func(r *replica, n int, c net.Conn, br *bufio.Reader) {
+// Over real connections that idle for 100 ms each, two of ten calls fail before the limit is learned.
+func TestFewCallsFailOnSilentlyDroppedConnections(t *testing.T) {
+	r := startReplica(t, func(r *fakeReplica, n int, c net.Conn, br *bufio.Reader) {
 		for first := true; ; first = false {
 			request, err := http.ReadRequest(br)
 			if err != nil {
@@ -320,7 +320,7 @@
 			}
 			if !first {
 				if tcp, ok := c.(*net.TCPConn); ok {
-					_ = tcp.SetLinger(0) // reset, without an answer
+					_ = tcp.SetLinger(0) // reset without a response
 				}
 				return
 			}
@@ -330,15 +330,15 @@
 	p := r.pool(t)
 	lost := 0
 	for range 10 {
-		answer, err := p.Do(context.Background(), &Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{"Id": {"1"}}})
+		response, err := p.Do(context.Background(), &Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{"Id": {"1"}}})
 		if err != nil {
 			lost++
 			continue
 		}
-		answer.Done(true)
-		time.Sleep(2 * leastRest)
+		response.Done(true)
+		time.Sleep(2 * minIdle)
 	}
-	if lost != staleBreaks {
-		t.Errorf("%d of 10 calls are lost", lost)
+	if lost != minBreaks {
+		t.Errorf("%d of 10 calls failed", lost)
 	}
 }
