--- a/internal/transfer/transfer.go
+++ b/internal/transfer/transfer.go
@@ -1,14 +1,13 @@
-// Package transfer reads answers over HTTP whose size nobody knows beforehand.
+// Package transfer reads HTTP responses of unknown size.
 //
-// A time limit on a whole answer fails for each one that is larger than the link brings in that
-// time. What had come is thrown away and asked for again, so that the link is full for as long as
-// somebody wants the answer, and nobody gets it. A Client therefore bounds the time until an
-// answer begins, and then the time in which its next bytes must come: an answer that makes
-// progress is read to its end however large it is, and a connection that went silent, or brings
-// next to nothing, is given up within a second.
+// A timeout on the complete response fails for every response that is larger than the link can
+// carry within it. The received bytes are discarded and requested again, so that the link stays
+// saturated and no response completes. A Client instead bounds the time until a response begins, and
+// then the time between amounts of progress: a response that makes progress is read to its end
+// regardless of its size, and a connection that stalls or nearly stalls is cancelled within a second.
 //
-// An answer that is cut tells how much of it had come, and in which time. A link that is too
-// small shows as many bytes, a path that is gone as none.
+// The error of a truncated response reports how many bytes were received and in which time. Many bytes
+// indicate a link with too little bandwidth, none indicate a broken network path.
 package transfer
 
 import (
@@ -22,21 +21,21 @@
 )
 
 const (
-	// stallTimeout is the time in which the next minProgress bytes of an answer must come. Lost
-	// packets are repeated within a few hundred milliseconds, also when some are lost in a row.
+	// stallTimeout is the time within which the next minProgress bytes must arrive. TCP retransmits lost
+	// packets within a few hundred milliseconds, even after several consecutive losses.
 	stallTimeout = time.Second
-	// minProgress in a stallTimeout is 130 kbit/s: a connection that brings less is of no use
-	// beside another one.
+	// minProgress per stallTimeout is 130 kbit/s. A slower connection is of no use compared with
+	// retrying on another one.
 	minProgress = 16 << 10
 )
 
-// Errors of calls that are given up. Test for them with errors.Is.
+// Errors of cancelled calls, to be tested with errors.Is.
 var (
-	ErrNoAnswer = errors.New("transfer: no answer in time")
-	ErrStalled  = errors.New("transfer: the answer makes no progress")
+	ErrNoAnswer = errors.New("transfer: timed out waiting for response headers")
+	ErrStalled  = errors.New("transfer: response stalled")
 )
 
-// TruncatedError says that an answer ended early.
+// TruncatedError reports a response that ended early.
 type TruncatedError struct {
 	Received int64         // bytes of the body
 	After    time.Duration // since the request was sent
@@ -45,78 +44,78 @@
 
 // Error implements the error interface.
 func (e *TruncatedError) Error() string {
-	return fmt.Sprintf("transfer: cut after %d bytes in %d ms: %v", e.Received, e.After.Milliseconds(), e.Cause)
+	return fmt.Sprintf("transfer: response truncated after %d bytes in %d ms: %v", e.Received, e.After.Milliseconds(), e.Cause)
 }
 
-// Unwrap returns what cut the answer.
+// Unwrap returns the cause of the truncation.
 func (e *TruncatedError) Unwrap() error { return e.Cause }
 
-// Result is how the body of one answer ended.
+// Result describes how the body of a response ended.
 type Result struct {
 	Received int64 // bytes
-	Complete bool  // read to its end
+	Complete bool  // the body was read to its end
 }
 
 // Client sends requests. It is safe for concurrent use.
 type Client struct {
 	HTTP *http.Client
-	// HeaderTimeout bounds the time until an answer begins.
+	// HeaderTimeout bounds the time until a response begins.
 	HeaderTimeout time.Duration
-	// OnClose is told of each body when it is closed; nil: nobody is.
+	// OnClose is called with the result of each body when the body is closed; may be nil.
 	OnClose func(r *http.Request, result Result)
 }
 
-// Do sends a request. The answer's body must be closed.
+// Do sends a request. The caller must close the response body.
 func (c *Client) Do(r *http.Request) (*http.Response, error) { return c.DoWithin(r, c.HeaderTimeout) }
 
-// DoWithin is Do with another bound on the time until the answer begins.
-func (c *Client) DoWithin(r *http.Request, head time.Duration) (*http.Response, error) {
-	begun := time.Now()
-	ctx, giveUp := context.WithCancelCause(r.Context())
-	limit := time.AfterFunc(head, func() { giveUp(ErrNoAnswer) })
-	answer, err := c.HTTP.Do(r.WithContext(ctx))
-	limit.Stop()
+// DoWithin is like Do with a different bound on the time until the response begins.
+func (c *Client) DoWithin(r *http.Request, headerTimeout time.Duration) (*http.Response, error) {
+	start := time.Now()
+	ctx, cancel := context.WithCancelCause(r.Context())
+	headerTimer := time.AfterFunc(headerTimeout, func() { cancel(ErrNoAnswer) })
+	response, err := c.HTTP.Do(r.WithContext(ctx))
+	headerTimer.Stop()
 	if err != nil {
-		err = because(ctx, err)
-		giveUp(nil)
+		err = causeOf(ctx, err)
+		cancel(nil)
 		return nil, err
 	}
-	answer.Body = &body{
-		ReadCloser: answer.Body, client: c, request: r, begun: begun, ctx: ctx, giveUp: giveUp,
-		limit: time.AfterFunc(stallTimeout, func() { giveUp(ErrStalled) }),
+	response.Body = &body{
+		ReadCloser: response.Body, client: c, request: r, start: start, ctx: ctx, cancel: cancel,
+		stallTimer: time.AfterFunc(stallTimeout, func() { cancel(ErrStalled) }),
 	}
-	return answer, nil
+	return response, nil
 }
 
-// because returns why a call was given up, or the call's own error if it was not.
-func because(ctx context.Context, err error) error {
+// causeOf returns why the call was cancelled, or err if it was not.
+func causeOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
 	return err
 }
 
-// body counts what is read, and gives up where nothing comes.
+// body counts the bytes read and cancels the call if it stalls.
 type body struct {
 	io.ReadCloser
 	client  *Client
 	request *http.Request
-	begun   time.Time
+	start   time.Time
 	result  Result
 
-	ctx    context.Context
-	giveUp context.CancelCauseFunc
-	limit  *time.Timer
-	fresh  int // bytes since the limit was set
+	ctx        context.Context
+	cancel     context.CancelCauseFunc
+	stallTimer *time.Timer
+	sinceReset int // bytes since stallTimer was reset
 }
 
 // Read implements io.Reader.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.result.Received += int64(n)
-	if b.fresh += n; b.fresh >= minProgress {
-		b.limit.Reset(stallTimeout)
-		b.fresh = 0
+	if b.sinceReset += n; b.sinceReset >= minProgress {
+		b.stallTimer.Reset(stallTimeout)
+		b.sinceReset = 0
 	}
 	switch err {
 	case nil:
@@ -125,17 +124,17 @@
 		b.result.Complete = true
 		return n, io.EOF
 	default:
-		return n, &TruncatedError{Received: b.result.Received, After: time.Since(b.begun), Cause: because(b.ctx, err)}
+		return n, &TruncatedError{Received: b.result.Received, After: time.Since(b.start), Cause: causeOf(b.ctx, err)}
 	}
 }
 
 // Close implements io.Closer.
 func (b *body) Close() error {
-	b.limit.Stop()
+	b.stallTimer.Stop()
 	if b.client.OnClose != nil {
 		b.client.OnClose(b.request, b.result)
 	}
 	err := b.ReadCloser.Close()
-	b.giveUp(nil)
+	b.cancel(nil)
 	return err
 }
