--- a/internal/block/block.go
+++ b/internal/block/block.go
@@ -1,10 +1,10 @@
-// Package block names pieces of KV cache.
+// Package block identifies blocks of KV cache.
 //
-// A prompt is cut into blocks of TokensPerBlock tokens. A block's hash covers the
+// A prompt is divided into blocks of TokensPerBlock tokens. A block's hash covers the
 // organisation's cache salt, the model, the weight version and all tokens up to the
-// block's end, so equal hashes mean equal context: one organisation's block can
-// never be found by another, nor by another weight version. Engines use the same
-// hash for their prefix caches and in their cache events.
+// block's end, so equal hashes mean equal context. Neither another organisation nor another
+// weight version can match a block. Engines use the same hashes in their prefix caches and
+// cache events.
 package block
 
 import (
@@ -28,7 +28,7 @@
 	hashSize = 16
 )
 
-// Hash identifies one block and everything before it.
+// Hash identifies a block together with all blocks before it.
 type Hash [hashSize]byte
 
 // String returns the hash in hexadecimal.
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// Scope is what a block belongs to besides its content. Salt is derived from the
-// organisation, so two organisations never share a scope.
+// Scope is the scope of a block beyond its content. Its salt is derived from the
+// organisation, so that organisations never share a scope.
 type Scope struct {
 	Org     request.OrgID
 	Model   request.Model
@@ -70,10 +70,10 @@
 	return hex.EncodeToString(d.Sum(nil)[:hashSize])
 }
 
-// Tokens returns how many tokens a prompt of n bytes has.
+// Tokens returns the number of tokens in a prompt of n bytes.
 func Tokens(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
 
-// Chain returns the hashes of all whole blocks of prompt under salt, first block first.
+// Chain returns the hashes of all complete blocks of prompt under salt, in order.
 func Chain(salt string, prompt []byte) []Hash {
 	count := len(prompt) / BytesPerBlock
 	chain := make([]Hash, 0, count)
--- a/internal/engineapi/engineapi.go
+++ b/internal/engineapi/engineapi.go
@@ -1,16 +1,16 @@
-// Package engineapi holds the messages of a model engine's HTTP interface, as used
-// by the target client and served by the engine stand-in. All bodies are JSON;
-// streams are server-sent events whose data is one Frame.
+// Package engineapi defines the messages of a model engine's HTTP interface, used by the target
+// client and served by the engine stand-in. All bodies are JSON; streams are server-sent events
+// whose data is one Frame each.
 //
 //	POST   /v1/completions           CompletionRequest -> stream of Frame
 //	GET    /v1/streams/{id}?from=N   resume: frames from sequence N on
 //	DELETE /v1/streams/{id}          cancel
-//	GET    /v1/load                  Load (lags)
-//	GET    /v1/events?after=N        EventPage (late, may have gaps)
+//	GET    /v1/load                  Load (delayed)
+//	GET    /v1/events?after=N        EventPage (delayed, may have gaps)
 //	GET    /v1/blocks                Snapshot
 //	POST   /v1/kv/export             ExportRequest -> ExportResponse
 //	POST   /v1/kv/import             ImportRequest -> ImportResponse
-//	POST   /v1/orders                Order -> OrderResponse, 409 for an old epoch
+//	POST   /v1/orders                Order -> OrderResponse, 409 for an outdated epoch
 //	GET    /v1/state                 State
 package engineapi
 
@@ -32,19 +32,19 @@
 	PathState       = "/v1/state"
 )
 
-// CompletionRequest asks for a completion.
+// CompletionRequest requests a completion.
 type CompletionRequest struct {
 	RequestID request.ID      `json:"request_id"`
 	Model     request.Model   `json:"model"`
-	Version   request.Version `json:"version"` // refused with Error code wrong_version if another is loaded
+	Version   request.Version `json:"version"` // the engine refuses with wrong_version if it has another one loaded
 	CacheSalt string          `json:"cache_salt"`
 	Prompt    string          `json:"prompt"`
 	MaxTokens int             `json:"max_tokens"`
 	Priority  int             `json:"priority"` // lower runs first
 }
 
-// Frame is one event of a stream. Seq counts from 0 without holes; the last frame
-// has Done set and carries Usage or Error.
+// Frame is one event of a stream. Seq counts from 0 without gaps. The last frame has Done set and
+// carries Usage or Error.
 type Frame struct {
 	RequestID request.ID      `json:"request_id"`
 	Seq       int             `json:"seq"`
@@ -62,8 +62,8 @@
 	OutputTokens int `json:"output_tokens"`
 }
 
-// Error is a refusal or failure by the engine. Started is false only if the engine
-// did not begin the request.
+// Error is a refusal or failure of the engine. Started is false only if the engine did not start
+// the request.
 type Error struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
@@ -83,7 +83,7 @@
 	CodeBadRequest    = "bad_request"
 )
 
-// Load is a lagging report of an engine's work.
+// Load is a delayed report of an engine's load.
 type Load struct {
 	Incarnation   uint64          `json:"incarnation"`
 	Model         request.Model   `json:"model"`
@@ -93,11 +93,11 @@
 	PrefillTokens int             `json:"prefill_tokens"` // waiting to be prefilled
 	UsedBlocks    int             `json:"used_blocks"`
 	TotalBlocks   int             `json:"total_blocks"`
-	AgeMillis     int64           `json:"age_ms"` // how old this report is
+	AgeMillis     int64           `json:"age_ms"` // age of this report
 	Leaving       bool            `json:"leaving"`
 }
 
-// EventKind says what happened to blocks.
+// EventKind is the kind of change that a CacheEvent reports.
 type EventKind string
 
 const (
@@ -109,37 +109,37 @@
 	BlocksCleared EventKind = "cleared"
 )
 
-// CacheEvent reports a change of the prefix cache. Seq counts from 1 in one incarnation.
+// CacheEvent reports a change of the prefix cache. Seq counts from 1 within an incarnation.
 type CacheEvent struct {
 	Seq    uint64       `json:"seq"`
 	Kind   EventKind    `json:"kind"`
 	Blocks []block.Hash `json:"blocks,omitempty"`
 }
 
-// EventPage answers a question for events. A first event beyond after+1 is a gap.
+// EventPage is the response to a request for events. If its first event is beyond after+1, events are missing.
 type EventPage struct {
 	Incarnation uint64       `json:"incarnation"`
 	Events      []CacheEvent `json:"events"`
-	Next        uint64       `json:"next"` // sequence of the newest event known to this page
+	Next        uint64       `json:"next"` // sequence number of the newest event as of this page
 }
 
-// Snapshot is the whole content of the prefix cache at sequence Seq.
+// Snapshot is the complete content of the prefix cache at sequence number Seq.
 type Snapshot struct {
 	Incarnation uint64       `json:"incarnation"`
 	Seq         uint64       `json:"seq"`
 	Blocks      []block.Hash `json:"blocks"`
 }
 
-// ExportRequest asks the engine to write blocks to a store VM. The engine writes
-// the blocks only; the caller commits the manifest afterwards.
+// ExportRequest asks the engine to write blocks to a store VM. The engine writes only the blocks;
+// the caller commits the manifest afterwards.
 type ExportRequest struct {
 	StoreAddress string       `json:"store_address"` // host:port
 	Prefix       string       `json:"prefix"`        // block names are Prefix + hash
 	Blocks       []block.Hash `json:"blocks"`
 }
 
-// ExportResponse lists what was written, in order; a block that had been evicted
-// ends the list.
+// ExportResponse lists the written blocks in order. The list ends before the first block that had
+// been evicted.
 type ExportResponse struct {
 	Written []ExportedBlock `json:"written"`
 }
@@ -151,8 +151,8 @@
 	Digest string     `json:"digest"` // SHA-256 of the content, hexadecimal
 }
 
-// ImportRequest asks the engine to read blocks from a store VM into its cache. Each
-// block must match its length and digest; the first that does not ends the import.
+// ImportRequest asks the engine to read blocks from a store VM into its cache. The import ends at the
+// first block whose length or digest does not match.
 type ImportRequest struct {
 	StoreAddress string          `json:"store_address"`
 	Prefix       string          `json:"prefix"`
@@ -161,14 +161,14 @@
 	Blocks       []ExportedBlock `json:"blocks"`
 }
 
-// ImportResponse says how many leading blocks are now in the cache.
+// ImportResponse reports how many leading blocks are now in the cache.
 type ImportResponse struct {
 	Imported int   `json:"imported"`
 	Bytes    int64 `json:"bytes"`
-	Corrupt  int   `json:"torn"` // blocks that failed length or digest
+	Corrupt  int   `json:"torn"` // blocks whose length or digest did not match
 }
 
-// OrderKind says what an order changes.
+// OrderKind is the kind of change that an Order requests.
 type OrderKind string
 
 const (
@@ -180,8 +180,8 @@
 	OrderSetRole OrderKind = "set_role"
 )
 
-// Order tells an engine to change. Epoch is the fencing number: engines that check
-// refuse an epoch below the highest seen. OperationID makes a repeat harmless.
+// Order tells an engine to change its version, adapter or role. Epoch is the fencing number: engines
+// that check it refuse an epoch below the highest one seen. OperationID makes a repeated order idempotent.
 type Order struct {
 	OperationID string          `json:"operation_id"`
 	Epoch       uint64          `json:"epoch"`
@@ -192,17 +192,17 @@
 	Role        string          `json:"role,omitempty"`
 }
 
-// OrderResponse acknowledges an order; loading goes on after it.
+// OrderResponse acknowledges an order. Loading continues after the acknowledgement.
 type OrderResponse struct {
 	Accepted bool `json:"accepted"`
 }
 
-// State is what an engine is and does now.
+// State is the current state of an engine.
 type State struct {
 	Incarnation  uint64          `json:"incarnation"`
 	Model        request.Model   `json:"model"`
 	Version      request.Version `json:"version"`
-	Loading      request.Version `json:"loading,omitempty"` // version being loaded
+	Loading      request.Version `json:"loading,omitempty"` // version that is being loaded
 	Role         string          `json:"role"`
 	Adapters     []string        `json:"adapters,omitempty"`
 	HighestEpoch uint64          `json:"highest_epoch"`
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,4 +1,4 @@
-// Package request holds the identities, outcomes and errors that every layer of
+// Package request defines the identifiers, outcomes and errors that every layer of
 // bluebellscale shares. It imports no other package of this module.
 package request
 
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// OrgID names an organisation.
+// OrgID identifies an organisation.
 type OrgID string
 
-// TargetID names a target: a model engine replica or a plain service instance.
+// TargetID identifies a target: a model engine replica or a plain service instance.
 type TargetID string
 
-// StoreID names a store VM.
+// StoreID identifies a store VM.
 type StoreID string
 
-// DaemonID names a daemon process by its configured id, stable over restarts.
+// DaemonID identifies a daemon by its configured id, which is stable across restarts.
 type DaemonID string
 
-// Model names a model, for example "verdict".
+// Model is the name of a model, for example "verdict".
 type Model string
 
-// Version names a weight version of a model, for example "v3".
+// Version is the name of a weight version of a model, for example "v3".
 type Version string
 
-// ID identifies one request over all daemons and retries. It is chosen by the
-// daemon that accepted the request and is echoed by targets in every frame.
+// ID identifies one request across all daemons and retries. The daemon that accepts the request
+// assigns it, and targets echo it in every frame.
 type ID string
 
-// RunOutcome tells a caller whether its request had an effect.
+// RunOutcome states whether a request had an effect.
 type RunOutcome string
 
 const (
@@ -41,10 +41,10 @@
 	InDoubt RunOutcome = "in_doubt"
 )
 
-// Code is the stable identity of an error in answers to callers.
+// Code identifies an error in responses to callers. Codes are stable.
 type Code string
 
-// The codes of docs/API.md.
+// Error codes, documented in docs/API.md.
 const (
 	CodeBadRequest       Code = "bad_request"
 	CodeUnauthorized     Code = "unauthorized"
@@ -73,14 +73,14 @@
 	CodeMethodNotAllowed Code = "method_not_allowed"
 )
 
-// Error is the final answer to a request that did not succeed.
+// Error is the final response to a request that did not succeed.
 type Error struct {
 	Code       Code
 	Status     int // HTTP status
 	Message    string
-	Field      string // the offending field of the request, if any
+	Field      string // invalid field of the request, if any
 	Ran        RunOutcome
-	RetryAfter time.Duration // zero: coming back will not help
+	RetryAfter time.Duration // zero: a retry will not help
 }
 
 // Error implements the error interface.
