--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -216,7 +216,7 @@
 	out := *err
 	out.Code = request.CodeDeadline
 	out.Status = http.StatusGatewayTimeout
-	out.Message = "deadline too close for another attempt: " + err.Message
+	out.Message = "no time is left for another try: " + err.Message
 	return &out
 }
 
--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -19,7 +19,7 @@
 	j.Meta = meta // set before any refusal, whose log line includes it
 	state, current := s.o.State()
 	if state == nil {
-		return j, request.Refuse(request.CodeStale, http.StatusServiceUnavailable, s.notReadyRetryAfter(), "the desired state has not been loaded yet")
+		return j, request.Refuse(request.CodeStale, http.StatusServiceUnavailable, s.notReadyRetryAfter(), "no desired state is known yet")
 	}
 	path := rawPath(r.RequestURI)
 	j.Route = state.Match(r.Host, path)
@@ -27,11 +27,11 @@
 		return j, s.unlessStale(current, request.Refuse(request.CodeUnknownService, http.StatusNotFound, 0, "no route for %s%s", r.Host, path))
 	}
 	if s.refusedByDrain(j) {
-		return j, request.Refuse(request.CodeDraining, http.StatusServiceUnavailable, drainingRetry, "this daemon is shutting down")
+		return j, request.Refuse(request.CodeDraining, http.StatusServiceUnavailable, drainingRetry, "this daemon stops")
 	}
 	if state.NeedsKey(j.Route) {
 		if j.Org = state.OrgOf(s.o.Dialect.CallerKey(r.Header)); j.Org == nil {
-			return j, s.unlessStale(current, request.Refuse(request.CodeUnauthorized, http.StatusUnauthorized, 0, "the API key is unknown"))
+			return j, s.unlessStale(current, request.Refuse(request.CodeUnauthorized, http.StatusUnauthorized, 0, "the key is not known"))
 		}
 	}
 	if metaErr != nil {
@@ -39,7 +39,7 @@
 	}
 	j.Service = state.Services[j.Route.ServiceFor(splitKey(j))]
 	if j.Service == nil {
-		return j, request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, noCapacityRetry, "the route refers to an unknown service")
+		return j, request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, noCapacityRetry, "the route's service is not known")
 	}
 	j.Deadline = deadline(j)
 	return j, s.readBody(r, j, state.Limits.MaxBodyBytes)
@@ -51,7 +51,7 @@
 	if current {
 		return e
 	}
-	return request.Refuse(request.CodeStale, http.StatusServiceUnavailable, s.notReadyRetryAfter(), "the desired state may be stale")
+	return request.Refuse(request.CodeStale, http.StatusServiceUnavailable, s.notReadyRetryAfter(), "the desired state may be old")
 }
 
 // notReadyRetryAfter returns the Retry-After of a daemon that waits for the desired state. It grows
@@ -72,7 +72,7 @@
 		return &request.Error{Code: request.CodeBadRequest, Status: http.StatusBadRequest, Message: "body: " + err.Error(), Ran: request.NotRun}
 	}
 	if int64(len(body)) > limit {
-		return &request.Error{Code: request.CodePayloadTooLarge, Status: http.StatusRequestEntityTooLarge, Message: "body: exceeds the size limit", Ran: request.NotRun}
+		return &request.Error{Code: request.CodePayloadTooLarge, Status: http.StatusRequestEntityTooLarge, Message: "body: too long", Ran: request.NotRun}
 	}
 	j.Body = body
 	return nil
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -85,19 +85,19 @@
 func finalError(ctx context.Context, j *Job, mayRun bool, cause error) error {
 	late := !time.Now().Before(j.Deadline) || errors.Is(ctx.Err(), context.DeadlineExceeded)
 	if mayRun && late {
-		return &request.Error{Code: request.CodeDeadline, Status: http.StatusGatewayTimeout, Message: "the replica did not respond before the deadline", Ran: request.InDoubt}
+		return &request.Error{Code: request.CodeDeadline, Status: http.StatusGatewayTimeout, Message: "no answer in time", Ran: request.InDoubt}
 	}
 	if mayRun {
-		return &request.Error{Code: request.CodeTargetFailed, Status: http.StatusBadGateway, Message: "the replica failed or its connection broke", Ran: request.InDoubt}
+		return &request.Error{Code: request.CodeTargetFailed, Status: http.StatusBadGateway, Message: "the replica failed", Ran: request.InDoubt}
 	}
 	var e *request.Error
 	if errors.As(cause, &e) {
 		return e
 	}
 	if late {
-		return request.Refuse(request.CodeDeadline, http.StatusServiceUnavailable, noCapacityRetry, "no replica accepted the request before the deadline")
+		return request.Refuse(request.CodeDeadline, http.StatusServiceUnavailable, noCapacityRetry, "no replica took it in time")
 	}
-	return request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, noCapacityRetry, "no replica accepted the request")
+	return request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, noCapacityRetry, "no replica took it")
 }
 
 // writeError sends an error that this daemon generated.
