--- a/internal/contextstore/asker.go
+++ b/internal/contextstore/asker.go
@@ -14,7 +14,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/lease"
 	"github.com/bluebellscale/bluebellscale/internal/mirror"
 	"github.com/bluebellscale/bluebellscale/internal/placer"
-	"github.com/bluebellscale/bluebellscale/internal/policy/storeroom"
+	"github.com/bluebellscale/bluebellscale/internal/policy/storecache"
 	"github.com/bluebellscale/bluebellscale/internal/relay"
 	"github.com/bluebellscale/bluebellscale/internal/request"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
@@ -254,7 +254,7 @@
 
 // Fetched implements placer.Stores. The keeper hears of it at once: told with the next question,
 // it heard of a slow link two seconds late.
-func (a *Asker) Fetched(store routing.ServiceID, f storeroom.Fetched) {
+func (a *Asker) Fetched(store routing.ServiceID, f storecache.Fetched) {
 	h, listens := a.holder(store)
 	if !listens {
 		return
--- a/internal/contextstore/contextstore_test.go
+++ b/internal/contextstore/contextstore_test.go
@@ -13,7 +13,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/lease"
 	"github.com/bluebellscale/bluebellscale/internal/mirror"
 	"github.com/bluebellscale/bluebellscale/internal/pause"
-	"github.com/bluebellscale/bluebellscale/internal/policy/storeroom"
+	"github.com/bluebellscale/bluebellscale/internal/policy/storecache"
 	"github.com/bluebellscale/bluebellscale/internal/relay"
 	"github.com/bluebellscale/bluebellscale/internal/request"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
@@ -26,8 +26,8 @@
 	epoch  uint64
 	down   bool
 	events []Event
-	parts  map[storeroom.Key]int
-	freed  []storeroom.Key
+	parts  map[storecache.Key]int
+	freed  []storecache.Key
 
 	listTakes time.Duration // how long a list comes over the store's link
 }
@@ -35,12 +35,12 @@
 // clockAhead is how far the fake store's clock is ahead of this process's, in ms.
 const clockAhead = 1_000_000
 
-func newFakeStore() *fakeStore { return &fakeStore{epoch: 1, parts: map[storeroom.Key]int{}} }
+func newFakeStore() *fakeStore { return &fakeStore{epoch: 1, parts: map[storecache.Key]int{}} }
 
 func (s *fakeStore) save(salt, id string, tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	key := storeroom.Key{Salt: salt, ID: id}
+	key := storecache.Key{Salt: salt, ID: id}
 	s.parts[key] = tokens
 	s.events = append(s.events, Event{Stored: true, Key: key, Tokens: tokens})
 }
@@ -92,12 +92,12 @@
 	}
 	c := Content{Epoch: s.epoch, Next: uint64(len(s.events))}
 	for key, tokens := range s.parts {
-		c.Whole = append(c.Whole, storeroom.Ask{Key: key, Tokens: tokens})
+		c.Whole = append(c.Whole, storecache.Ask{Key: key, Tokens: tokens})
 	}
 	return c, nil
 }
 
-func (s *fakeStore) Free(_ context.Context, _ string, keys []storeroom.Key, epoch uint64, _ int64) error {
+func (s *fakeStore) Free(_ context.Context, _ string, keys []storecache.Key, epoch uint64, _ int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if epoch != s.epoch {
@@ -187,7 +187,7 @@
 		t.Errorf("got %+v", got[0])
 	}
 	left := until - (time.Now().UnixMilli() + clockAhead)
-	if left < 1000 || left > storeroom.LeaveFor.Milliseconds() {
+	if left < 1000 || left > storecache.LeaveFor.Milliseconds() {
 		t.Errorf("leave ends in %d ms on the replicas' clock", left)
 	}
 	store.restart()
@@ -217,7 +217,7 @@
 	fake.SetDown(false)
 	back := time.Now()
 	askFor(t, a, "newer", false, true)
-	if took := time.Since(back); took > storeroom.LeaveFor {
+	if took := time.Since(back); took > storecache.LeaveFor {
 		t.Errorf("written again after %s", took)
 	}
 }
@@ -233,7 +233,7 @@
 	a.o.Own.Stalled(distrustAfter - time.Millisecond)
 	askFor(t, a, "p", true, false)
 	store.mu.Lock()
-	delete(store.parts, storeroom.Key{Salt: "w1", ID: "p"}) // by the keeper meanwhile, and no event tells it
+	delete(store.parts, storecache.Key{Salt: "w1", ID: "p"}) // by the keeper meanwhile, and no event tells it
 	store.mu.Unlock()
 	a.o.Own.Stalled(distrustAfter)
 	for range 50 {
@@ -262,7 +262,7 @@
 	}
 	a := keepUnder(t, fake, time.Second, store, service("s", 1000, 1000))
 	askFor(t, a, "old1", true, false)
-	for deadline := time.Now().Add(storeroom.ReadOnFor); ; time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(storecache.ReadOnFor); ; time.Sleep(50 * time.Millisecond) {
 		// New weights: what is of the old ones may go.
 		_, _ = a.Ask(context.Background(), "w2", []relay.Part{{ID: "n", Tokens: 100}, {ID: "own"}}, []bool{false, false})
 		store.mu.Lock()
@@ -394,7 +394,7 @@
 	}
 	a := keep(t, store, service("shelf", 1000, 1000))
 	askFor(t, a, "context0", true, false)
-	const untilFreed = storeroom.LeaveFor + time.Second // nothing is freed while leave may last
+	const untilFreed = storecache.LeaveFor + time.Second // nothing is freed while leave may last
 	time.Sleep(untilFreed)
 	askFor(t, a, "context1", true, false)
 	if n := store.freedByNow(); n > 0 {
@@ -414,7 +414,7 @@
 			continue // nothing is known yet
 		}
 		left := time.Duration(until-time.Now().UnixMilli()-clockAhead) * time.Millisecond
-		if left > storeroom.LeaveFor || left < storeroom.LeaveFor-time.Second {
+		if left > storecache.LeaveFor || left < storecache.LeaveFor-time.Second {
 			t.Errorf("leave lasts %s on the store's clock", left)
 		}
 		return
@@ -444,7 +444,7 @@
 		askFor(t, a, "x", false, true)
 		return time.Since(began)
 	}
-	const wait = storeroom.LeaveFor
+	const wait = storecache.LeaveFor
 	if got := took(record{Epoch: 1, Seen: now - 60_000}); got > wait/2 {
 		t.Errorf("the same process for a minute: saves after %s", got)
 	}
@@ -469,7 +469,7 @@
 	a := keepUnder(t, fake, 10*time.Second, store, service("shelf", 1000, 1000))
 	parts := []relay.Part{{ID: "new", Tokens: 16}, {ID: "own", Tokens: 16}}
 	a.Ask(context.Background(), "w2", parts, []bool{false, false}) // all others are of old weights
-	time.Sleep(storeroom.LeaveFor + time.Second)
+	time.Sleep(storecache.LeaveFor + time.Second)
 	a.Ask(context.Background(), "w2", parts, []bool{false, false})
 	if n := store.freedByNow(); n > 0 {
 		t.Errorf("%d parts were freed while a keeper may give leave for them", n)
--- a/internal/contextstore/keeper.go
+++ b/internal/contextstore/keeper.go
@@ -21,7 +21,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/lease"
 	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
-	"github.com/bluebellscale/bluebellscale/internal/policy/storeroom"
+	"github.com/bluebellscale/bluebellscale/internal/policy/storecache"
 	"github.com/bluebellscale/bluebellscale/internal/request"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
@@ -223,8 +223,8 @@
 func (s *StoreKeeper) keep(ctx context.Context, store *routing.Service, l *lease.Lease, tokenBytes int) {
 	const bitsPerByte = 8
 	k := &kept{
-		id: store.ID, address: store.Store.Address, tokens: store.Store.Tokens, lease: l, heldAt: time.Now(), calls: s.o.Calls, log: s.o.Logger, metrics: s.o.Metrics, records: records{kv: s.o.KV}, reasons: map[storeroom.Reason]int{},
-		room: storeroom.New(time.Now(), storeroom.Params{
+		id: store.ID, address: store.Store.Address, tokens: store.Store.Tokens, lease: l, heldAt: time.Now(), calls: s.o.Calls, log: s.o.Logger, metrics: s.o.Metrics, records: records{kv: s.o.KV}, reasons: map[storecache.Reason]int{},
+		room: storecache.New(time.Now(), storecache.Params{
 			Tokens: store.Store.Tokens, FirstByte: store.Store.FirstByte,
 			TokensPerSec: store.Store.LinkMbps * bitsPerMegabit / bitsPerByte / float64(tokenBytes),
 			Lapsed:       l.Lapsed() != "" && l.Lapsed() != s.o.Self,
@@ -278,7 +278,7 @@
 func (s *StoreKeeper) Release(_ context.Context, r *ReleaseRequest) (*ReleaseResponse, error) {
 	for _, p := range r.Parts {
 		if k := s.keptStore(routing.ServiceID(p.Store)); k != nil {
-			k.release(storeroom.Key{Salt: r.Salt, ID: p.Id}, p.Claim)
+			k.release(storecache.Key{Salt: r.Salt, ID: p.Id}, p.Claim)
 		}
 	}
 	return &ReleaseResponse{}, nil
@@ -288,7 +288,7 @@
 func (s *StoreKeeper) Fetched(_ context.Context, r *FetchedRequest) (*FetchedResponse, error) {
 	if k := s.keptStore(routing.ServiceID(r.Store)); k != nil {
 		took := time.Duration(r.TookUs) * time.Microsecond
-		k.fetched(storeroom.Fetched{Claim: r.Claim, Took: took, Overdue: r.Overdue, Busy: r.Busy})
+		k.fetched(storecache.Fetched{Claim: r.Claim, Took: took, Overdue: r.Overdue, Busy: r.Busy})
 	}
 	return &FetchedResponse{}, nil
 }
--- a/internal/contextstore/kept.go
+++ b/internal/contextstore/kept.go
@@ -14,14 +14,14 @@
 
 	"github.com/bluebellscale/bluebellscale/internal/lease"
 	"github.com/bluebellscale/bluebellscale/internal/pause"
-	"github.com/bluebellscale/bluebellscale/internal/policy/storeroom"
+	"github.com/bluebellscale/bluebellscale/internal/policy/storecache"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
 // Event is a change of a store's content.
 type Event struct {
 	Stored bool // or removed
-	Key    storeroom.Key
+	Key    storecache.Key
 	Tokens int
 }
 
@@ -32,8 +32,8 @@
 	Lost    bool // events are missing
 	ClockMs int64
 	Events  []Event
-	Whole   []storeroom.Ask // of a list
-	Partial []storeroom.Ask
+	Whole   []storecache.Ask // of a list
+	Partial []storecache.Ask
 }
 
 // Calls carries out calls to stores.
@@ -44,7 +44,7 @@
 	// List reads all that a store holds; it gives up like Events.
 	List(ctx context.Context, address string) (Content, error)
 	// Free frees parts, unless the store has restarted or its clock is past a time.
-	Free(ctx context.Context, address string, keys []storeroom.Key, epoch uint64, until int64) error
+	Free(ctx context.Context, address string, keys []storecache.Key, epoch uint64, until int64) error
 }
 
 // kept is a store that this daemon keeps.
@@ -65,7 +65,7 @@
 	lease    *lease.Lease
 	heldAt   time.Time // when the lease was known to be held
 	retired  bool      // given back, or another daemon keeps the store
-	room     *storeroom.Room
+	room     *storecache.Cache
 	epoch    uint64
 	next     uint64
 	listed   bool
@@ -83,7 +83,7 @@
 	clockMs int64
 	clockAt time.Time
 	// reasons count the answers since the last line of the log.
-	reasons map[storeroom.Reason]int
+	reasons map[storecache.Reason]int
 }
 
 // weightsOf returns the version that a salt stands for; zero if it is not one of ours.
@@ -174,7 +174,7 @@
 // withWeights adds the versions that made the parts of a list; their salts tell. Without them
 // all that a store held when it was listed counted as made by older weights: a new keeper
 // freed it first.
-func withWeights(parts []storeroom.Ask) []storeroom.Ask {
+func withWeights(parts []storecache.Ask) []storecache.Ask {
 	out := slices.Clone(parts)
 	for i := range out {
 		out[i].Weights = weightsOf(out[i].Salt)
@@ -262,7 +262,7 @@
 	}
 }
 
-func (k *kept) freeSome(ctx context.Context, keys []storeroom.Key, epoch uint64, until int64) {
+func (k *kept) freeSome(ctx context.Context, keys []storecache.Key, epoch uint64, until int64) {
 	ctx, cancel := context.WithTimeout(ctx, freeTimeout)
 	defer cancel()
 	err := k.calls.Free(ctx, k.address, keys, epoch, until)
@@ -301,7 +301,7 @@
 	}
 	// The clock that timers use stands still while a VM is suspended, the time of day does
 	// not: both must agree.
-	return now.Sub(k.heldAt) < storeroom.ReadOnFor && now.Round(0).Sub(k.heldAt.Round(0)) < storeroom.ReadOnFor
+	return now.Sub(k.heldAt) < storecache.ReadOnFor && now.Round(0).Sub(k.heldAt.Round(0)) < storecache.ReadOnFor
 }
 
 // holds reports whether the store's lease is held.
@@ -360,8 +360,8 @@
 	lapsed := !k.lease.Valid()
 	answers := make([]*PartAnswer, len(asks))
 	for i, a := range asks {
-		answer := k.room.Ask(now, storeroom.Ask{
-			Key: storeroom.Key{Salt: salt, ID: a.Id}, Tokens: int(a.Tokens), Weights: weights, Resident: a.Resident, Last: a.Last, ReadOnly: lapsed,
+		answer := k.room.Ask(now, storecache.Ask{
+			Key: storecache.Key{Salt: salt, ID: a.Id}, Tokens: int(a.Tokens), Weights: weights, Resident: a.Resident, Last: a.Last, ReadOnly: lapsed,
 		})
 		k.reasons[answer.Reason]++
 		k.metrics.Tagged(map[string]string{"reason": string(answer.Reason)}).Counter("store_asks").Inc(1)
@@ -370,18 +370,18 @@
 			NotKept: lapsed, Claim: answer.Claim, QueueUs: int32(answer.Queue.Microseconds()),
 		}
 	}
-	return answers, k.replicaClock(now.Add(storeroom.LeaveFor)), true
+	return answers, k.replicaClock(now.Add(storecache.LeaveFor)), true
 }
 
 // release takes back what claim allowed for a part.
-func (k *kept) release(key storeroom.Key, claim int64) {
+func (k *kept) release(key storecache.Key, claim int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.room.Release(time.Now(), key, claim)
 }
 
 // fetched notes how a fetch went.
-func (k *kept) fetched(f storeroom.Fetched) {
+func (k *kept) fetched(f storecache.Fetched) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.room.OnFetched(time.Now(), f)
--- a/internal/contextstore/record.go
+++ b/internal/contextstore/record.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/bluebellscale/bluebellscale/internal/platform"
-	"github.com/bluebellscale/bluebellscale/internal/policy/storeroom"
+	"github.com/bluebellscale/bluebellscale/internal/policy/storecache"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
@@ -104,7 +104,7 @@
 	now := time.Now()
 	clock := k.replicaClock(now)
 	if unreadable {
-		k.room.OnReaders(now.Add(storeroom.ReadOnFor)) // as if one had just been cut off
+		k.room.OnReaders(now.Add(storecache.ReadOnFor)) // as if one had just been cut off
 	}
 	k.room.OnReaders(now.Add(time.Duration(known.Readers-clock) * time.Millisecond))
 	next := record{Epoch: k.epoch, Seen: clock, Readers: max(known.Readers, k.replicaClock(k.room.Readers()))}
@@ -112,7 +112,7 @@
 		return next
 	}
 	next.Seen = known.Seen
-	if time.Duration(clock-known.Seen)*time.Millisecond > storeroom.LeaveSeenFor {
+	if time.Duration(clock-known.Seen)*time.Millisecond > storecache.LeaveSeenFor {
 		k.room.OnSameProcess(now)
 	}
 	return next
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -12,7 +12,7 @@
 
 	"github.com/bluebellscale/bluebellscale/internal/policy/pick"
 	"github.com/bluebellscale/bluebellscale/internal/policy/residency"
-	"github.com/bluebellscale/bluebellscale/internal/policy/storeroom"
+	"github.com/bluebellscale/bluebellscale/internal/policy/storecache"
 	"github.com/bluebellscale/bluebellscale/internal/policy/waits"
 	"github.com/bluebellscale/bluebellscale/internal/relay"
 	"github.com/bluebellscale/bluebellscale/internal/replicas"
@@ -73,7 +73,7 @@
 	// Release says that some of what Ask allowed under a salt is not used. It does not wait.
 	Release(salt string, parts []relay.Part, unused []Stored)
 	// Fetched says how a fetch from a store went. It does not wait.
-	Fetched(store routing.ServiceID, f storeroom.Fetched)
+	Fetched(store routing.ServiceID, f storecache.Fetched)
 }
 
 // Engine places prompts on model replicas.
@@ -206,7 +206,7 @@
 		}
 	}
 	longest := max(j.Route.Objective-time.Since(j.Start)-compute, told+fetchSlack)
-	return leave - max(0, storeroom.LeaveFor-longest).Milliseconds()
+	return leave - max(0, storecache.LeaveFor-longest).Milliseconds()
 }
 
 func begin(r *replicas.Replica, need pick.Request, compute int) *replicas.Flight {
@@ -257,7 +257,7 @@
 	began := time.Now()
 	tell := func(overdue bool) {
 		took := max(0, time.Since(began)-others)
-		e.Stores.Fetched(from.Store, storeroom.Fetched{Claim: from.Claim, Took: took, Overdue: overdue, Busy: busy})
+		e.Stores.Fetched(from.Store, storecache.Fetched{Claim: from.Claim, Took: took, Overdue: overdue, Busy: busy})
 	}
 	timer := time.AfterFunc(others+told+fetchOverdue, func() {
 		if !busy {
--- a/internal/policy/storeroom/free.go
+++ b/internal/policy/storecache/free.go
@@ -1,4 +1,4 @@
-package storeroom
+package storecache
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 
 // unwanted returns the parts that may be freed now, those first that are least likely to
 // return: of older weights, then longest unused.
-func (r *Room) unwanted(now time.Time) []*part {
+func (r *Cache) unwanted(now time.Time) []*part {
 	var out []*part
 	for _, p := range r.parts {
 		if p.state == held && r.mayFree(now, p) {
@@ -21,7 +21,7 @@
 	return out
 }
 
-func (r *Room) mayFree(now time.Time, p *part) bool {
+func (r *Cache) mayFree(now time.Time, p *part) bool {
 	if now.Before(r.freeAfter) || now.Before(p.leave.Add(leaveSlack)) {
 		return false
 	}
@@ -30,7 +30,7 @@
 
 // Free returns the parts to be freed now and marks them. The caller tells the outcome with
 // OnRemoved or OnKept.
-func (r *Room) Free(now time.Time) []Key {
+func (r *Cache) Free(now time.Time) []Key {
 	if now.Before(r.freeAfter) {
 		return nil
 	}
@@ -54,14 +54,14 @@
 	return out
 }
 
-func (r *Room) mark(now time.Time, p *part) Key {
+func (r *Cache) mark(now time.Time, p *part) Key {
 	p.state, p.since = freeing, now
 	return p.key
 }
 
 // OnKept is told that parts could not be freed for sure. They are neither fetched nor
 // written until a list tells whether the store still has them.
-func (r *Room) OnKept(now time.Time, keys []Key) {
+func (r *Cache) OnKept(now time.Time, keys []Key) {
 	for _, key := range keys {
 		if p, known := r.parts[key]; known {
 			p.state, p.since, p.claim = saving, now, 0
@@ -71,7 +71,7 @@
 
 // OnList takes the store's whole content: what is whole, and what is written or broke off.
 // What was asked to be saved a moment ago may be on neither list yet.
-func (r *Room) OnList(now time.Time, whole, partial []Ask) {
+func (r *Cache) OnList(now time.Time, whole, partial []Ask) {
 	listed := map[Key]bool{}
 	for _, a := range whole {
 		listed[a.Key] = true
@@ -95,7 +95,7 @@
 
 // Overdue reports whether saves are missing for so long that the store should be listed:
 // their events were lost, or they broke off and keep room.
-func (r *Room) Overdue(now time.Time) bool {
+func (r *Cache) Overdue(now time.Time) bool {
 	for _, p := range r.parts {
 		if p.state == saving && now.Sub(p.since) > saveWithin {
 			return true
--- a/internal/policy/storeroom/link.go
+++ b/internal/policy/storecache/link.go
@@ -1,4 +1,4 @@
-package storeroom
+package storecache
 
 import (
 	"cmp"
--- a/internal/policy/storeroom/link_test.go
+++ b/internal/policy/storecache/link_test.go
@@ -1,4 +1,4 @@
-package storeroom
+package storecache
 
 import (
 	"fmt"
@@ -59,7 +59,7 @@
 // load plays the load on a room that is told what tell lets through.
 type load struct {
 	rng  *rand.Rand
-	room *Room
+	room *Cache
 	real realLink
 	news []news
 	tell func(Fetched) bool
--- a/internal/policy/storeroom/storeroom.go
+++ b/internal/policy/storecache/storecache.go
@@ -1,4 +1,4 @@
-// Package storeroom decides what one context store keeps, who may fetch from it and when
+// Package storecache decides what one context store keeps, who may fetch from it and when
 // parts are freed.
 //
 // A store does not know who reads from it, and frees what it is told to free at once. A
@@ -13,7 +13,7 @@
 //
 // The package is pure: it holds no clock, I/O, goroutine or randomness. A Room is not safe
 // for concurrent use.
-package storeroom
+package storecache
 
 import (
 	"time"
@@ -134,8 +134,8 @@
 	Lapsed bool
 }
 
-// Room is what is known of one store.
-type Room struct {
+// Cache is what is known of one store.
+type Cache struct {
 	p         Params
 	parts     map[Key]*part
 	taken     int
@@ -151,8 +151,8 @@
 
 // New returns the room of a store whose content is not known yet. Another daemon may have
 // given leave until now, or goes on to for a while if its lease ran out.
-func New(now time.Time, p Params) *Room {
-	r := &Room{p: p, parts: map[Key]*part{}, seen: map[Key]time.Time{}, seenSwept: now, link: newLink(now, p.TokensPerSec), readers: now}
+func New(now time.Time, p Params) *Cache {
+	r := &Cache{p: p, parts: map[Key]*part{}, seen: map[Key]time.Time{}, seenSwept: now, link: newLink(now, p.TokensPerSec), readers: now}
 	if p.Lapsed {
 		r.readers = now.Add(ReadOnFor)
 	}
@@ -162,7 +162,7 @@
 }
 
 // Reset is told that the store came back empty.
-func (r *Room) Reset(now time.Time) {
+func (r *Cache) Reset(now time.Time) {
 	clear(r.parts)
 	r.taken = 0
 	r.link.reset(now)
@@ -175,33 +175,33 @@
 // OnSameProcess is told that the store has not restarted since any leave was given that may
 // still be in use. Nothing that somebody may fetch is missing then, so that saves need not
 // wait.
-func (r *Room) OnSameProcess(now time.Time) { r.saveAfter = now }
+func (r *Cache) OnSameProcess(now time.Time) { r.saveAfter = now }
 
 // Readers returns until when another keeper may give leave, as far as is known.
-func (r *Room) Readers() time.Time { return r.readers }
+func (r *Cache) Readers() time.Time { return r.readers }
 
 // OnReaders is told until when another keeper may give leave.
-func (r *Room) OnReaders(until time.Time) {
+func (r *Cache) OnReaders(until time.Time) {
 	if until.After(r.readers) {
 		r.readers = until
 		r.freeAfter = until.Add(LeaveFor + leaveSlack)
 	}
 }
 
-func (r *Room) noSaveBefore(t time.Time) {
+func (r *Cache) noSaveBefore(t time.Time) {
 	if t.After(r.saveAfter) {
 		r.saveAfter = t
 	}
 }
 
 // Queue returns the link's queue.
-func (r *Room) Queue(now time.Time) time.Duration { return r.link.queue(now) }
+func (r *Cache) Queue(now time.Time) time.Duration { return r.link.queue(now) }
 
 // Taken returns the tokens of room that are taken or promised.
-func (r *Room) Taken() int { return r.taken }
+func (r *Cache) Taken() int { return r.taken }
 
 // Parts returns the number of parts that are whole.
-func (r *Room) Parts() int {
+func (r *Cache) Parts() int {
 	n := 0
 	for _, p := range r.parts {
 		if p.state == held {
@@ -212,7 +212,7 @@
 }
 
 // Ask decides on one part. Leave to fetch lasts until now plus LeaveFor.
-func (r *Room) Ask(now time.Time, a Ask) Answer {
+func (r *Cache) Ask(now time.Time, a Ask) Answer {
 	r.newest = max(r.newest, a.Weights)
 	r.link.recover(now)
 	p, known := r.parts[a.Key]
@@ -242,7 +242,7 @@
 // A save that nobody makes would keep its part from being saved, and so from being fetched,
 // until it counts as broken off. Its claim tells it from a save that another request was
 // allowed since, and from one that broke off: those may write still.
-func (r *Room) Release(now time.Time, key Key, claim int64) {
+func (r *Cache) Release(now time.Time, key Key, claim int64) {
 	r.link.drop(now, claim)
 	if p, known := r.parts[key]; known && claim != 0 && p.state == saving && p.claim == claim {
 		r.remove(p)
@@ -251,7 +251,7 @@
 
 // seenBefore notes a last part and reports whether it was asked for before, within the
 // time in which it is likely to return.
-func (r *Room) seenBefore(now time.Time, key Key) bool {
+func (r *Cache) seenBefore(now time.Time, key Key) bool {
 	if now.Sub(r.seenSwept) > keepFor {
 		r.seenSwept = now
 		for k, at := range r.seen {
@@ -265,7 +265,7 @@
 	return known && now.Sub(at) <= keepFor
 }
 
-func (r *Room) fetch(now time.Time, p *part, a Ask) Answer {
+func (r *Cache) fetch(now time.Time, p *part, a Ask) Answer {
 	queue := r.Queue(now)
 	p.used = now
 	if !a.Resident && queue > maxQueue {
@@ -292,7 +292,7 @@
 }
 
 // OnFetched is told how a fetch went.
-func (r *Room) OnFetched(now time.Time, f Fetched) {
+func (r *Cache) OnFetched(now time.Time, f Fetched) {
 	switch {
 	case f.Overdue:
 		r.link.onOverdue(now, f.Claim)
@@ -304,18 +304,18 @@
 }
 
 // Slowness returns by how much transfers take longer than the link's speed says.
-func (r *Room) Slowness() float64 { return r.link.slowness }
+func (r *Cache) Slowness() float64 { return r.link.slowness }
 
 func roundUp(tokens int) int { return (tokens + block - 1) / block * block }
 
-func (r *Room) add(now time.Time, a Ask, s state) *part {
+func (r *Cache) add(now time.Time, a Ask, s state) *part {
 	p := &part{key: a.Key, tokens: a.Tokens, weights: a.Weights, state: s, since: now, used: now}
 	r.parts[a.Key] = p
 	r.taken += roundUp(a.Tokens)
 	return p
 }
 
-func (r *Room) remove(p *part) {
+func (r *Cache) remove(p *part) {
 	if r.parts[p.key] != p {
 		return
 	}
@@ -325,7 +325,7 @@
 
 // roomFor reports whether a part fits. While freeing is under way the store's room may be
 // short for a moment; a save is then not tried.
-func (r *Room) roomFor(now time.Time, tokens int) bool {
+func (r *Cache) roomFor(now time.Time, tokens int) bool {
 	if r.taken+roundUp(tokens) <= int(fullAt*float64(r.p.Tokens)) {
 		return true
 	}
@@ -339,7 +339,7 @@
 // a request on the old ones would run on it. A part of old weights that becomes whole when
 // newer ones are known is therefore never given out; old weights are used for some seconds
 // more at most.
-func (r *Room) OnStored(now time.Time, key Key, tokens int, weights uint64) {
+func (r *Cache) OnStored(now time.Time, key Key, tokens int, weights uint64) {
 	p, known := r.parts[key]
 	if !known {
 		r.add(now, Ask{Key: key, Tokens: tokens, Weights: weights}, held).mixed = weights < r.newest
@@ -353,7 +353,7 @@
 
 // OnRemoved is told by the store that a part is gone. A part that is being written now
 // was gone before: the word of it came late.
-func (r *Room) OnRemoved(key Key) {
+func (r *Cache) OnRemoved(key Key) {
 	if p, known := r.parts[key]; known && p.state != saving {
 		r.remove(p)
 	}
--- a/internal/policy/storeroom/storeroom_test.go
+++ b/internal/policy/storecache/storecache_test.go
@@ -1,4 +1,4 @@
-package storeroom
+package storecache
 
 import (
 	"fmt"
@@ -17,15 +17,15 @@
 func ask(id string, tokens int) Ask { return Ask{Key: Key{"w1", id}, Tokens: tokens, Weights: 1} }
 
 // open returns a room that has been kept for long enough to save and free.
-func open(tokens int) *Room {
+func open(tokens int) *Cache {
 	return New(at(-10_000), Params{Tokens: tokens, TokensPerSec: 100_000, FirstByte: time.Millisecond})
 }
 
-func tellOverdue(r *Room, now time.Time, claim int64) {
+func tellOverdue(r *Cache, now time.Time, claim int64) {
 	r.OnFetched(now, Fetched{Claim: claim, Took: time.Second, Overdue: true})
 }
 
-func save(t *testing.T, r *Room, now time.Time, a Ask) {
+func save(t *testing.T, r *Cache, now time.Time, a Ask) {
 	t.Helper()
 	if got := r.Ask(now, a); !got.Save {
 		t.Fatalf("%s is not to be saved: %+v", a.ID, got)
