--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -13,7 +13,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/policy/pick"
 	"github.com/bluebellscale/bluebellscale/internal/policy/residency"
 	"github.com/bluebellscale/bluebellscale/internal/policy/storecache"
-	"github.com/bluebellscale/bluebellscale/internal/policy/waits"
+	"github.com/bluebellscale/bluebellscale/internal/policy/waitlimit"
 	"github.com/bluebellscale/bluebellscale/internal/relay"
 	"github.com/bluebellscale/bluebellscale/internal/replicas"
 	"github.com/bluebellscale/bluebellscale/internal/request"
@@ -93,7 +93,7 @@
 	mu     sync.Mutex
 	memory int // tokens of one replica
 	models map[*replicas.Replica]*residency.Model
-	waits  map[routing.ServiceID]*waits.Waits
+	waits  map[routing.ServiceID]*waitlimit.Waits
 }
 
 // PlacedPart is a part that now lies in a replica's memory.
@@ -223,9 +223,9 @@
 	w := e.waits[j.Service.ID]
 	if w == nil {
 		if e.waits == nil {
-			e.waits = map[routing.ServiceID]*waits.Waits{}
+			e.waits = map[routing.ServiceID]*waitlimit.Waits{}
 		}
-		w = waits.New()
+		w = waitlimit.New()
 		e.waits[j.Service.ID] = w
 	}
 	return w.Longest(time.Now(), j.Route.Objective, j.Priority() == 0)
--- a/internal/policy/waits/waits.go
+++ b/internal/policy/waitlimit/waitlimit.go
@@ -1,4 +1,4 @@
-// Package waits decides how long requests may wait for a replica of a service before they are
+// Package waitlimit decides how long requests may wait for a replica of a service before they are
 // refused.
 //
 // All requests of a service wait in the same queues. One that has long to wait, by its own
@@ -10,7 +10,7 @@
 //
 // The package is pure: it holds no clock, I/O, goroutine or randomness. A Waits is not safe
 // for concurrent use.
-package waits
+package waitlimit
 
 import (
 	"math"
--- a/internal/policy/waits/waits_test.go
+++ b/internal/policy/waitlimit/waitlimit_test.go
@@ -1,4 +1,4 @@
-package waits
+package waitlimit
 
 import (
 	"testing"
