--- a/internal/contextstore/asker.go
+++ b/internal/contextstore/client.go
@@ -38,19 +38,19 @@
 	smallShare = 0.01
 )
 
-// AskerOptions are the options of NewAsker.
-type AskerOptions struct {
+// ClientOptions are the options of NewAsker.
+type ClientOptions struct {
 	Follower *mirror.Follower // of the key-value service; its owner runs it
 	Self     request.DaemonID
-	Own      *StoreKeeper // asked without a call
+	Local    *Owner // asked without a call
 	Stores   func() []*routing.Service
 	Client   *http.Client
 	Logger   hclog.Logger
 }
 
-// Asker finds the keeper of each part's store and asks it. It implements placer.Stores.
-type Asker struct {
-	o      AskerOptions
+// Client finds the keeper of each part's store and asks it. It implements placer.Stores.
+type Client struct {
+	o      ClientOptions
 	mirror *mirror.Mirror
 
 	holders atomic.Pointer[map[string]lease.Holder]
@@ -61,22 +61,22 @@
 	lost    map[string]time.Time // by store: when its keeper said that it does not keep it
 }
 
-// NewAsker returns an asker that knows no keeper yet.
-func NewAsker(o AskerOptions) *Asker {
+// NewClient returns an asker that knows no keeper yet.
+func NewClient(o ClientOptions) *Client {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
 	o.Logger = o.Logger.Named("contextstore")
-	a := &Asker{o: o, keepers: map[string]Keeper{}, deaf: map[string]time.Time{}, full: map[string]time.Time{}, lost: map[string]time.Time{}}
+	a := &Client{o: o, keepers: map[string]Keeper{}, deaf: map[string]time.Time{}, full: map[string]time.Time{}, lost: map[string]time.Time{}}
 	a.holders.Store(&map[string]lease.Holder{})
 	a.mirror = o.Follower.Mirror(lease.RecordPrefix+LeasePrefix, a.apply)
 	return a
 }
 
 // Mirror returns the mirror of the entries, whose copies peers may ask for.
-func (a *Asker) Mirror() *mirror.Mirror { return a.mirror }
+func (a *Client) Mirror() *mirror.Mirror { return a.mirror }
 
-func (a *Asker) apply(u mirror.Update) {
+func (a *Client) apply(u mirror.Update) {
 	next := map[string]lease.Holder{}
 	if !u.Full {
 		for store, h := range *a.holders.Load() {
@@ -104,7 +104,7 @@
 }
 
 // Ask implements placer.Stores.
-func (a *Asker) Ask(ctx context.Context, salt string, parts []relay.Part, resident []bool) ([]placer.Stored, int64) {
+func (a *Client) Ask(ctx context.Context, salt string, parts []relay.Part, resident []bool) ([]placer.Stored, int64) {
 	out := make([]placer.Stored, len(parts))
 	questions := a.questions(salt, parts, resident)
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
@@ -136,7 +136,7 @@
 
 // merge notes what a keeper answered, part by part, and what is not used of it. A part may be
 // asked for at two stores; what can be fetched goes before what can be saved.
-func (a *Asker) merge(out, unused []placer.Stored, q *question, r *ClaimResponse) {
+func (a *Client) merge(out, unused []placer.Stored, q *question, r *ClaimResponse) {
 	for i, answer := range r.Parts {
 		store := q.stores[i]
 		a.note(string(store.ID), answer)
@@ -162,7 +162,7 @@
 }
 
 // note remembers what an answer says of the store itself.
-func (a *Asker) note(store string, answer *PartAnswer) {
+func (a *Client) note(store string, answer *PartAnswer) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if answer.Full {
@@ -174,7 +174,7 @@
 }
 
 // questions sorts the parts by the keepers of their stores.
-func (a *Asker) questions(salt string, parts []relay.Part, resident []bool) []*question {
+func (a *Client) questions(salt string, parts []relay.Part, resident []bool) []*question {
 	byKeeper := map[string]*question{}
 	var order []*question
 	stores := a.o.Stores()
@@ -201,7 +201,7 @@
 }
 
 // storesFor returns the store of a part, and a second one while the first is full.
-func (a *Asker) storesFor(stores []*routing.Service, p relay.Part) []*routing.Service {
+func (a *Client) storesFor(stores []*routing.Service, p relay.Part) []*routing.Service {
 	first := choose(stores, p, nil)
 	if first == nil {
 		return nil
@@ -254,7 +254,7 @@
 
 // Fetched implements placer.Stores. The keeper hears of it at once: told with the next question,
 // it heard of a slow link two seconds late.
-func (a *Asker) Fetched(store routing.ServiceID, f storecache.Fetched) {
+func (a *Client) Fetched(store routing.ServiceID, f storecache.FetchResult) {
 	h, listens := a.holder(store)
 	if !listens {
 		return
@@ -266,9 +266,9 @@
 	})
 }
 
-// Kept reports whether some daemon keeps a store, as far as is known: it holds the lease
+// HasOwner reports whether some daemon keeps a store, as far as is known: it holds the lease
 // and has not been silent, or said that it does not keep the store, a moment ago.
-func (a *Asker) Kept(store routing.ServiceID) bool {
+func (a *Client) HasOwner(store routing.ServiceID) bool {
 	h := (*a.holders.Load())[string(store)]
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -276,31 +276,31 @@
 	return h.Address != "" && now.After(a.deaf[h.Address]) && now.Sub(a.lost[string(store)]) > lostFor
 }
 
-// Last returns the daemon that kept a store last, as far as is known.
-func (a *Asker) Last(store routing.ServiceID) request.DaemonID {
+// LastOwner returns the daemon that kept a store last, as far as is known.
+func (a *Client) LastOwner(store routing.ServiceID) request.DaemonID {
 	return (*a.holders.Load())[string(store)].ID
 }
 
-// Epoch returns the epoch under which a store is kept, as far as is known; zero if nobody
+// LeaseEpoch returns the epoch under which a store is kept, as far as is known; zero if nobody
 // ever kept it.
-func (a *Asker) Epoch(store routing.ServiceID) uint64 {
+func (a *Client) LeaseEpoch(store routing.ServiceID) uint64 {
 	return (*a.holders.Load())[string(store)].Epoch
 }
 
 // holder returns the keeper of a store, and whether it can be asked now.
-func (a *Asker) holder(store routing.ServiceID) (h lease.Holder, listens bool) {
+func (a *Client) holder(store routing.ServiceID) (h lease.Holder, listens bool) {
 	h = (*a.holders.Load())[string(store)]
 	return h, h.Address != "" && !a.isDeaf(h.Address)
 }
 
-func (a *Asker) isDeaf(address string) bool {
+func (a *Client) isDeaf(address string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return time.Now().Before(a.deaf[address])
 }
 
 // Release implements placer.Stores. Nothing waits for the keepers to hear of it.
-func (a *Asker) Release(salt string, parts []relay.Part, unused []placer.Stored) {
+func (a *Client) Release(salt string, parts []relay.Part, unused []placer.Stored) {
 	requests := map[lease.Holder]*ReleaseRequest{}
 	for i, u := range unused {
 		if u.Claim == 0 {
@@ -324,7 +324,7 @@
 }
 
 // tell tells a keeper something that no request waits for.
-func (a *Asker) tell(h lease.Holder, call func(context.Context, Keeper) error) {
+func (a *Client) tell(h lease.Holder, call func(context.Context, Keeper) error) {
 	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
 	defer cancel()
 	if err := call(ctx, a.keeper(h)); err != nil {
@@ -333,7 +333,7 @@
 }
 
 // put asks one keeper; nil if it does not answer in time.
-func (a *Asker) put(ctx context.Context, q *question) *ClaimResponse {
+func (a *Client) put(ctx context.Context, q *question) *ClaimResponse {
 	answer, err := a.keeper(q.holder).Claim(ctx, q.request)
 	if err == nil {
 		return answer
@@ -345,9 +345,9 @@
 	return nil
 }
 
-func (a *Asker) keeper(h lease.Holder) Keeper {
+func (a *Client) keeper(h lease.Holder) Keeper {
 	if h.ID == a.o.Self {
-		return a.o.Own
+		return a.o.Local
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/contextstore/contextstore_test.go
+++ b/internal/contextstore/contextstore_test.go
@@ -92,7 +92,7 @@
 	}
 	c := Content{Epoch: s.epoch, Next: uint64(len(s.events))}
 	for key, tokens := range s.parts {
-		c.Whole = append(c.Whole, storecache.Ask{Key: key, Tokens: tokens})
+		c.Complete = append(c.Complete, storecache.PartRequest{Key: key, Tokens: tokens})
 	}
 	return c, nil
 }
@@ -117,24 +117,24 @@
 }
 
 // keep returns a daemon that keeps one store, and an asker beside it.
-func keep(t *testing.T, store *fakeStore, services ...*routing.Service) *Asker {
+func keep(t *testing.T, store *fakeStore, services ...*routing.Service) *Client {
 	t.Helper()
 	return keepUnder(t, kv.NewFake(time.Now), 10*time.Second, store, services...)
 }
 
 // keepUnder is keep with a key-value service and a lease of its own.
-func keepUnder(t *testing.T, fake *kv.Fake, ttl time.Duration, store *fakeStore, services ...*routing.Service) *Asker {
+func keepUnder(t *testing.T, fake *kv.Fake, ttl time.Duration, store *fakeStore, services ...*routing.Service) *Client {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	client := fake.Client("a")
 	all := func() []*routing.Service { return services }
 	leases := lease.NewManager(lease.Options{KV: client, Self: "a", Address: "a:1", TTL: ttl, Margin: ttl / 5})
-	keeper := NewKeeper(Options{
-		KV: client, Self: "a", Leases: leases, Calls: store, Stores: all, Rank: func(routing.ServiceID) int { return 0 },
+	keeper := NewOwner(Options{
+		KV: client, Self: "a", Leases: leases, API: store, Stores: all, Rank: func(routing.ServiceID) int { return 0 },
 		TokenBytes: func() int { return 1000 },
 	})
 	follower := mirror.New(mirror.Options{KV: client})
-	a := NewAsker(AskerOptions{Follower: follower, Self: "a", Own: keeper, Stores: all, Client: http.DefaultClient})
+	a := NewClient(ClientOptions{Follower: follower, Self: "a", Local: keeper, Stores: all, Client: http.DefaultClient})
 	var runs sync.WaitGroup
 	for _, run := range []func(context.Context) error{leases.Run, keeper.Run} {
 		runs.Go(func() { _ = run(ctx) }) // ends with ctx
@@ -158,7 +158,7 @@
 }
 
 // askFor asks for one part, not the last of its prompt, until the answer is as wanted.
-func askFor(t *testing.T, a *Asker, id string, fetch, save bool) {
+func askFor(t *testing.T, a *Client, id string, fetch, save bool) {
 	t.Helper()
 	parts := []relay.Part{{ID: id, Tokens: 100}, {ID: "own", Tokens: 10}}
 	for deadline := time.Now().Add(8 * time.Second); ; {
@@ -187,7 +187,7 @@
 		t.Errorf("got %+v", got[0])
 	}
 	left := until - (time.Now().UnixMilli() + clockAhead)
-	if left < 1000 || left > storecache.LeaveFor.Milliseconds() {
+	if left < 1000 || left > storecache.ReadPermitTTL.Milliseconds() {
 		t.Errorf("leave ends in %d ms on the replicas' clock", left)
 	}
 	store.restart()
@@ -217,7 +217,7 @@
 	fake.SetDown(false)
 	back := time.Now()
 	askFor(t, a, "newer", false, true)
-	if took := time.Since(back); took > storecache.LeaveFor {
+	if took := time.Since(back); took > storecache.ReadPermitTTL {
 		t.Errorf("written again after %s", took)
 	}
 }
@@ -230,12 +230,12 @@
 	store.save("w1", "p", 100)
 	a := keep(t, store, service("s", 100_000, 1000))
 	askFor(t, a, "p", true, false)
-	a.o.Own.Stalled(distrustAfter - time.Millisecond)
+	a.o.Local.HandleStall(distrustAfter - time.Millisecond)
 	askFor(t, a, "p", true, false)
 	store.mu.Lock()
 	delete(store.parts, storecache.Key{Salt: "w1", ID: "p"}) // by the keeper meanwhile, and no event tells it
 	store.mu.Unlock()
-	a.o.Own.Stalled(distrustAfter)
+	a.o.Local.HandleStall(distrustAfter)
 	for range 50 {
 		if got, _ := a.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own"}}, []bool{false, false}); got[0].Fetch {
 			t.Fatal("leave to fetch what is gone")
@@ -262,7 +262,7 @@
 	}
 	a := keepUnder(t, fake, time.Second, store, service("s", 1000, 1000))
 	askFor(t, a, "old1", true, false)
-	for deadline := time.Now().Add(storecache.ReadOnFor); ; time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(storecache.ReadOnlyGrace); ; time.Sleep(50 * time.Millisecond) {
 		// New weights: what is of the old ones may go.
 		_, _ = a.Ask(context.Background(), "w2", []relay.Part{{ID: "n", Tokens: 100}, {ID: "own"}}, []bool{false, false})
 		store.mu.Lock()
@@ -306,7 +306,7 @@
 
 // A keeper that is dead or cut off costs a request its stored parts, not a wait.
 func TestDeadKeeperIsNoWait(t *testing.T) {
-	a := NewAsker(AskerOptions{
+	a := NewClient(ClientOptions{
 		Follower: mirror.New(mirror.Options{KV: kv.NewFake(time.Now).Client("a")}), Self: "a", Client: http.DefaultClient,
 		Stores: func() []*routing.Service { return []*routing.Service{service("s", 1000, 1000)} },
 	})
@@ -357,15 +357,15 @@
 // one kept be left to that one.
 func TestDaemonKeepsAgainWhatItKeptBeforeItKnowsItsRank(t *testing.T) {
 	fake, store := kv.NewFake(time.Now), newFakeStore()
-	start := func(id string, services ...*routing.Service) (*StoreKeeper, *lease.Manager) {
+	start := func(id string, services ...*routing.Service) (*Owner, *lease.Manager) {
 		leases := lease.NewManager(lease.Options{
 			KV: fake.Client(id), Self: request.DaemonID(id), Address: id + ":1", OwnsAddress: true, TTL: time.Minute, Margin: time.Second,
 		})
-		return NewKeeper(Options{
-			KV: fake.Client(id), Self: request.DaemonID(id), Leases: leases, Calls: store, TokenBytes: func() int { return 1000 },
-			Stores: func() []*routing.Service { return services },
-			Last:   func(routing.ServiceID) request.DaemonID { return "a" },
-			Rank:   func(routing.ServiceID) int { return backupRanks + 1 },
+		return NewOwner(Options{
+			KV: fake.Client(id), Self: request.DaemonID(id), Leases: leases, API: store, TokenBytes: func() int { return 1000 },
+			Stores:    func() []*routing.Service { return services },
+			LastOwner: func(routing.ServiceID) request.DaemonID { return "a" },
+			Rank:      func(routing.ServiceID) int { return backupRanks + 1 },
 		}), leases
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -394,7 +394,7 @@
 	}
 	a := keep(t, store, service("shelf", 1000, 1000))
 	askFor(t, a, "context0", true, false)
-	const untilFreed = storecache.LeaveFor + time.Second // nothing is freed while leave may last
+	const untilFreed = storecache.ReadPermitTTL + time.Second // nothing is freed while leave may last
 	time.Sleep(untilFreed)
 	askFor(t, a, "context1", true, false)
 	if n := store.freedByNow(); n > 0 {
@@ -414,7 +414,7 @@
 			continue // nothing is known yet
 		}
 		left := time.Duration(until-time.Now().UnixMilli()-clockAhead) * time.Millisecond
-		if left > storecache.LeaveFor || left < storecache.LeaveFor-time.Second {
+		if left > storecache.ReadPermitTTL || left < storecache.ReadPermitTTL-time.Second {
 			t.Errorf("leave lasts %s on the store's clock", left)
 		}
 		return
@@ -444,7 +444,7 @@
 		askFor(t, a, "x", false, true)
 		return time.Since(began)
 	}
-	const wait = storecache.LeaveFor
+	const wait = storecache.ReadPermitTTL
 	if got := took(record{Epoch: 1, Seen: now - 60_000}); got > wait/2 {
 		t.Errorf("the same process for a minute: saves after %s", got)
 	}
@@ -469,7 +469,7 @@
 	a := keepUnder(t, fake, 10*time.Second, store, service("shelf", 1000, 1000))
 	parts := []relay.Part{{ID: "new", Tokens: 16}, {ID: "own", Tokens: 16}}
 	a.Ask(context.Background(), "w2", parts, []bool{false, false}) // all others are of old weights
-	time.Sleep(storecache.LeaveFor + time.Second)
+	time.Sleep(storecache.ReadPermitTTL + time.Second)
 	a.Ask(context.Background(), "w2", parts, []bool{false, false})
 	if n := store.freedByNow(); n > 0 {
 		t.Errorf("%d parts were freed while a keeper may give leave for them", n)
@@ -494,8 +494,8 @@
 	}
 	shelf := service("shelf", 10_000, 1000)
 	began := time.Now()
-	keeper := NewKeeper(Options{
-		KV: fake.Client("a"), Self: "a", Leases: manager(), Calls: store, TokenBytes: func() int { return 1000 },
+	keeper := NewOwner(Options{
+		KV: fake.Client("a"), Self: "a", Leases: manager(), API: store, TokenBytes: func() int { return 1000 },
 		Stores: func() []*routing.Service { return []*routing.Service{shelf} }, Rank: func(routing.ServiceID) int { return 0 },
 	})
 	keeper.consider(ctx, shelf)
@@ -523,10 +523,10 @@
 	const fast, roomy = "fast", "roomy"
 	a := keep(t, newFakeStore(), service(fast, 100_000, 2000), service(roomy, 200_000, 1000))
 	taken := func(store string) int {
-		k := a.o.Own.current(routing.ServiceID(store))
+		k := a.o.Local.current(routing.ServiceID(store))
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		return k.room.Taken()
+		return k.room.UsedTokens()
 	}
 	askFor(t, a, "warm", false, true) // both stores are known by now, and saves are allowed
 	before := taken(fast) + taken(roomy)
--- a/internal/contextstore/kept.go
+++ b/internal/contextstore/ownedstore.go
@@ -27,17 +27,17 @@
 
 // Content is what a store tells of itself.
 type Content struct {
-	Epoch   uint64 // changes at each start
-	Next    uint64
-	Lost    bool // events are missing
-	ClockMs int64
-	Events  []Event
-	Whole   []storecache.Ask // of a list
-	Partial []storecache.Ask
+	Epoch    uint64 // changes at each start
+	Next     uint64
+	Lost     bool // events are missing
+	ClockMs  int64
+	Events   []Event
+	Complete []storecache.PartRequest // of a list
+	Partial  []storecache.PartRequest
 }
 
-// Calls carries out calls to stores.
-type Calls interface {
+// StoreAPI carries out calls to stores.
+type StoreAPI interface {
 	// Events waits for changes after a number. It gives up a store that does not answer soon after
 	// the wait, but takes an answer that comes, however long that lasts.
 	Events(ctx context.Context, address string, after uint64, wait time.Duration) (Content, error)
@@ -52,7 +52,7 @@
 	id      routing.ServiceID
 	address string
 	tokens  int // room
-	calls   Calls
+	calls   StoreAPI
 	log     hclog.Logger
 	metrics tally.Scope
 	records records
@@ -115,7 +115,7 @@
 // follow reads the store's changes, or all of it where changes are missing.
 func (k *kept) follow(ctx context.Context) error {
 	k.mu.Lock()
-	must := !k.listed || k.room.Overdue(time.Now()) && time.Since(k.listedAt) > listAtMost
+	must := !k.listed || k.room.NeedsListing(time.Now()) && time.Since(k.listedAt) > listAtMost
 	k.mu.Unlock()
 	if !must {
 		return k.read(ctx, followWait)
@@ -167,14 +167,14 @@
 	now := time.Now()
 	k.heard(now, c)
 	k.listed, k.listedAt, k.next = true, now, c.Next
-	k.room.OnList(now, withWeights(c.Whole), withWeights(c.Partial))
+	k.room.OnList(now, withWeights(c.Complete), withWeights(c.Partial))
 	return nil
 }
 
 // withWeights adds the versions that made the parts of a list; their salts tell. Without them
 // all that a store held when it was listed counted as made by older weights: a new keeper
 // freed it first.
-func withWeights(parts []storecache.Ask) []storecache.Ask {
+func withWeights(parts []storecache.PartRequest) []storecache.PartRequest {
 	out := slices.Clone(parts)
 	for i := range out {
 		out[i].Weights = weightsOf(out[i].Salt)
@@ -235,8 +235,8 @@
 		return
 	}
 	args := []any{
-		"store", k.id, "parts", k.room.Parts(), "tokens", k.room.Taken(), "room", k.tokens,
-		"queue_ms", k.room.Queue(time.Now()).Milliseconds(), "slowness", k.room.Slowness(),
+		"store", k.id, "parts", k.room.CompleteParts(), "tokens", k.room.UsedTokens(), "room", k.tokens,
+		"queue_ms", k.room.QueueTime(time.Now()).Milliseconds(), "slowness", k.room.Slowness(),
 	}
 	for _, reason := range slices.Sorted(maps.Keys(k.reasons)) {
 		args = append(args, string(reason), k.reasons[reason])
@@ -251,7 +251,7 @@
 		k.mu.Unlock()
 		return
 	}
-	keys := k.room.Free(time.Now())
+	keys := k.room.StartFreeing(time.Now())
 	epoch := k.epoch
 	until := k.replicaClock(time.Now().Add(freeTimeout))
 	k.mu.Unlock()
@@ -270,7 +270,7 @@
 	defer k.mu.Unlock()
 	if err != nil {
 		k.log.Info("Parts could not be freed", "store", k.id, "parts", len(keys), "error", err)
-		k.room.OnKept(time.Now(), keys)
+		k.room.OnFreeFailed(time.Now(), keys)
 		return
 	}
 	for _, key := range keys {
@@ -301,7 +301,7 @@
 	}
 	// The clock that timers use stands still while a VM is suspended, the time of day does
 	// not: both must agree.
-	return now.Sub(k.heldAt) < storecache.ReadOnFor && now.Round(0).Sub(k.heldAt.Round(0)) < storecache.ReadOnFor
+	return now.Sub(k.heldAt) < storecache.ReadOnlyGrace && now.Round(0).Sub(k.heldAt.Round(0)) < storecache.ReadOnlyGrace
 }
 
 // holds reports whether the store's lease is held.
@@ -342,7 +342,7 @@
 func (k *kept) mayRelease() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.inherited || !time.Now().Before(k.room.Readers())
+	return k.inherited || !time.Now().Before(k.room.OtherOwnerUntil())
 }
 
 func (k *kept) replicaClock(t time.Time) int64 {
@@ -360,17 +360,17 @@
 	lapsed := !k.lease.Valid()
 	answers := make([]*PartAnswer, len(asks))
 	for i, a := range asks {
-		answer := k.room.Ask(now, storecache.Ask{
+		answer := k.room.Decide(now, storecache.PartRequest{
 			Key: storecache.Key{Salt: salt, ID: a.Id}, Tokens: int(a.Tokens), Weights: weights, Resident: a.Resident, Last: a.Last, ReadOnly: lapsed,
 		})
 		k.reasons[answer.Reason]++
 		k.metrics.Tagged(map[string]string{"reason": string(answer.Reason)}).Counter("store_asks").Inc(1)
 		answers[i] = &PartAnswer{
-			Fetch: answer.Fetch, Save: answer.Save, Full: answer.Full, TakesUs: int32(answer.Takes.Microseconds()),
-			NotKept: lapsed, Claim: answer.Claim, QueueUs: int32(answer.Queue.Microseconds()),
+			Fetch: answer.Fetch, Save: answer.Save, Full: answer.Full, TakesUs: int32(answer.FetchTime.Microseconds()),
+			NotKept: lapsed, Claim: answer.Claim, QueueUs: int32(answer.QueueTime.Microseconds()),
 		}
 	}
-	return answers, k.replicaClock(now.Add(storecache.LeaveFor)), true
+	return answers, k.replicaClock(now.Add(storecache.ReadPermitTTL)), true
 }
 
 // release takes back what claim allowed for a part.
@@ -381,7 +381,7 @@
 }
 
 // fetched notes how a fetch went.
-func (k *kept) fetched(f storecache.Fetched) {
+func (k *kept) fetched(f storecache.FetchResult) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.room.OnFetched(time.Now(), f)
--- a/internal/contextstore/keeper.go
+++ b/internal/contextstore/owner.go
@@ -54,26 +54,26 @@
 	// Self is this daemon. What it kept before its start, or dropped, nobody reads any more.
 	Self   request.DaemonID
 	Leases *lease.Manager
-	Calls  Calls
+	API    StoreAPI
 	// Stores returns the managed stores of the desired state.
 	Stores func() []*routing.Service
 	// Rank returns this daemon's place among those that may keep a store, 0 first.
 	Rank func(store routing.ServiceID) int
-	// Last returns the daemon that kept a store last, as far as is known; nil: none is.
-	Last func(store routing.ServiceID) request.DaemonID
-	// Kept reports whether some daemon is known to keep a store, and has answered when it
+	// LastOwner returns the daemon that kept a store last, as far as is known; nil: none is.
+	LastOwner func(store routing.ServiceID) request.DaemonID
+	// HasOwner reports whether some daemon is known to keep a store, and has answered when it
 	// was asked last; nil: never.
-	Kept func(store routing.ServiceID) bool
-	// Epoch returns the newest epoch that is known under which a store is kept; nil: never.
-	Epoch func(store routing.ServiceID) uint64
+	HasOwner func(store routing.ServiceID) bool
+	// LeaseEpoch returns the newest epoch that is known under which a store is kept; nil: never.
+	LeaseEpoch func(store routing.ServiceID) uint64
 	// TokenBytes returns the size of a token's KV cache; zero if it is not known yet.
 	TokenBytes func() int
 	Logger     hclog.Logger
 	Metrics    tally.Scope
 }
 
-// StoreKeeper keeps the stores that fall to this daemon. It implements Keeper.
-type StoreKeeper struct {
+// Owner keeps the stores that fall to this daemon. It implements Keeper.
+type Owner struct {
 	o Options
 
 	started time.Time // of this process, or a little later
@@ -85,8 +85,8 @@
 	leaving atomic.Bool
 }
 
-// NewKeeper returns a keeper that keeps nothing yet.
-func NewKeeper(o Options) *StoreKeeper {
+// NewOwner returns a keeper that keeps nothing yet.
+func NewOwner(o Options) *Owner {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
@@ -94,11 +94,11 @@
 		o.Metrics = tally.NoopScope
 	}
 	o.Logger = o.Logger.Named("contextstore")
-	return &StoreKeeper{o: o, started: time.Now(), stores: map[routing.ServiceID]*kept{}, asked: map[routing.ServiceID]time.Time{}}
+	return &Owner{o: o, started: time.Now(), stores: map[routing.ServiceID]*kept{}, asked: map[routing.ServiceID]time.Time{}}
 }
 
 // Leave gives all stores back, so that other daemons keep them.
-func (s *StoreKeeper) Leave(ctx context.Context) {
+func (s *Owner) Leave(ctx context.Context) {
 	s.leaving.Store(true)
 	s.mu.Lock()
 	stores := slices.Collect(maps.Values(s.stores))
@@ -116,7 +116,7 @@
 }
 
 // Run takes stores that nobody keeps until ctx ends.
-func (s *StoreKeeper) Run(ctx context.Context) error {
+func (s *Owner) Run(ctx context.Context) error {
 	for ctx.Err() == nil && !s.leaving.Load() {
 		for _, store := range s.o.Stores() {
 			s.consider(ctx, store)
@@ -128,7 +128,7 @@
 
 // consider takes a store if it falls to this daemon and is free, or takes it again if its
 // lease ran out here.
-func (s *StoreKeeper) consider(ctx context.Context, store *routing.Service) {
+func (s *Owner) consider(ctx context.Context, store *routing.Service) {
 	before := s.current(store.ID)
 	if before != nil && before.holds() {
 		return
@@ -159,12 +159,12 @@
 
 // current returns what is kept here of a store; nil if nothing is, or another daemon is
 // known to keep it.
-func (s *StoreKeeper) current(store routing.ServiceID) *kept {
+func (s *Owner) current(store routing.ServiceID) *kept {
 	k := s.keptStore(store)
 	if k == nil {
 		return nil
 	}
-	if !k.serves(time.Now()) || s.o.Epoch != nil && s.o.Epoch(store) > k.epochOfLease() {
+	if !k.serves(time.Now()) || s.o.LeaseEpoch != nil && s.o.LeaseEpoch(store) > k.epochOfLease() {
 		s.drop(store)
 		return nil
 	}
@@ -175,10 +175,10 @@
 // the time from one renewal to the next is left out of it.
 const distrustAfter = time.Second
 
-// Stalled is told that the process stood still. The clock of the leases may have stood still
+// HandleStall is told that the process stood still. The clock of the leases may have stood still
 // with it, so that they look held, and another daemon may have kept the stores since: what is
 // known of them counts for nothing any more.
-func (s *StoreKeeper) Stalled(gap time.Duration) {
+func (s *Owner) HandleStall(gap time.Duration) {
 	if gap < distrustAfter {
 		return
 	}
@@ -190,7 +190,7 @@
 	}
 }
 
-func (s *StoreKeeper) drop(store routing.ServiceID) {
+func (s *Owner) drop(store routing.ServiceID) {
 	s.mu.Lock()
 	k := s.stores[store]
 	delete(s.stores, store)
@@ -208,11 +208,11 @@
 // and are back after 1.5 s, their leases last for some hundred ms more, and none knows its
 // rank yet: with nobody to give leave for 1.2 s all contexts that return were computed, and
 // callers refused for want of replicas.
-func (s *StoreKeeper) mayTake(store routing.ServiceID) bool {
-	if s.o.Last != nil && s.o.Last(store) == s.o.Self {
+func (s *Owner) mayTake(store routing.ServiceID) bool {
+	if s.o.LastOwner != nil && s.o.LastOwner(store) == s.o.Self {
 		return true
 	}
-	if s.o.Kept != nil && s.o.Kept(store) {
+	if s.o.HasOwner != nil && s.o.HasOwner(store) {
 		return false
 	}
 	return s.o.Rank(store) <= backupRanks
@@ -220,14 +220,14 @@
 
 const bitsPerMegabit = 1e6
 
-func (s *StoreKeeper) keep(ctx context.Context, store *routing.Service, l *lease.Lease, tokenBytes int) {
+func (s *Owner) keep(ctx context.Context, store *routing.Service, l *lease.Lease, tokenBytes int) {
 	const bitsPerByte = 8
 	k := &kept{
-		id: store.ID, address: store.Store.Address, tokens: store.Store.Tokens, lease: l, heldAt: time.Now(), calls: s.o.Calls, log: s.o.Logger, metrics: s.o.Metrics, records: records{kv: s.o.KV}, reasons: map[storecache.Reason]int{},
+		id: store.ID, address: store.Store.Address, tokens: store.Store.Tokens, lease: l, heldAt: time.Now(), calls: s.o.API, log: s.o.Logger, metrics: s.o.Metrics, records: records{kv: s.o.KV}, reasons: map[storecache.Reason]int{},
 		room: storecache.New(time.Now(), storecache.Params{
-			Tokens: store.Store.Tokens, FirstByte: store.Store.FirstByte,
-			TokensPerSec: store.Store.LinkMbps * bitsPerMegabit / bitsPerByte / float64(tokenBytes),
-			Lapsed:       l.Lapsed() != "" && l.Lapsed() != s.o.Self,
+			CapacityTokens: store.Store.Tokens, FirstByte: store.Store.FirstByte,
+			TokensPerSec:         store.Store.LinkMbps * bitsPerMegabit / bitsPerByte / float64(tokenBytes),
+			PreviousLeaseExpired: l.Lapsed() != "" && l.Lapsed() != s.o.Self,
 		}),
 	}
 	if l.Lapsed() == s.o.Self {
@@ -241,7 +241,7 @@
 }
 
 // Claim implements Keeper.
-func (s *StoreKeeper) Claim(_ context.Context, r *ClaimRequest) (*ClaimResponse, error) {
+func (s *Owner) Claim(_ context.Context, r *ClaimRequest) (*ClaimResponse, error) {
 	out := &ClaimResponse{Parts: make([]*PartAnswer, len(r.Parts))}
 	byStore := map[string][]int{}
 	for i, p := range r.Parts {
@@ -275,7 +275,7 @@
 }
 
 // Release implements Keeper.
-func (s *StoreKeeper) Release(_ context.Context, r *ReleaseRequest) (*ReleaseResponse, error) {
+func (s *Owner) Release(_ context.Context, r *ReleaseRequest) (*ReleaseResponse, error) {
 	for _, p := range r.Parts {
 		if k := s.keptStore(routing.ServiceID(p.Store)); k != nil {
 			k.release(storecache.Key{Salt: r.Salt, ID: p.Id}, p.Claim)
@@ -285,16 +285,16 @@
 }
 
 // Fetched implements Keeper.
-func (s *StoreKeeper) Fetched(_ context.Context, r *FetchedRequest) (*FetchedResponse, error) {
+func (s *Owner) Fetched(_ context.Context, r *FetchedRequest) (*FetchedResponse, error) {
 	if k := s.keptStore(routing.ServiceID(r.Store)); k != nil {
 		took := time.Duration(r.TookUs) * time.Microsecond
-		k.fetched(storecache.Fetched{Claim: r.Claim, Took: took, Overdue: r.Overdue, Busy: r.Busy})
+		k.fetched(storecache.FetchResult{Claim: r.Claim, Took: took, Overdue: r.Overdue, Busy: r.Busy})
 	}
 	return &FetchedResponse{}, nil
 }
 
 // keptStore returns what is kept here of a store, whether it serves or not; nil if nothing is.
-func (s *StoreKeeper) keptStore(store routing.ServiceID) *kept {
+func (s *Owner) keptStore(store routing.ServiceID) *kept {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stores[store]
--- a/internal/contextstore/record.go
+++ b/internal/contextstore/record.go
@@ -104,15 +104,15 @@
 	now := time.Now()
 	clock := k.replicaClock(now)
 	if unreadable {
-		k.room.OnReaders(now.Add(storecache.ReadOnFor)) // as if one had just been cut off
+		k.room.OnOtherOwner(now.Add(storecache.ReadOnlyGrace)) // as if one had just been cut off
 	}
-	k.room.OnReaders(now.Add(time.Duration(known.Readers-clock) * time.Millisecond))
-	next := record{Epoch: k.epoch, Seen: clock, Readers: max(known.Readers, k.replicaClock(k.room.Readers()))}
+	k.room.OnOtherOwner(now.Add(time.Duration(known.Readers-clock) * time.Millisecond))
+	next := record{Epoch: k.epoch, Seen: clock, Readers: max(known.Readers, k.replicaClock(k.room.OtherOwnerUntil()))}
 	if known.Epoch != k.epoch {
 		return next
 	}
 	next.Seen = known.Seen
-	if time.Duration(clock-known.Seen)*time.Millisecond > storecache.LeaveSeenFor {
+	if time.Duration(clock-known.Seen)*time.Millisecond > storecache.MinProcessAge {
 		k.room.OnSameProcess(now)
 	}
 	return next
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -73,7 +73,7 @@
 	// Release says that some of what Ask allowed under a salt is not used. It does not wait.
 	Release(salt string, parts []relay.Part, unused []Stored)
 	// Fetched says how a fetch from a store went. It does not wait.
-	Fetched(store routing.ServiceID, f storecache.Fetched)
+	Fetched(store routing.ServiceID, f storecache.FetchResult)
 }
 
 // Engine places prompts on model replicas.
@@ -93,7 +93,7 @@
 	mu     sync.Mutex
 	memory int // tokens of one replica
 	models map[*replicas.Replica]*residency.Model
-	waits  map[routing.ServiceID]*waitlimit.Waits
+	waits  map[routing.ServiceID]*waitlimit.Limiter
 }
 
 // PlacedPart is a part that now lies in a replica's memory.
@@ -206,7 +206,7 @@
 		}
 	}
 	longest := max(j.Route.Objective-time.Since(j.Start)-compute, told+fetchSlack)
-	return leave - max(0, storecache.LeaveFor-longest).Milliseconds()
+	return leave - max(0, storecache.ReadPermitTTL-longest).Milliseconds()
 }
 
 func begin(r *replicas.Replica, need pick.Request, compute int) *replicas.Flight {
@@ -223,12 +223,12 @@
 	w := e.waits[j.Service.ID]
 	if w == nil {
 		if e.waits == nil {
-			e.waits = map[routing.ServiceID]*waitlimit.Waits{}
+			e.waits = map[routing.ServiceID]*waitlimit.Limiter{}
 		}
 		w = waitlimit.New()
 		e.waits[j.Service.ID] = w
 	}
-	return w.Longest(time.Now(), j.Route.Objective, j.Priority() == 0)
+	return w.MaxWait(time.Now(), j.Route.Objective, j.Priority() == 0)
 }
 
 // admit refuses a request that would wait so long that its answer is late. Replicas with
@@ -257,7 +257,7 @@
 	began := time.Now()
 	tell := func(overdue bool) {
 		took := max(0, time.Since(began)-others)
-		e.Stores.Fetched(from.Store, storecache.Fetched{Claim: from.Claim, Took: took, Overdue: overdue, Busy: busy})
+		e.Stores.Fetched(from.Store, storecache.FetchResult{Claim: from.Claim, Took: took, Overdue: overdue, Busy: busy})
 	}
 	timer := time.AfterFunc(others+told+fetchOverdue, func() {
 		if !busy {
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func (s *shelf) Fetched(routing.ServiceID, storecache.Fetched) {}
+func (s *shelf) Fetched(routing.ServiceID, storecache.FetchResult) {}
 
 type world struct {
 	set    *replicas.Set
@@ -266,7 +266,7 @@
 	for _, p := range job("s").Parts {
 		w.shelf.held["w1/"+p.ID] = true
 	}
-	reported := make(chan storecache.Fetched, 1)
+	reported := make(chan storecache.FetchResult, 1)
 	w.engine.Stores = &reporting{shelf: w.shelf, fetched: reported}
 	place(t, w, job("s"))
 	select {
@@ -297,7 +297,7 @@
 		for _, p := range job("s").Parts {
 			w.shelf.held["w1/"+p.ID] = true
 		}
-		reported := make(chan storecache.Fetched, 1)
+		reported := make(chan storecache.FetchResult, 1)
 		w.engine.Stores = &reporting{shelf: w.shelf, fetched: reported}
 		if busy {
 			w.set.Get(id(0)).Load.Begin(100, quietPrefill+1)
@@ -312,10 +312,10 @@
 
 type reporting struct {
 	*shelf
-	fetched chan storecache.Fetched
+	fetched chan storecache.FetchResult
 }
 
-func (r *reporting) Fetched(_ routing.ServiceID, f storecache.Fetched) { r.fetched <- f }
+func (r *reporting) Fetched(_ routing.ServiceID, f storecache.FetchResult) { r.fetched <- f }
 
 // A plain call goes to the least loaded replica, another one after a failure, and nowhere
 // if there is none.
@@ -416,7 +416,7 @@
 		j.Parts = j.Parts[1:2]
 		j.Start = time.Now().Add(-c.waited)
 		p := place(t, w, j)
-		got := storecache.LeaveFor - time.Duration(leave-p.Send.FetchUntil)*time.Millisecond
+		got := storecache.ReadPermitTTL - time.Duration(leave-p.Send.FetchUntil)*time.Millisecond
 		if p.Send.FetchFrom[0] == "" {
 			t.Fatalf("%s: not fetched", c.name)
 		}
--- a/internal/policy/storecache/free.go
+++ b/internal/policy/storecache/free.go
@@ -28,9 +28,9 @@
 	return p.weights < r.newest || now.Sub(p.used) > keepFor
 }
 
-// Free returns the parts to be freed now and marks them. The caller tells the outcome with
+// StartFreeing returns the parts to be freed now and marks them. The caller tells the outcome with
 // OnRemoved or OnKept.
-func (r *Cache) Free(now time.Time) []Key {
+func (r *Cache) StartFreeing(now time.Time) []Key {
 	if now.Before(r.freeAfter) {
 		return nil
 	}
@@ -40,12 +40,12 @@
 			out = append(out, r.mark(now, p)) // it broke off and keeps its room
 		}
 	}
-	if r.taken <= int(fullAt*float64(r.p.Tokens)) {
+	if r.taken <= int(fullAt*float64(r.p.CapacityTokens)) {
 		return out
 	}
 	left := r.taken
 	for _, p := range r.unwanted(now) {
-		if left <= int(freeTo*float64(r.p.Tokens)) {
+		if left <= int(freeTo*float64(r.p.CapacityTokens)) {
 			break
 		}
 		left -= roundUp(p.tokens)
@@ -59,9 +59,9 @@
 	return p.key
 }
 
-// OnKept is told that parts could not be freed for sure. They are neither fetched nor
+// OnFreeFailed is told that parts could not be freed for sure. They are neither fetched nor
 // written until a list tells whether the store still has them.
-func (r *Cache) OnKept(now time.Time, keys []Key) {
+func (r *Cache) OnFreeFailed(now time.Time, keys []Key) {
 	for _, key := range keys {
 		if p, known := r.parts[key]; known {
 			p.state, p.since, p.claim = saving, now, 0
@@ -71,7 +71,7 @@
 
 // OnList takes the store's whole content: what is whole, and what is written or broke off.
 // What was asked to be saved a moment ago may be on neither list yet.
-func (r *Cache) OnList(now time.Time, whole, partial []Ask) {
+func (r *Cache) OnList(now time.Time, whole, partial []PartRequest) {
 	listed := map[Key]bool{}
 	for _, a := range whole {
 		listed[a.Key] = true
@@ -93,9 +93,9 @@
 	}
 }
 
-// Overdue reports whether saves are missing for so long that the store should be listed:
+// NeedsListing reports whether saves are missing for so long that the store should be listed:
 // their events were lost, or they broke off and keep room.
-func (r *Cache) Overdue(now time.Time) bool {
+func (r *Cache) NeedsListing(now time.Time) bool {
 	for _, p := range r.parts {
 		if p.state == saving && now.Sub(p.since) > saveWithin {
 			return true
--- a/internal/policy/storecache/link.go
+++ b/internal/policy/storecache/link.go
@@ -35,7 +35,7 @@
 	minSlowness = 0.7
 	maxSlowness = 16.0
 	// grantsFor is longer than any transfer takes that is not given up.
-	grantsFor = 2 * LeaveFor
+	grantsFor = 2 * ReadPermitTTL
 )
 
 // link estimates how fast a store's link is, and what it has still to carry.
--- a/internal/policy/storecache/link_test.go
+++ b/internal/policy/storecache/link_test.go
@@ -53,7 +53,7 @@
 
 type news struct {
 	at time.Time
-	Fetched
+	FetchResult
 }
 
 // load plays the load on a room that is told what tell lets through.
@@ -62,15 +62,15 @@
 	room *Cache
 	real realLink
 	news []news
-	tell func(Fetched) bool
+	tell func(FetchResult) bool
 	// Of each second: all that asked, what was fetched, and what of it came late.
 	asked, fetched, late [loadEnds / time.Second]int
 }
 
-func playLoad(seed uint64, tell func(Fetched) bool) *load {
+func playLoad(seed uint64, tell func(FetchResult) bool) *load {
 	const parts = 300
 	l := &load{rng: rand.New(rand.NewPCG(seed, 1)), tell: tell}
-	l.room = New(at(-10_000), Params{Tokens: 10_000_000, TokensPerSec: loadPerSec, FirstByte: 6 * time.Millisecond})
+	l.room = New(at(-10_000), Params{CapacityTokens: 10_000_000, TokensPerSec: loadPerSec, FirstByte: 6 * time.Millisecond})
 	for i := range parts {
 		l.room.OnStored(epoch, Key{"w1", fmt.Sprint(i)}, loadTokens, 1)
 	}
@@ -91,27 +91,27 @@
 func (l *load) hear(now time.Time) {
 	slices.SortFunc(l.news, func(a, b news) int { return a.at.Compare(b.at) })
 	for len(l.news) > 0 && !l.news[0].at.After(now) {
-		if n := l.news[0]; l.tell(n.Fetched) {
-			l.room.OnFetched(n.at, n.Fetched)
+		if n := l.news[0]; l.tell(n.FetchResult) {
+			l.room.OnFetched(n.at, n.FetchResult)
 		}
 		l.news = l.news[1:]
 	}
 }
 
-func (l *load) save(now time.Time, a Ask) {
+func (l *load) save(now time.Time, a PartRequest) {
 	const computed = 150 * time.Millisecond
-	if l.room.Ask(now, a).Save {
+	if l.room.Decide(now, a).Save {
 		l.real.transfer(now.Add(computed), l.rng.Float64() < farReaders)
 	}
 }
 
-func (l *load) fetch(now time.Time, second int, a Ask) {
+func (l *load) fetch(now time.Time, second int, a PartRequest) {
 	l.asked[second]++
-	got := l.room.Ask(now, a)
+	got := l.room.Decide(now, a)
 	if !got.Fetch {
 		return
 	}
-	told := got.Takes
+	told := got.FetchTime
 	far := l.rng.Float64() < farReaders
 	if far {
 		told *= 2
@@ -133,9 +133,9 @@
 	}
 	busy := l.rng.Float64() < busyReplicas
 	if took > told+overdueAfter && !busy {
-		l.news = append(l.news, news{now.Add(told + overdueAfter), Fetched{Claim: got.Claim, Took: told + overdueAfter, Overdue: true}})
+		l.news = append(l.news, news{now.Add(told + overdueAfter), FetchResult{Claim: got.Claim, Took: told + overdueAfter, Overdue: true}})
 	}
-	l.news = append(l.news, news{now.Add(took), Fetched{Claim: got.Claim, Took: took, Busy: busy}})
+	l.news = append(l.news, news{now.Add(took), FetchResult{Claim: got.Claim, Took: took, Busy: busy}})
 }
 
 // share returns which part of those who asked from one second to another is counted.
@@ -149,7 +149,7 @@
 }
 
 // meanShare plays the load with some seeds.
-func meanShare(tell func(Fetched) bool, count func(*load) float64) float64 {
+func meanShare(tell func(FetchResult) bool, count func(*load) float64) float64 {
 	const seeds = 20
 	sum := 0.0
 	for seed := range uint64(seeds) {
@@ -158,7 +158,7 @@
 	return sum / seeds
 }
 
-func everything(Fetched) bool { return true }
+func everything(FetchResult) bool { return true }
 
 // A link that is nearly full drifts from its keeper's estimate, and prompts wait for contexts
 // that they had sooner computed. Told of each end, the keeper knows what is left.
@@ -173,7 +173,7 @@
 // may be allowed than the link carries, or replicas fill up with prompts that wait.
 func TestSlowLinkIsNotOverrun(t *testing.T) {
 	late := func(l *load) float64 { return l.share(l.late, slowFrom+2*time.Second, slowTo) }
-	overdueOnly := func(f Fetched) bool { return f.Overdue }
+	overdueOnly := func(f FetchResult) bool { return f.Overdue }
 	got, naive := meanShare(everything, late), meanShare(overdueOnly, late)
 	if got > 0.15 || got > naive {
 		t.Errorf("%.3f late; %.3f told of overdue fetches only", got, naive)
@@ -195,16 +195,16 @@
 func TestBusyReplicasOnlyShortenTheQueue(t *testing.T) {
 	r := open(100_000)
 	save(t, r, at(0), ask("a", 10_000))
-	first := r.Ask(at(1000), ask("a", 10_000))
-	r.Ask(at(1001), ask("a", 10_000))
-	queue := r.Queue(at(1500))
-	r.OnFetched(at(1500), Fetched{Claim: first.Claim, Took: 500 * time.Millisecond, Busy: true})
-	if got := r.Queue(at(1500)); got > queue || r.Slowness() != 1 {
+	first := r.Decide(at(1000), ask("a", 10_000))
+	r.Decide(at(1001), ask("a", 10_000))
+	queue := r.QueueTime(at(1500))
+	r.OnFetched(at(1500), FetchResult{Claim: first.Claim, Took: 500 * time.Millisecond, Busy: true})
+	if got := r.QueueTime(at(1500)); got > queue || r.Slowness() != 1 {
 		t.Errorf("the queue was %s and is %s, slowness %g", queue, got, r.Slowness())
 	}
-	second := r.Ask(at(2000), ask("a", 10_000))
-	r.OnFetched(at(2010), Fetched{Claim: second.Claim, Took: 10 * time.Millisecond, Busy: true})
-	if got := r.Queue(at(2010)); got != 0 {
+	second := r.Decide(at(2000), ask("a", 10_000))
+	r.OnFetched(at(2010), FetchResult{Claim: second.Claim, Took: 10 * time.Millisecond, Busy: true})
+	if got := r.QueueTime(at(2010)); got != 0 {
 		t.Errorf("the queue is %s after its last fetch", got)
 	}
 }
@@ -215,14 +215,14 @@
 func TestOneOddFetchDoesNotMakeALinkSlow(t *testing.T) {
 	r := open(100_000)
 	save(t, r, at(0), ask("a", 1000)) // 10 ms
-	first := r.Ask(at(1000), ask("a", 1000))
-	odd := r.Ask(at(1010), ask("a", 1000))
-	r.OnFetched(at(1020), Fetched{Claim: first.Claim, Took: 20 * time.Millisecond})
-	r.OnFetched(at(1610), Fetched{Claim: odd.Claim, Took: 600 * time.Millisecond})
+	first := r.Decide(at(1000), ask("a", 1000))
+	odd := r.Decide(at(1010), ask("a", 1000))
+	r.OnFetched(at(1020), FetchResult{Claim: first.Claim, Took: 20 * time.Millisecond})
+	r.OnFetched(at(1610), FetchResult{Claim: odd.Claim, Took: 600 * time.Millisecond})
 	if got := r.Slowness(); got > 2 {
 		t.Errorf("slowness %g", got)
 	}
-	if got := r.Ask(at(1611), ask("a", 1000)); !got.Fetch || got.Takes > 100*time.Millisecond {
+	if got := r.Decide(at(1611), ask("a", 1000)); !got.Fetch || got.FetchTime > 100*time.Millisecond {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -233,15 +233,15 @@
 	for _, gone := range []bool{true, false} {
 		r := open(100_000)
 		save(t, r, at(0), ask("a", 1000))
-		dead := r.Ask(at(1000), ask("a", 1000))
-		r.OnFetched(at(1300), Fetched{Claim: dead.Claim, Took: 300 * time.Millisecond, Overdue: true})
+		dead := r.Decide(at(1000), ask("a", 1000))
+		r.OnFetched(at(1300), FetchResult{Claim: dead.Claim, Took: 300 * time.Millisecond, Overdue: true})
 		if gone {
 			r.Release(at(1310), Key{"w1", "a"}, dead.Claim)
 		}
 		for i := range 9 { // 10 a second
 			now := at(1400 + 100*i)
-			got := r.Ask(now, ask("a", 1000))
-			r.OnFetched(now.Add(20*time.Millisecond), Fetched{Claim: got.Claim, Took: 20 * time.Millisecond})
+			got := r.Decide(now, ask("a", 1000))
+			r.OnFetched(now.Add(20*time.Millisecond), FetchResult{Claim: got.Claim, Took: 20 * time.Millisecond})
 			if gone && i >= 2 && r.Slowness() > 1.3 {
 				t.Fatalf("slowness %g after the fetch was given up and %d others ended", r.Slowness(), i+1)
 			}
--- a/internal/policy/storecache/storecache.go
+++ b/internal/policy/storecache/storecache.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	// LeaveFor is how long leave to fetch lasts. A replica does not start a transfer that
+	// ReadPermitTTL is how long leave to fetch lasts. A replica does not start a transfer that
 	// would wait for more than two seconds. Shorter leave lets slow fetches go and computes
 	// their prompts, which costs the replicas more than the wait.
-	LeaveFor = 2500 * time.Millisecond
+	ReadPermitTTL = 2500 * time.Millisecond
 	// leaveSlack covers what the keeper does not know of the replicas' clock.
 	leaveSlack = 300 * time.Millisecond
-	// ReadOnFor is how long a keeper that lost its lease may go on to give leave to fetch
+	// ReadOnlyGrace is how long a keeper that lost its lease may go on to give leave to fetch
 	// what it knows to be whole. An outage of the key-value service ends all leases and
 	// lets nobody take one: without this all prompts are computed until it is over. The
 	// next keeper frees nothing for as long. Outages last some seconds.
-	ReadOnFor = 8 * time.Second
+	ReadOnlyGrace = 8 * time.Second
 	// readerLag is how late such a keeper may notice that the store came back empty.
 	readerLag = 2 * time.Second
 	// saveWithin is how long a save may take before it counts as lost. A large prompt
@@ -52,9 +52,9 @@
 	// gap takes the saves of the time that freeing needs.
 	fullAt = 0.94
 	freeTo = 0.90
-	// LeaveSeenFor is longer than any leave lasts from when a store's process was seen first:
+	// MinProcessAge is longer than any leave lasts from when a store's process was seen first:
 	// a keeper that was cut off may notice late that the process is another one.
-	LeaveSeenFor = readerLag + LeaveFor + leaveSlack
+	MinProcessAge = readerLag + ReadPermitTTL + leaveSlack
 	// block is the number of tokens by which a store gives room.
 	block = 16
 )
@@ -62,8 +62,8 @@
 // Key names a part in the store.
 type Key struct{ Salt, ID string }
 
-// Ask is what a request wants of one part.
-type Ask struct {
+// PartRequest is what a request wants of one part.
+type PartRequest struct {
 	Key
 	Tokens  int
 	Weights uint64 // the version of the weights that made it
@@ -82,24 +82,24 @@
 
 // The reasons of Answer.
 const (
-	ReasonHeld   Reason = "held"   // it may be fetched
-	ReasonQueue  Reason = "queue"  // the link has too much to do
-	ReasonSaving Reason = "saving" // it is being written
-	ReasonUnsure Reason = "unsure" // leave from before may still be used
-	ReasonOld    Reason = "old"    // of weights that were replaced: it would be mixed when whole
-	ReasonOnce   Reason = "once"   // a last part that was not asked for before
-	ReasonFull   Reason = "full"   // no room without freeing what is wanted
-	ReasonSave   Reason = "save"   // it is to be saved
+	ReasonCached       Reason = "held"   // it may be fetched
+	ReasonQueue        Reason = "queue"  // the link has too much to do
+	ReasonSaving       Reason = "saving" // it is being written
+	ReasonUnconfirmed  Reason = "unsure" // leave from before may still be used
+	ReasonOldWeights   Reason = "old"    // of weights that were replaced: it would be mixed when whole
+	ReasonFirstRequest Reason = "once"   // a last part that was not asked for before
+	ReasonFull         Reason = "full"   // no room without freeing what is wanted
+	ReasonSave         Reason = "save"   // it is to be saved
 )
 
-// Answer says what may be done with a part.
-type Answer struct {
-	Reason Reason
-	Fetch  bool
-	Save   bool
-	Takes  time.Duration // of a fetch, the queue included
-	Queue  time.Duration // of the link, before the fetch
-	Claim  int64         // names the transfer that is counted on the link; zero: none is
+// Decision says what may be done with a part.
+type Decision struct {
+	Reason    Reason
+	Fetch     bool
+	Save      bool
+	FetchTime time.Duration // of a fetch, the queue included
+	QueueTime time.Duration // of the link, before the fetch
+	Claim     int64         // names the transfer that is counted on the link; zero: none is
 	// Full says that the store would have to free parts that are still wanted.
 	Full bool
 }
@@ -127,11 +127,11 @@
 
 // Params describe a store.
 type Params struct {
-	Tokens       int // room
-	TokensPerSec float64
-	FirstByte    time.Duration
-	// Lapsed is set if another keeper's lease ran out. It may give leave for ReadOnFor.
-	Lapsed bool
+	CapacityTokens int // room
+	TokensPerSec   float64
+	FirstByte      time.Duration
+	// PreviousLeaseExpired is set if another keeper's lease ran out. It may give leave for ReadOnFor.
+	PreviousLeaseExpired bool
 }
 
 // Cache is what is known of one store.
@@ -153,11 +153,11 @@
 // given leave until now, or goes on to for a while if its lease ran out.
 func New(now time.Time, p Params) *Cache {
 	r := &Cache{p: p, parts: map[Key]*part{}, seen: map[Key]time.Time{}, seenSwept: now, link: newLink(now, p.TokensPerSec), readers: now}
-	if p.Lapsed {
-		r.readers = now.Add(ReadOnFor)
+	if p.PreviousLeaseExpired {
+		r.readers = now.Add(ReadOnlyGrace)
 	}
-	r.saveAfter = now.Add(LeaveFor + leaveSlack)
-	r.freeAfter = r.readers.Add(LeaveFor + leaveSlack)
+	r.saveAfter = now.Add(ReadPermitTTL + leaveSlack)
+	r.freeAfter = r.readers.Add(ReadPermitTTL + leaveSlack)
 	return r
 }
 
@@ -168,7 +168,7 @@
 	r.link.reset(now)
 	r.noSaveBefore(r.lastLeave.Add(leaveSlack))
 	if now.Before(r.readers) {
-		r.noSaveBefore(now.Add(readerLag + LeaveFor + leaveSlack))
+		r.noSaveBefore(now.Add(readerLag + ReadPermitTTL + leaveSlack))
 	}
 }
 
@@ -177,14 +177,14 @@
 // wait.
 func (r *Cache) OnSameProcess(now time.Time) { r.saveAfter = now }
 
-// Readers returns until when another keeper may give leave, as far as is known.
-func (r *Cache) Readers() time.Time { return r.readers }
+// OtherOwnerUntil returns until when another keeper may give leave, as far as is known.
+func (r *Cache) OtherOwnerUntil() time.Time { return r.readers }
 
-// OnReaders is told until when another keeper may give leave.
-func (r *Cache) OnReaders(until time.Time) {
+// OnOtherOwner is told until when another keeper may give leave.
+func (r *Cache) OnOtherOwner(until time.Time) {
 	if until.After(r.readers) {
 		r.readers = until
-		r.freeAfter = until.Add(LeaveFor + leaveSlack)
+		r.freeAfter = until.Add(ReadPermitTTL + leaveSlack)
 	}
 }
 
@@ -194,14 +194,14 @@
 	}
 }
 
-// Queue returns the link's queue.
-func (r *Cache) Queue(now time.Time) time.Duration { return r.link.queue(now) }
+// QueueTime returns the link's queue.
+func (r *Cache) QueueTime(now time.Time) time.Duration { return r.link.queue(now) }
 
-// Taken returns the tokens of room that are taken or promised.
-func (r *Cache) Taken() int { return r.taken }
+// UsedTokens returns the tokens of room that are taken or promised.
+func (r *Cache) UsedTokens() int { return r.taken }
 
-// Parts returns the number of parts that are whole.
-func (r *Cache) Parts() int {
+// CompleteParts returns the number of parts that are whole.
+func (r *Cache) CompleteParts() int {
 	n := 0
 	for _, p := range r.parts {
 		if p.state == held {
@@ -211,8 +211,8 @@
 	return n
 }
 
-// Ask decides on one part. Leave to fetch lasts until now plus LeaveFor.
-func (r *Cache) Ask(now time.Time, a Ask) Answer {
+// Decide decides on one part. Leave to fetch lasts until now plus LeaveFor.
+func (r *Cache) Decide(now time.Time, a PartRequest) Decision {
 	r.newest = max(r.newest, a.Weights)
 	r.link.recover(now)
 	p, known := r.parts[a.Key]
@@ -220,21 +220,21 @@
 	case known && p.state == held && !p.mixed:
 		return r.fetch(now, p, a)
 	case known:
-		return Answer{Reason: ReasonSaving}
+		return Decision{Reason: ReasonSaving}
 	case now.Before(r.saveAfter) || a.ReadOnly:
-		return Answer{Reason: ReasonUnsure}
+		return Decision{Reason: ReasonUnconfirmed}
 	case a.Weights < r.newest:
-		return Answer{Reason: ReasonOld}
+		return Decision{Reason: ReasonOldWeights}
 	case a.Last && !r.seenBefore(now, a.Key):
-		return Answer{Reason: ReasonOnce}
-	case r.Queue(now) > maxSaveQueue:
-		return Answer{Reason: ReasonQueue}
+		return Decision{Reason: ReasonFirstRequest}
+	case r.QueueTime(now) > maxSaveQueue:
+		return Decision{Reason: ReasonQueue}
 	case !r.roomFor(now, a.Tokens):
-		return Answer{Reason: ReasonFull, Full: true}
+		return Decision{Reason: ReasonFull, Full: true}
 	}
 	p = r.add(now, a, saving)
 	p.claim = r.link.use(now, a.Tokens)
-	return Answer{Reason: ReasonSave, Save: true, Claim: p.claim}
+	return Decision{Reason: ReasonSave, Save: true, Claim: p.claim}
 }
 
 // Release is told that what Ask allowed is not used: no request was sent with it.
@@ -265,23 +265,23 @@
 	return known && now.Sub(at) <= keepFor
 }
 
-func (r *Cache) fetch(now time.Time, p *part, a Ask) Answer {
-	queue := r.Queue(now)
+func (r *Cache) fetch(now time.Time, p *part, a PartRequest) Decision {
+	queue := r.QueueTime(now)
 	p.used = now
 	if !a.Resident && queue > maxQueue {
-		return Answer{Reason: ReasonQueue}
+		return Decision{Reason: ReasonQueue}
 	}
-	p.leave = now.Add(LeaveFor)
+	p.leave = now.Add(ReadPermitTTL)
 	r.lastLeave = p.leave
-	out := Answer{Reason: ReasonHeld, Fetch: true, Queue: queue, Takes: queue + r.p.FirstByte + r.link.transfer(p.tokens)}
+	out := Decision{Reason: ReasonCached, Fetch: true, QueueTime: queue, FetchTime: queue + r.p.FirstByte + r.link.transfer(p.tokens)}
 	if !a.Resident {
 		out.Claim = r.link.use(now, p.tokens)
 	}
 	return out
 }
 
-// Fetched is how a fetch went.
-type Fetched struct {
+// FetchResult is how a fetch went.
+type FetchResult struct {
 	Claim int64
 	Took  time.Duration // so far, if it is overdue
 	// Overdue is set if it has not ended, long after it should have.
@@ -292,7 +292,7 @@
 }
 
 // OnFetched is told how a fetch went.
-func (r *Cache) OnFetched(now time.Time, f Fetched) {
+func (r *Cache) OnFetched(now time.Time, f FetchResult) {
 	switch {
 	case f.Overdue:
 		r.link.onOverdue(now, f.Claim)
@@ -308,7 +308,7 @@
 
 func roundUp(tokens int) int { return (tokens + block - 1) / block * block }
 
-func (r *Cache) add(now time.Time, a Ask, s state) *part {
+func (r *Cache) add(now time.Time, a PartRequest, s state) *part {
 	p := &part{key: a.Key, tokens: a.Tokens, weights: a.Weights, state: s, since: now, used: now}
 	r.parts[a.Key] = p
 	r.taken += roundUp(a.Tokens)
@@ -326,10 +326,10 @@
 // roomFor reports whether a part fits. While freeing is under way the store's room may be
 // short for a moment; a save is then not tried.
 func (r *Cache) roomFor(now time.Time, tokens int) bool {
-	if r.taken+roundUp(tokens) <= int(fullAt*float64(r.p.Tokens)) {
+	if r.taken+roundUp(tokens) <= int(fullAt*float64(r.p.CapacityTokens)) {
 		return true
 	}
-	return r.taken+roundUp(tokens) <= r.p.Tokens && len(r.unwanted(now)) > 0
+	return r.taken+roundUp(tokens) <= r.p.CapacityTokens && len(r.unwanted(now)) > 0
 }
 
 // OnStored is told by the store that a part is whole. weights is what the salt says.
@@ -342,7 +342,7 @@
 func (r *Cache) OnStored(now time.Time, key Key, tokens int, weights uint64) {
 	p, known := r.parts[key]
 	if !known {
-		r.add(now, Ask{Key: key, Tokens: tokens, Weights: weights}, held).mixed = weights < r.newest
+		r.add(now, PartRequest{Key: key, Tokens: tokens, Weights: weights}, held).mixed = weights < r.newest
 		return
 	}
 	if p.state == saving {
--- a/internal/policy/storecache/storecache_test.go
+++ b/internal/policy/storecache/storecache_test.go
@@ -14,20 +14,20 @@
 
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-func ask(id string, tokens int) Ask { return Ask{Key: Key{"w1", id}, Tokens: tokens, Weights: 1} }
+func ask(id string, n int) PartRequest { return PartRequest{Key: Key{"w1", id}, Tokens: n, Weights: 1} }
 
 // open returns a room that has been kept for long enough to save and free.
 func open(tokens int) *Cache {
-	return New(at(-10_000), Params{Tokens: tokens, TokensPerSec: 100_000, FirstByte: time.Millisecond})
+	return New(at(-10_000), Params{CapacityTokens: tokens, TokensPerSec: 100_000, FirstByte: time.Millisecond})
 }
 
 func tellOverdue(r *Cache, now time.Time, claim int64) {
-	r.OnFetched(now, Fetched{Claim: claim, Took: time.Second, Overdue: true})
+	r.OnFetched(now, FetchResult{Claim: claim, Took: time.Second, Overdue: true})
 }
 
-func save(t *testing.T, r *Cache, now time.Time, a Ask) {
+func save(t *testing.T, r *Cache, now time.Time, a PartRequest) {
 	t.Helper()
-	if got := r.Ask(now, a); !got.Save {
+	if got := r.Decide(now, a); !got.Save {
 		t.Fatalf("%s is not to be saved: %+v", a.ID, got)
 	}
 	r.OnStored(now, a.Key, a.Tokens, a.Weights)
@@ -37,14 +37,14 @@
 // Until the store says that it is whole nobody may fetch it, nor save it a second time.
 func TestPartIsFetchedOnlyWhenWhole(t *testing.T) {
 	r := open(1000)
-	if got := r.Ask(at(0), ask("a", 100)); !got.Save || got.Fetch {
+	if got := r.Decide(at(0), ask("a", 100)); !got.Save || got.Fetch {
 		t.Fatalf("first: %+v", got)
 	}
-	if got := r.Ask(at(10), ask("a", 100)); got.Save || got.Fetch {
+	if got := r.Decide(at(10), ask("a", 100)); got.Save || got.Fetch {
 		t.Fatalf("while it is written: %+v", got)
 	}
 	r.OnStored(at(50), Key{"w1", "a"}, 100, 1)
-	if got := r.Ask(at(60), ask("a", 100)); !got.Fetch || got.Save {
+	if got := r.Decide(at(60), ask("a", 100)); !got.Fetch || got.Save {
 		t.Fatalf("when whole: %+v", got)
 	}
 }
@@ -57,13 +57,13 @@
 		save(t, r, at(i), ask(fmt.Sprint(i), 100))
 	}
 	later := at(0).Add(keepFor + 10*time.Second)
-	if got := r.Ask(later, ask("0", 100)); !got.Fetch {
+	if got := r.Decide(later, ask("0", 100)); !got.Fetch {
 		t.Fatalf("got %+v", got)
 	}
 	for _, id := range []string{"x", "y"} { // more than fullAt of the room
 		r.OnStored(later, Key{"w1", id}, 100, 1)
 	}
-	keys := r.Free(later.Add(LeaveFor))
+	keys := r.StartFreeing(later.Add(ReadPermitTTL))
 	if len(keys) == 0 {
 		t.Error("nothing is freed although the store is full")
 	}
@@ -73,7 +73,7 @@
 		}
 		r.OnRemoved(key)
 	}
-	if keys := r.Free(later.Add(LeaveFor)); len(keys) != 0 {
+	if keys := r.StartFreeing(later.Add(ReadPermitTTL)); len(keys) != 0 {
 		t.Errorf("freed %v although there is room", keys)
 	}
 }
@@ -83,14 +83,14 @@
 func TestNothingIsSavedWhileLeaveFromBeforeARestartLasts(t *testing.T) {
 	r := open(1000)
 	save(t, r, at(0), ask("a", 100))
-	if got := r.Ask(at(10), ask("a", 100)); !got.Fetch {
+	if got := r.Decide(at(10), ask("a", 100)); !got.Fetch {
 		t.Fatalf("got %+v", got)
 	}
 	r.Reset(at(100))
-	if got := r.Ask(at(200), ask("a", 100)); got.Save || got.Reason != ReasonUnsure {
+	if got := r.Decide(at(200), ask("a", 100)); got.Save || got.Reason != ReasonUnconfirmed {
 		t.Errorf("just after: %+v", got)
 	}
-	if got := r.Ask(at(10).Add(LeaveFor+leaveSlack+time.Millisecond), ask("a", 100)); !got.Save {
+	if got := r.Decide(at(10).Add(ReadPermitTTL+leaveSlack+time.Millisecond), ask("a", 100)); !got.Save {
 		t.Errorf("later: %+v", got)
 	}
 }
@@ -98,16 +98,16 @@
 // A daemon takes a store over. What the one before allowed is not known: nothing is saved
 // or freed until that has ended.
 func TestNewKeeperWaitsForLeaveOfTheOneBefore(t *testing.T) {
-	r := New(at(0), Params{Tokens: 100, TokensPerSec: 1000})
-	r.OnList(at(1), []Ask{ask("old", 96)}, nil)
-	if got := r.Ask(at(1000), ask("b", 16)); got.Save {
+	r := New(at(0), Params{CapacityTokens: 100, TokensPerSec: 1000})
+	r.OnList(at(1), []PartRequest{ask("old", 96)}, nil)
+	if got := r.Decide(at(1000), ask("b", 16)); got.Save {
 		t.Error("saved at once")
 	}
 	r.newest = 2
-	if keys := r.Free(at(1000)); len(keys) > 0 {
+	if keys := r.StartFreeing(at(1000)); len(keys) > 0 {
 		t.Errorf("freed %v at once", keys)
 	}
-	if keys := r.Free(at(3000)); len(keys) != 1 {
+	if keys := r.StartFreeing(at(3000)); len(keys) != 1 {
 		t.Errorf("freed %v later", keys)
 	}
 }
@@ -118,10 +118,10 @@
 	r := open(1000)
 	own := ask("own", 100)
 	own.Last = true
-	if got := r.Ask(at(0), own); got.Save || got.Reason != ReasonOnce {
+	if got := r.Decide(at(0), own); got.Save || got.Reason != ReasonFirstRequest {
 		t.Errorf("first: %+v", got)
 	}
-	if got := r.Ask(at(3000), own); !got.Save {
+	if got := r.Decide(at(3000), own); !got.Save {
 		t.Errorf("when it returns: %+v", got)
 	}
 }
@@ -131,23 +131,23 @@
 func TestSlowLinkIsUsedLess(t *testing.T) {
 	r := open(10_000)
 	save(t, r, at(0), ask("a", 1000)) // 10 ms at full speed
-	takes := r.Ask(at(1000), ask("a", 1000)).Takes
+	takes := r.Decide(at(1000), ask("a", 1000)).FetchTime
 	for i := range 2 {
-		tellOverdue(r, at(2000+400*i), r.Ask(at(1900+400*i), ask("a", 1000)).Claim)
+		tellOverdue(r, at(2000+400*i), r.Decide(at(1900+400*i), ask("a", 1000)).Claim)
 	}
-	if got := r.Ask(at(2800), ask("a", 1000)).Takes; got < 3*takes {
+	if got := r.Decide(at(2800), ask("a", 1000)).FetchTime; got < 3*takes {
 		t.Errorf("takes %s, %s before", got, takes)
 	}
 	refused := 0
 	for range 20 {
-		if got := r.Ask(at(2801), ask("a", 1000)); got.Reason == ReasonQueue {
+		if got := r.Decide(at(2801), ask("a", 1000)); got.Reason == ReasonQueue {
 			refused++
 		}
 	}
 	if refused == 0 {
 		t.Error("a queue of twenty slow fetches was allowed")
 	}
-	r.Ask(at(20_000), ask("a", 1000))
+	r.Decide(at(20_000), ask("a", 1000))
 	if s := r.Slowness(); s != 1 {
 		t.Errorf("slowness %g after a quiet time", s)
 	}
@@ -160,11 +160,11 @@
 		save(t, r, at(i), ask(fmt.Sprint(i), 100))
 	}
 	r.OnStored(at(9), Key{"w1", "8"}, 100, 1) // more than fullAt with the next one
-	young := Ask{Key: Key{"w2", "x"}, Tokens: 96, Weights: 2}
-	if got := r.Ask(at(3000), young); got.Full || !got.Save {
+	young := PartRequest{Key: Key{"w2", "x"}, Tokens: 96, Weights: 2}
+	if got := r.Decide(at(3000), young); got.Full || !got.Save {
 		t.Fatalf("got %+v", got)
 	}
-	if keys := r.Free(at(3500)); len(keys) == 0 || keys[0].Salt != "w1" {
+	if keys := r.StartFreeing(at(3500)); len(keys) == 0 || keys[0].Salt != "w1" {
 		t.Errorf("freed %v", keys)
 	}
 }
@@ -193,15 +193,15 @@
 		for range rapid.IntRange(100, 400).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{1, 1, 5, 5, 20, 20, 100, 100, 2000}).Draw(rt, "ms")) * time.Millisecond)
 			key := Key{fmt.Sprint("w", rapid.IntRange(1, 3).Draw(rt, "weights")), fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "id"))}
-			a := Ask{Key: key, Tokens: 160, Weights: uint64(key.Salt[1] - '0'), Last: rapid.IntRange(0, 9).Draw(rt, "last") == 0}
+			a := PartRequest{Key: key, Tokens: 160, Weights: uint64(key.Salt[1] - '0'), Last: rapid.IntRange(0, 9).Draw(rt, "last") == 0}
 			switch steps[rapid.IntRange(0, len(steps)-1).Draw(rt, "step")] {
 			case "ask":
-				got := r.Ask(now, a)
+				got := r.Decide(now, a)
 				if got.Fetch {
 					if !present[key] {
 						rt.Fatalf("leave to fetch %v, which is not there", key)
 					}
-					leave[key] = now.Add(LeaveFor)
+					leave[key] = now.Add(ReadPermitTTL)
 				}
 				if got.Save {
 					if leave[key].After(now) {
@@ -228,7 +228,7 @@
 				if len(claims) == 0 {
 					continue
 				}
-				r.OnFetched(now, Fetched{
+				r.OnFetched(now, FetchResult{
 					Claim: rapid.SampledFrom(claims).Draw(rt, "claim").id, Took: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "took")) * time.Millisecond,
 					Overdue: rapid.Bool().Draw(rt, "overdue"), Busy: rapid.Bool().Draw(rt, "busy"),
 				})
@@ -239,7 +239,7 @@
 				}
 				clear(writing)
 			case "free":
-				for _, k := range r.Free(now) {
+				for _, k := range r.StartFreeing(now) {
 					if leave[k].After(now) {
 						rt.Fatalf("%v is freed while it may be fetched", k)
 					}
@@ -248,7 +248,7 @@
 					if rapid.Bool().Draw(rt, "sure") {
 						r.OnRemoved(k)
 					} else {
-						r.OnKept(now, []Key{k})
+						r.OnFreeFailed(now, []Key{k})
 					}
 				}
 			case "restart":
@@ -256,12 +256,12 @@
 				clear(writing)
 				r.Reset(now)
 			case "list":
-				var whole, partial []Ask
+				var whole, partial []PartRequest
 				for k := range present {
-					whole = append(whole, Ask{Key: k, Tokens: 160, Weights: uint64(k.Salt[1] - '0')})
+					whole = append(whole, PartRequest{Key: k, Tokens: 160, Weights: uint64(k.Salt[1] - '0')})
 				}
 				for k := range writing {
-					partial = append(partial, Ask{Key: k, Tokens: 160, Weights: uint64(k.Salt[1] - '0')})
+					partial = append(partial, PartRequest{Key: k, Tokens: 160, Weights: uint64(k.Salt[1] - '0')})
 				}
 				r.OnList(now, whole, partial)
 			case "late removal":
@@ -281,27 +281,27 @@
 	save(t, old, at(0), ask("a", 100))
 	lapsed := ask("a", 100)
 	lapsed.ReadOnly = true
-	if got := old.Ask(at(100), lapsed); !got.Fetch {
+	if got := old.Decide(at(100), lapsed); !got.Fetch {
 		t.Errorf("what is whole: %+v", got)
 	}
 	unknown := ask("b", 100)
 	unknown.ReadOnly = true
-	if got := old.Ask(at(100), unknown); got.Save || got.Fetch {
+	if got := old.Decide(at(100), unknown); got.Save || got.Fetch {
 		t.Errorf("what is not there: %+v", got)
 	}
 
 	taken := at(0).Add(keepFor + time.Second)
-	next := New(taken, Params{Tokens: 1000, TokensPerSec: 100_000, Lapsed: true})
-	var whole []Ask
+	next := New(taken, Params{CapacityTokens: 1000, TokensPerSec: 100_000, PreviousLeaseExpired: true})
+	var whole []PartRequest
 	for i := range 10 {
 		whole = append(whole, ask(fmt.Sprint(i), 100))
 	}
 	next.OnList(taken.Add(-keepFor), whole, nil) // all of it unused for long, and the store is full
-	last := taken.Add(ReadOnFor + LeaveFor)
-	if keys := next.Free(last); len(keys) > 0 {
+	last := taken.Add(ReadOnlyGrace + ReadPermitTTL)
+	if keys := next.StartFreeing(last); len(keys) > 0 {
 		t.Errorf("%d parts are freed while the keeper before may have given leave for them", len(keys))
 	}
-	if keys := next.Free(last.Add(leaveSlack)); len(keys) == 0 {
+	if keys := next.StartFreeing(last.Add(leaveSlack)); len(keys) == 0 {
 		t.Error("nothing is freed although the store is full")
 	}
 }
@@ -310,13 +310,13 @@
 // notices. The next keeper knows that the store is empty: a part that is written at once
 // could be fetched half.
 func TestNothingIsWrittenWhileAnotherKeeperMayNotKnowOfACrash(t *testing.T) {
-	r := New(at(0), Params{Tokens: 1000, TokensPerSec: 100_000, Lapsed: true})
+	r := New(at(0), Params{CapacityTokens: 1000, TokensPerSec: 100_000, PreviousLeaseExpired: true})
 	crash := at(3000)
 	r.Reset(crash)
-	if got := r.Ask(crash.Add(readerLag+LeaveFor), ask("a", 100)); got.Save {
+	if got := r.Decide(crash.Add(readerLag+ReadPermitTTL), ask("a", 100)); got.Save {
 		t.Errorf("got %+v", got)
 	}
-	if got := r.Ask(crash.Add(readerLag+LeaveFor+leaveSlack), ask("a", 100)); !got.Save {
+	if got := r.Decide(crash.Add(readerLag+ReadPermitTTL+leaveSlack), ask("a", 100)); !got.Save {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -326,17 +326,17 @@
 // What was kept must still be fetched; saving all that is new makes both wait.
 func TestSavesGiveWayToFetches(t *testing.T) {
 	const sessions, tokens = 400, 5000
-	r := New(at(-10_000), Params{Tokens: 2 * sessions * tokens, TokensPerSec: 181_000})
+	r := New(at(-10_000), Params{CapacityTokens: 2 * sessions * tokens, TokensPerSec: 181_000})
 	for i := range sessions {
 		r.OnStored(at(-5000), Key{"w1", fmt.Sprint("old", i)}, tokens, 1)
 	}
 	fetched, saved := 0, 0
 	for i := range sessions {
 		now := at(60 * i) // 83 tokens a ms to fetch, and as many to save
-		if r.Ask(now, ask(fmt.Sprint("old", i), tokens)).Fetch {
+		if r.Decide(now, ask(fmt.Sprint("old", i), tokens)).Fetch {
 			fetched++
 		}
-		if r.Ask(now, ask(fmt.Sprint("new", i), tokens)).Save {
+		if r.Decide(now, ask(fmt.Sprint("new", i), tokens)).Save {
 			saved++
 		}
 	}
@@ -352,18 +352,18 @@
 func TestPartThatBecomesWholeUnderNewerWeightsIsNotGivenOut(t *testing.T) {
 	r := open(1000)
 	save(t, r, at(0), ask("before", 96))
-	r.Ask(at(10), ask("during", 96))
-	newer := Ask{Key: Key{"w2", "x"}, Tokens: 16, Weights: 2}
-	r.Ask(at(20), newer)
+	r.Decide(at(10), ask("during", 96))
+	newer := PartRequest{Key: Key{"w2", "x"}, Tokens: 16, Weights: 2}
+	r.Decide(at(20), newer)
 	r.OnStored(at(30), Key{"w1", "during"}, 96, 1)
 	r.OnStored(at(30), Key{"w1", "unheard of"}, 96, 1)
 	r.OnStored(at(30), newer.Key, 16, 2)
 	for id, fetch := range map[string]bool{"before": true, "during": false, "unheard of": false} {
-		if got := r.Ask(at(40), ask(id, 96)); got.Fetch != fetch {
+		if got := r.Decide(at(40), ask(id, 96)); got.Fetch != fetch {
 			t.Errorf("%s: %+v", id, got)
 		}
 	}
-	if got := r.Ask(at(40), newer); !got.Fetch {
+	if got := r.Decide(at(40), newer); !got.Fetch {
 		t.Errorf("of the newest weights: %+v", got)
 	}
 }
@@ -374,8 +374,8 @@
 func TestOneComplaintRefusesNoFetch(t *testing.T) {
 	r := open(10_000)
 	save(t, r, at(0), ask("a", 1000))
-	tellOverdue(r, at(2000), r.Ask(at(1900), ask("a", 1000)).Claim)
-	if got := r.Ask(at(2001), ask("a", 1000)); !got.Fetch || got.Takes > 100*time.Millisecond {
+	tellOverdue(r, at(2000), r.Decide(at(1900), ask("a", 1000)).Claim)
+	if got := r.Decide(at(2001), ask("a", 1000)); !got.Fetch || got.FetchTime > 100*time.Millisecond {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -386,23 +386,23 @@
 // written. Given back, the next one that asks may save it at once.
 func TestSaveThatNobodyMakesIsGivenBack(t *testing.T) {
 	r := open(1000)
-	first := r.Ask(at(0), ask("a", 100))
+	first := r.Decide(at(0), ask("a", 100))
 	if !first.Save || first.Claim == 0 {
 		t.Fatalf("first: %+v", first)
 	}
-	if queue := r.Queue(at(0)); queue == 0 {
+	if queue := r.QueueTime(at(0)); queue == 0 {
 		t.Fatal("a save takes no time of the link")
 	}
 	r.Release(at(10), Key{"w1", "a"}, first.Claim)
-	if r.Taken() != 0 || r.Queue(at(10)) != 0 {
-		t.Errorf("%d tokens are taken, and the queue is %s", r.Taken(), r.Queue(at(10)))
+	if r.UsedTokens() != 0 || r.QueueTime(at(10)) != 0 {
+		t.Errorf("%d tokens are taken, and the queue is %s", r.UsedTokens(), r.QueueTime(at(10)))
 	}
-	second := r.Ask(at(20), ask("a", 100))
+	second := r.Decide(at(20), ask("a", 100))
 	if !second.Save {
 		t.Fatalf("second: %+v", second)
 	}
 	r.Release(at(30), Key{"w1", "a"}, first.Claim)
-	if got := r.Ask(at(40), ask("a", 100)); got.Save {
+	if got := r.Decide(at(40), ask("a", 100)); got.Save {
 		t.Error("the claim of the first request gave back the save of the second")
 	}
 }
@@ -411,14 +411,14 @@
 // asked for it before can make it free to be saved.
 func TestPartThatMayBeWrittenIsNotGivenBack(t *testing.T) {
 	r := open(1000)
-	r.OnList(at(0), nil, []Ask{ask("partial", 100)})
-	claim := r.Ask(at(0), ask("kept", 100)).Claim
+	r.OnList(at(0), nil, []PartRequest{ask("partial", 100)})
+	claim := r.Decide(at(0), ask("kept", 100)).Claim
 	r.OnStored(at(10), Key{"w1", "kept"}, 100, 1)
-	r.OnKept(at(20), []Key{{"w1", "kept"}})
+	r.OnFreeFailed(at(20), []Key{{"w1", "kept"}})
 	r.Release(at(30), Key{"w1", "partial"}, claim)
 	r.Release(at(30), Key{"w1", "kept"}, claim)
 	for _, id := range []string{"partial", "kept"} {
-		if got := r.Ask(at(40), ask(id, 100)); got.Save || got.Fetch {
+		if got := r.Decide(at(40), ask(id, 100)); got.Save || got.Fetch {
 			t.Errorf("%s: %+v", id, got)
 		}
 	}
@@ -429,16 +429,16 @@
 func TestFetchThatNobodyMakesLeavesTheLinkFree(t *testing.T) {
 	r := open(10_000)
 	save(t, r, at(0), ask("a", 5000))
-	idle := at(0).Add(r.Queue(at(0)))
-	got := r.Ask(idle, ask("a", 5000))
+	idle := at(0).Add(r.QueueTime(at(0)))
+	got := r.Decide(idle, ask("a", 5000))
 	if !got.Fetch {
 		t.Fatalf("got %+v", got)
 	}
 	r.Release(idle, Key{"w1", "a"}, got.Claim)
-	if queue := r.Queue(idle); queue != 0 {
+	if queue := r.QueueTime(idle); queue != 0 {
 		t.Errorf("the queue is %s", queue)
 	}
-	if got := r.Free(idle.Add(LeaveFor)); len(got) > 0 {
+	if got := r.StartFreeing(idle.Add(ReadPermitTTL)); len(got) > 0 {
 		t.Errorf("%v is freed while leave for it lasts", got)
 	}
 }
@@ -448,12 +448,12 @@
 // links' time, and room, from what the new weights had to save.
 func TestPartsOfReplacedWeightsAreNotSaved(t *testing.T) {
 	r := open(1000)
-	r.Ask(at(0), Ask{Key: Key{"w2", "x"}, Tokens: 100, Weights: 2})
-	queue := r.Queue(at(10))
-	if got := r.Ask(at(10), ask("a", 100)); got.Save || got.Reason != ReasonOld {
+	r.Decide(at(0), PartRequest{Key: Key{"w2", "x"}, Tokens: 100, Weights: 2})
+	queue := r.QueueTime(at(10))
+	if got := r.Decide(at(10), ask("a", 100)); got.Save || got.Reason != ReasonOldWeights {
 		t.Errorf("got %+v", got)
 	}
-	if got := r.Queue(at(10)); got != queue {
+	if got := r.QueueTime(at(10)); got != queue {
 		t.Errorf("the queue grew from %s to %s", queue, got)
 	}
 }
--- a/internal/policy/waitlimit/waitlimit.go
+++ b/internal/policy/waitlimit/waitlimit.go
@@ -33,17 +33,17 @@
 	enough = 20
 )
 
-// Waits knows the objectives of the requests for one service.
-type Waits struct {
+// Limiter knows the objectives of the requests for one service.
+type Limiter struct {
 	seen map[time.Duration]float64 // decayed number of requests by objective
 	at   time.Time                 // of the last decay
 }
 
 // New returns a Waits that has seen no request.
-func New() *Waits { return &Waits{seen: map[time.Duration]float64{}} }
+func New() *Limiter { return &Limiter{seen: map[time.Duration]float64{}} }
 
-// Longest notes a request with an objective and returns how long it may wait.
-func (w *Waits) Longest(now time.Time, objective time.Duration, mostUrgent bool) time.Duration {
+// MaxWait notes a request with an objective and returns how long it may wait.
+func (w *Limiter) MaxWait(now time.Time, objective time.Duration, mostUrgent bool) time.Duration {
 	w.note(now, objective)
 	part := share
 	if mostUrgent {
@@ -52,7 +52,7 @@
 	return time.Duration(part * float64(w.shortest(objective)))
 }
 
-func (w *Waits) note(now time.Time, objective time.Duration) {
+func (w *Limiter) note(now time.Time, objective time.Duration) {
 	if passed := now.Sub(w.at); passed > 0 {
 		factor := math.Exp2(-passed.Seconds() / halfLife.Seconds())
 		for o := range w.seen {
@@ -67,7 +67,7 @@
 
 // shortest returns the shortest common objective, at most the one given, which it returns if
 // too little was seen.
-func (w *Waits) shortest(atMost time.Duration) time.Duration {
+func (w *Limiter) shortest(atMost time.Duration) time.Duration {
 	total := 0.0
 	for _, n := range w.seen {
 		total += n
--- a/internal/policy/waitlimit/waitlimit_test.go
+++ b/internal/policy/waitlimit/waitlimit_test.go
@@ -8,11 +8,11 @@
 var start = time.Unix(1_700_000_000, 0)
 
 // mixed shows requests of a service: one with a long objective for each two with a short one.
-func mixed(w *Waits, now time.Time, n int) {
+func mixed(w *Limiter, now time.Time, n int) {
 	for range n {
-		w.Longest(now, 800*time.Millisecond, false)
-		w.Longest(now, 400*time.Millisecond, false)
-		w.Longest(now, 400*time.Millisecond, false)
+		w.MaxWait(now, 800*time.Millisecond, false)
+		w.MaxWait(now, 400*time.Millisecond, false)
+		w.MaxWait(now, 400*time.Millisecond, false)
 	}
 }
 
@@ -23,11 +23,11 @@
 func TestLongPromptsDoNotOutwaitShortOnes(t *testing.T) {
 	w := New()
 	mixed(w, start, 20)
-	long, short := w.Longest(start, 800*time.Millisecond, false), w.Longest(start, 400*time.Millisecond, false)
+	long, short := w.MaxWait(start, 800*time.Millisecond, false), w.MaxWait(start, 400*time.Millisecond, false)
 	if long != short || short != 320*time.Millisecond {
 		t.Errorf("long prompts wait %s, short ones %s", long, short)
 	}
-	if urgent := w.Longest(start, 400*time.Millisecond, true); urgent <= short {
+	if urgent := w.MaxWait(start, 400*time.Millisecond, true); urgent <= short {
 		t.Errorf("the most urgent wait %s", urgent)
 	}
 }
@@ -35,11 +35,11 @@
 // A service with one objective, and one of which too little was seen: each by its own.
 func TestOwnObjectiveHoldsWithoutOthers(t *testing.T) {
 	w := New()
-	if got := w.Longest(start, time.Second, false); got != 800*time.Millisecond {
+	if got := w.MaxWait(start, time.Second, false); got != 800*time.Millisecond {
 		t.Errorf("the first waits %s", got)
 	}
-	w.Longest(start, 100*time.Millisecond, false)
-	if got := w.Longest(start, time.Second, false); got != 800*time.Millisecond {
+	w.MaxWait(start, 100*time.Millisecond, false)
+	if got := w.MaxWait(start, time.Second, false); got != 800*time.Millisecond {
 		t.Errorf("the third waits %s", got)
 	}
 }
@@ -49,15 +49,15 @@
 func TestRareObjectiveCountsForItselfOnly(t *testing.T) {
 	w := New()
 	for n := range 200 {
-		w.Longest(start, 400*time.Millisecond, false)
+		w.MaxWait(start, 400*time.Millisecond, false)
 		if n%50 == 0 {
-			w.Longest(start, 10*time.Millisecond, false)
+			w.MaxWait(start, 10*time.Millisecond, false)
 		}
 	}
-	if got := w.Longest(start, 400*time.Millisecond, false); got != 320*time.Millisecond {
+	if got := w.MaxWait(start, 400*time.Millisecond, false); got != 320*time.Millisecond {
 		t.Errorf("the others wait %s", got)
 	}
-	if got := w.Longest(start, 10*time.Millisecond, false); got != 8*time.Millisecond {
+	if got := w.MaxWait(start, 10*time.Millisecond, false); got != 8*time.Millisecond {
 		t.Errorf("it waits %s itself", got)
 	}
 }
@@ -70,10 +70,10 @@
 	for range 60 {
 		now = now.Add(time.Second)
 		for range 5 {
-			w.Longest(now, 800*time.Millisecond, false)
+			w.MaxWait(now, 800*time.Millisecond, false)
 		}
 	}
-	if got := w.Longest(now, 800*time.Millisecond, false); got != 640*time.Millisecond {
+	if got := w.MaxWait(now, 800*time.Millisecond, false); got != 640*time.Millisecond {
 		t.Errorf("still waits %s", got)
 	}
 	if len(w.seen) != 1 {
