--- a/internal/policy/storecache/free.go
+++ b/internal/policy/storecache/free.go
@@ -6,98 +6,98 @@
 	"time"
 )
 
-// unwanted returns the parts that may be freed now, those first that are least likely to
-// return: of older weights, then longest unused.
-func (r *Cache) unwanted(now time.Time) []*part {
+// freeable returns the parts that may be freed now, least likely to be used again first:
+// parts of older weights, then those unused for longest.
+func (c *Cache) freeable(now time.Time) []*part {
 	var out []*part
-	for _, p := range r.parts {
-		if p.state == held && r.mayFree(now, p) {
+	for _, p := range c.parts {
+		if p.state == complete && c.mayFree(now, p) {
 			out = append(out, p)
 		}
 	}
 	slices.SortFunc(out, func(a, b *part) int {
-		return cmp.Or(cmp.Compare(a.weights, b.weights), a.used.Compare(b.used), cmp.Compare(a.key.ID, b.key.ID))
+		return cmp.Or(cmp.Compare(a.weights, b.weights), a.lastUsed.Compare(b.lastUsed), cmp.Compare(a.key.ID, b.key.ID))
 	})
 	return out
 }
 
-func (r *Cache) mayFree(now time.Time, p *part) bool {
-	if now.Before(r.freeAfter) || now.Before(p.leave.Add(leaveSlack)) {
+func (c *Cache) mayFree(now time.Time, p *part) bool {
+	if now.Before(c.freeAfter) || now.Before(p.permitUntil.Add(permitSlack)) {
 		return false
 	}
-	return p.weights < r.newest || now.Sub(p.used) > keepFor
+	return p.weights < c.newestWeights || now.Sub(p.lastUsed) > minRetention
 }
 
-// StartFreeing returns the parts to be freed now and marks them. The caller tells the outcome with
-// OnRemoved or OnKept.
-func (r *Cache) StartFreeing(now time.Time) []Key {
-	if now.Before(r.freeAfter) {
+// StartFreeing returns the parts to be freed now and marks them. The caller reports the
+// outcome with OnRemoved or OnFreeFailed.
+func (c *Cache) StartFreeing(now time.Time) []Key {
+	if now.Before(c.freeAfter) {
 		return nil
 	}
 	var out []Key
-	for _, p := range r.parts {
-		if p.state == saving && now.Sub(p.since) > 2*saveWithin {
-			out = append(out, r.mark(now, p)) // it broke off and keeps its room
+	for _, p := range c.parts {
+		if p.state == saving && now.Sub(p.since) > 2*saveTimeout {
+			out = append(out, c.markFreeing(now, p)) // the save was interrupted and still occupies space
 		}
 	}
-	if r.taken <= int(fullAt*float64(r.p.CapacityTokens)) {
+	if c.usedTokens <= int(highWatermark*float64(c.params.CapacityTokens)) {
 		return out
 	}
-	left := r.taken
-	for _, p := range r.unwanted(now) {
-		if left <= int(freeTo*float64(r.p.CapacityTokens)) {
+	remaining := c.usedTokens
+	for _, p := range c.freeable(now) {
+		if remaining <= int(lowWatermark*float64(c.params.CapacityTokens)) {
 			break
 		}
-		left -= roundUp(p.tokens)
-		out = append(out, r.mark(now, p))
+		remaining -= roundUp(p.tokens)
+		out = append(out, c.markFreeing(now, p))
 	}
 	return out
 }
 
-func (r *Cache) mark(now time.Time, p *part) Key {
+func (c *Cache) markFreeing(now time.Time, p *part) Key {
 	p.state, p.since = freeing, now
 	return p.key
 }
 
-// OnFreeFailed is told that parts could not be freed for sure. They are neither fetched nor
-// written until a list tells whether the store still has them.
-func (r *Cache) OnFreeFailed(now time.Time, keys []Key) {
+// OnFreeFailed records that parts may not have been freed. They are neither fetched nor
+// written until a list shows whether the store still has them.
+func (c *Cache) OnFreeFailed(now time.Time, keys []Key) {
 	for _, key := range keys {
-		if p, known := r.parts[key]; known {
+		if p, known := c.parts[key]; known {
 			p.state, p.since, p.claim = saving, now, 0
 		}
 	}
 }
 
-// OnList takes the store's whole content: what is whole, and what is written or broke off.
-// What was asked to be saved a moment ago may be on neither list yet.
-func (r *Cache) OnList(now time.Time, whole, partial []PartRequest) {
+// OnList applies a complete list of the store: its complete parts, and those that are being
+// written or were interrupted. A save permitted a moment ago may be in neither list yet.
+func (c *Cache) OnList(now time.Time, complete, partial []PartRequest) {
 	listed := map[Key]bool{}
-	for _, a := range whole {
+	for _, a := range complete {
 		listed[a.Key] = true
-		if p, known := r.parts[a.Key]; known && p.state == freeing {
+		if p, known := c.parts[a.Key]; known && p.state == freeing {
 			continue
 		}
-		r.OnStored(now, a.Key, a.Tokens, a.Weights)
+		c.OnStored(now, a.Key, a.Tokens, a.Weights)
 	}
 	for _, a := range partial {
 		listed[a.Key] = true
-		if _, known := r.parts[a.Key]; !known {
-			r.add(now, a, saving)
+		if _, known := c.parts[a.Key]; !known {
+			c.add(now, a, saving)
 		}
 	}
-	for key, p := range r.parts {
-		if !listed[key] && now.Sub(p.since) > saveWithin {
-			r.remove(p)
+	for key, p := range c.parts {
+		if !listed[key] && now.Sub(p.since) > saveTimeout {
+			c.remove(p)
 		}
 	}
 }
 
-// NeedsListing reports whether saves are missing for so long that the store should be listed:
-// their events were lost, or they broke off and keep room.
-func (r *Cache) NeedsListing(now time.Time) bool {
-	for _, p := range r.parts {
-		if p.state == saving && now.Sub(p.since) > saveWithin {
+// NeedsListing reports whether a save has been unconfirmed for so long that the store should
+// be listed. Its event was lost, or the save was interrupted and still occupies space.
+func (c *Cache) NeedsListing(now time.Time) bool {
+	for _, p := range c.parts {
+		if p.state == saving && now.Sub(p.since) > saveTimeout {
 			return true
 		}
 	}
--- a/internal/policy/storecache/storecache.go
+++ b/internal/policy/storecache/storecache.go
@@ -1,17 +1,17 @@
-// Package storecache decides what one context store keeps, who may fetch from it and when
-// parts are freed.
+// Package storecache tracks the content of one context store. It decides which parts the
+// store caches, which requests may fetch them and when parts are freed.
 //
-// A store does not know who reads from it, and frees what it is told to free at once. A
-// request that fetches a part while it is written or freed would run on memory that is
-// not its prompt's. So one daemon at a time keeps the store's room, and three things hold:
+// A store does not track its readers and frees a part as soon as it is asked to. A request
+// that fetches a part while the part is written or freed would run on memory that does not
+// belong to its prompt. Therefore one daemon at a time owns the store, and three rules hold:
 //
-//   - a part may be fetched only once the store has told that it is whole;
-//   - leave to fetch ends at a time that the replica checks, and a part is freed only when
-//     all leave for it has ended, also that of a keeper whose lease ran out;
-//   - a part is written only where nobody can hold leave from before: not until all leave
-//     has ended after the store was found empty or another daemon kept it.
+//   - A part may be fetched only after the store has reported it as complete.
+//   - A read permit ends at a time that the replica checks. A part is freed only after all
+//     permits for it have expired, including those of an owner whose lease expired.
+//   - A part is written only where no earlier permit can still be valid. After the store was
+//     found empty, or was owned by another daemon, writes wait until all permits have expired.
 //
-// The package is pure: it holds no clock, I/O, goroutine or randomness. A Room is not safe
+// The package is pure: it uses no clock, I/O, goroutine or randomness. A Cache is not safe
 // for concurrent use.
 package storecache
 
@@ -20,341 +20,348 @@
 )
 
 const (
-	// ReadPermitTTL is how long leave to fetch lasts. A replica does not start a transfer that
-	// would wait for more than two seconds. Shorter leave lets slow fetches go and computes
-	// their prompts, which costs the replicas more than the wait.
+	// ReadPermitTTL is how long a permit to fetch a part is valid. A replica does not start a
+	// transfer that would wait for more than two seconds. With a shorter permit slow fetches
+	// are abandoned and their prompts computed, which costs the replicas more than the wait.
 	ReadPermitTTL = 2500 * time.Millisecond
-	// leaveSlack covers what the keeper does not know of the replicas' clock.
-	leaveSlack = 300 * time.Millisecond
-	// ReadOnlyGrace is how long a keeper that lost its lease may go on to give leave to fetch
-	// what it knows to be whole. An outage of the key-value service ends all leases and
-	// lets nobody take one: without this all prompts are computed until it is over. The
-	// next keeper frees nothing for as long. Outages last some seconds.
+	// permitSlack covers the error of the owner's estimate of the replicas' clock.
+	permitSlack = 300 * time.Millisecond
+	// ReadOnlyGrace is how long an owner whose lease expired may continue to grant read permits
+	// for parts that it knows to be complete. An outage of the key-value service expires all
+	// leases and prevents new ones; without the grace period all prompts would be computed
+	// until the outage ends. Outages last a few seconds. The next owner frees nothing for the
+	// same time.
 	ReadOnlyGrace = 8 * time.Second
-	// readerLag is how late such a keeper may notice that the store came back empty.
-	readerLag = 2 * time.Second
-	// saveWithin is how long a save may take before it counts as lost. A large prompt
-	// takes 50 ms on an idle link.
-	saveWithin = 4 * time.Second
-	// keepFor is how long a part is kept for its return at least: sooner than this most
-	// come back, and freeing one for another gains nothing.
-	keepFor = 20 * time.Second
-	// maxQueue is the longest queue of the store's link at which a fetch is worth it.
-	// Callers wait 600 ms at most for first words, and computing a prompt takes 100 to
+	// restartNoticeDelay is the longest delay after which such an owner notices that the store
+	// restarted empty.
+	restartNoticeDelay = 2 * time.Second
+	// saveTimeout is how long a save may take before it counts as lost. A large prompt takes
+	// 50 ms on an idle link.
+	saveTimeout = 4 * time.Second
+	// minRetention is the shortest time for which an unused part is cached. Most parts are
+	// requested again within it, so that freeing one earlier to make space gains nothing.
+	minRetention = 20 * time.Second
+	// maxFetchQueue is the longest queue of the store's link at which a fetch is worthwhile.
+	// Callers wait at most 600 ms for the first token, and computing a prompt takes 100 to
 	// 200 ms.
-	maxQueue = 250 * time.Millisecond
-	// maxSaveQueue is the longest queue at which a part is saved. Saves give way: one takes
-	// the link for as long as a fetch, which is of use now, and a save that would wait for
-	// over two seconds is lost and keeps its part from being saved for 4 s. Where links were
-	// full it cut the tokens of shared parts that were computed again by an eighth.
+	maxFetchQueue = 250 * time.Millisecond
+	// maxSaveQueue is the longest queue at which a part is saved. Fetches take priority: a save
+	// occupies the link for as long as a fetch, but only a fetch has an immediate benefit. A
+	// save that would wait for over two seconds is lost and blocks another save of its part for
+	// 4 s. On saturated links this limit cut the recomputed tokens of shared parts by an eighth.
 	maxSaveQueue = 100 * time.Millisecond
-	// fullAt and freeTo are the shares of the room at which freeing begins and ends. The
-	// gap takes the saves of the time that freeing needs.
-	fullAt = 0.94
-	freeTo = 0.90
-	// MinProcessAge is longer than any leave lasts from when a store's process was seen first:
-	// a keeper that was cut off may notice late that the process is another one.
-	MinProcessAge = readerLag + ReadPermitTTL + leaveSlack
-	// block is the number of tokens by which a store gives room.
-	block = 16
+	// highWatermark and lowWatermark are the shares of the capacity at which freeing begins and
+	// ends. The gap above highWatermark holds the saves that arrive while parts are freed.
+	highWatermark = 0.94
+	lowWatermark  = 0.90
+	// MinProcessAge exceeds the lifetime of every permit granted before the store's process was
+	// first seen. An owner behind a network partition may notice a restart late.
+	MinProcessAge = restartNoticeDelay + ReadPermitTTL + permitSlack
+	// blockTokens is the number of tokens per unit of space that a store allocates.
+	blockTokens = 16
 )
 
-// Key names a part in the store.
+// Key identifies a part in the store.
 type Key struct{ Salt, ID string }
 
-// PartRequest is what a request wants of one part.
+// PartRequest describes one part of a prompt that a request wants to use.
 type PartRequest struct {
 	Key
 	Tokens  int
-	Weights uint64 // the version of the weights that made it
-	// Resident is set if the replica has the part, as far as is known. The link's time
-	// is then not counted.
+	Weights uint64 // version of the weights that computed the part
+	// Resident is set if the replica is assumed to have the part in memory. The transfer is then
+	// not counted on the link.
 	Resident bool
-	// Last is set for the last part of a prompt. It may be the request's own and never
-	// come again, so it is saved only when it is asked for a second time.
+	// Last is set for the last part of a prompt. It may be unique to the request, so it is saved
+	// only when it is requested a second time.
 	Last bool
-	// ReadOnly is set where this keeper holds no lease: nothing may be written.
+	// ReadOnly is set if the owner holds no valid lease. Nothing may be written then.
 	ReadOnly bool
 }
 
-// Reason says what decided on a part.
+// Reason is the reason for a Decision.
 type Reason string
 
-// The reasons of Answer.
+// The reasons of a Decision.
 const (
-	ReasonCached       Reason = "held"   // it may be fetched
-	ReasonQueue        Reason = "queue"  // the link has too much to do
-	ReasonSaving       Reason = "saving" // it is being written
-	ReasonUnconfirmed  Reason = "unsure" // leave from before may still be used
-	ReasonOldWeights   Reason = "old"    // of weights that were replaced: it would be mixed when whole
-	ReasonFirstRequest Reason = "once"   // a last part that was not asked for before
-	ReasonFull         Reason = "full"   // no room without freeing what is wanted
-	ReasonSave         Reason = "save"   // it is to be saved
+	ReasonCached       Reason = "held"   // the part may be fetched
+	ReasonQueue        Reason = "queue"  // the link's queue is too long
+	ReasonSaving       Reason = "saving" // the part is being written
+	ReasonUnconfirmed  Reason = "unsure" // earlier permits may still be valid
+	ReasonOldWeights   Reason = "old"    // the weights were replaced; the part would count as mixed once complete
+	ReasonFirstRequest Reason = "once"   // a last part that was not requested before
+	ReasonFull         Reason = "full"   // no space without freeing parts that are still wanted
+	ReasonSave         Reason = "save"   // the request is to save the part
 )
 
-// Decision says what may be done with a part.
+// Decision states what a request may do with a part.
 type Decision struct {
 	Reason    Reason
 	Fetch     bool
 	Save      bool
-	FetchTime time.Duration // of a fetch, the queue included
-	QueueTime time.Duration // of the link, before the fetch
-	Claim     int64         // names the transfer that is counted on the link; zero: none is
-	// Full says that the store would have to free parts that are still wanted.
+	FetchTime time.Duration // duration of a fetch, including its time in the queue
+	QueueTime time.Duration // time that the fetch waits for the link
+	Claim     int64         // identifies the transfer that is reserved on the link; zero if there is none
+	// Full is set if the store would have to free parts that are still wanted.
 	Full bool
 }
 
-type state int
+type partState int
 
 const (
-	saving  state = iota // leave to save was given; nothing was heard of it
-	held                 // whole
-	freeing              // the store was told to free it, or will be
+	saving   partState = iota // a save was permitted; the store has not confirmed it
+	complete                  // the store confirmed the part
+	freeing                   // the store was asked to free the part, or will be
 )
 
 type part struct {
-	key     Key
-	tokens  int
-	weights uint64
-	state   state
-	since   time.Time // of the state
-	used    time.Time
-	leave   time.Time // until when some replica may fetch it
-	claim   int64     // of the save that was allowed; zero: nobody may give it back
-	// mixed is set if it became whole when newer weights were known already.
-	mixed bool
+	key         Key
+	tokens      int
+	weights     uint64
+	state       partState
+	since       time.Time // time of the last state change
+	lastUsed    time.Time
+	permitUntil time.Time // end of the last read permit
+	claim       int64     // of the permitted save; zero if no request can release it
+	// mixedWeights is set if the part became complete after newer weights were known.
+	mixedWeights bool
 }
 
-// Params describe a store.
+// Params describes a store.
 type Params struct {
-	CapacityTokens int // room
+	CapacityTokens int // size of the store
 	TokensPerSec   float64
 	FirstByte      time.Duration
-	// PreviousLeaseExpired is set if another keeper's lease ran out. It may give leave for ReadOnFor.
+	// PreviousLeaseExpired is set if the lease of another owner expired. That owner may grant
+	// read permits for ReadOnlyGrace.
 	PreviousLeaseExpired bool
 }
 
-// Cache is what is known of one store.
+// Cache is the assumed content of one store.
 type Cache struct {
-	p         Params
-	parts     map[Key]*part
-	taken     int
-	newest    uint64            // version of weights seen in asks
-	seen      map[Key]time.Time // last parts that were asked for once
-	seenSwept time.Time
-	link      *link
-	lastLeave time.Time
-	saveAfter time.Time
-	freeAfter time.Time // another keeper's leave may last until then
-	readers   time.Time // until when another keeper may give leave
+	params          Params
+	parts           map[Key]*part
+	usedTokens      int
+	newestWeights   uint64            // newest weight version in any request
+	lastPartSeen    map[Key]time.Time // time of the last request for each last part
+	seenSweptAt     time.Time
+	link            *link
+	lastPermitUntil time.Time
+	saveAfter       time.Time
+	freeAfter       time.Time // permits of another owner may be valid until then
+	otherOwnerUntil time.Time // another owner may grant permits until then
 }
 
-// New returns the room of a store whose content is not known yet. Another daemon may have
-// given leave until now, or goes on to for a while if its lease ran out.
+// New returns the cache of a store whose content is not known yet. Another daemon may have
+// granted permits until now, or may continue to do so for ReadOnlyGrace if its lease expired.
 func New(now time.Time, p Params) *Cache {
-	r := &Cache{p: p, parts: map[Key]*part{}, seen: map[Key]time.Time{}, seenSwept: now, link: newLink(now, p.TokensPerSec), readers: now}
+	c := &Cache{params: p, parts: map[Key]*part{}, lastPartSeen: map[Key]time.Time{}, seenSweptAt: now, link: newLink(now, p.TokensPerSec), otherOwnerUntil: now}
 	if p.PreviousLeaseExpired {
-		r.readers = now.Add(ReadOnlyGrace)
+		c.otherOwnerUntil = now.Add(ReadOnlyGrace)
 	}
-	r.saveAfter = now.Add(ReadPermitTTL + leaveSlack)
-	r.freeAfter = r.readers.Add(ReadPermitTTL + leaveSlack)
-	return r
+	c.saveAfter = now.Add(ReadPermitTTL + permitSlack)
+	c.freeAfter = c.otherOwnerUntil.Add(ReadPermitTTL + permitSlack)
+	return c
 }
 
-// Reset is told that the store came back empty.
-func (r *Cache) Reset(now time.Time) {
-	clear(r.parts)
-	r.taken = 0
-	r.link.reset(now)
-	r.noSaveBefore(r.lastLeave.Add(leaveSlack))
-	if now.Before(r.readers) {
-		r.noSaveBefore(now.Add(readerLag + ReadPermitTTL + leaveSlack))
+// Reset records that the store restarted empty.
+func (c *Cache) Reset(now time.Time) {
+	clear(c.parts)
+	c.usedTokens = 0
+	c.link.reset(now)
+	c.delaySavesUntil(c.lastPermitUntil.Add(permitSlack))
+	if now.Before(c.otherOwnerUntil) {
+		c.delaySavesUntil(now.Add(restartNoticeDelay + ReadPermitTTL + permitSlack))
 	}
 }
 
-// OnSameProcess is told that the store has not restarted since any leave was given that may
-// still be in use. Nothing that somebody may fetch is missing then, so that saves need not
+// OnSameProcess records that the store has not restarted since the first permit that may
+// still be valid was granted. No part with a valid permit can be missing, so saves need not
 // wait.
-func (r *Cache) OnSameProcess(now time.Time) { r.saveAfter = now }
+func (c *Cache) OnSameProcess(now time.Time) { c.saveAfter = now }
 
-// OtherOwnerUntil returns until when another keeper may give leave, as far as is known.
-func (r *Cache) OtherOwnerUntil() time.Time { return r.readers }
+// OtherOwnerUntil returns the latest time at which another owner is assumed to grant permits.
+func (c *Cache) OtherOwnerUntil() time.Time { return c.otherOwnerUntil }
 
-// OnOtherOwner is told until when another keeper may give leave.
-func (r *Cache) OnOtherOwner(until time.Time) {
-	if until.After(r.readers) {
-		r.readers = until
-		r.freeAfter = until.Add(ReadPermitTTL + leaveSlack)
+// OnOtherOwner records until when another owner may grant permits.
+func (c *Cache) OnOtherOwner(until time.Time) {
+	if until.After(c.otherOwnerUntil) {
+		c.otherOwnerUntil = until
+		c.freeAfter = until.Add(ReadPermitTTL + permitSlack)
 	}
 }
 
-func (r *Cache) noSaveBefore(t time.Time) {
-	if t.After(r.saveAfter) {
-		r.saveAfter = t
+func (c *Cache) delaySavesUntil(t time.Time) {
+	if t.After(c.saveAfter) {
+		c.saveAfter = t
 	}
 }
 
-// QueueTime returns the link's queue.
-func (r *Cache) QueueTime(now time.Time) time.Duration { return r.link.queue(now) }
+// QueueTime returns how long a new transfer would wait for the link.
+func (c *Cache) QueueTime(now time.Time) time.Duration { return c.link.queueTime(now) }
 
-// UsedTokens returns the tokens of room that are taken or promised.
-func (r *Cache) UsedTokens() int { return r.taken }
+// UsedTokens returns the space in tokens that is occupied or reserved.
+func (c *Cache) UsedTokens() int { return c.usedTokens }
 
-// CompleteParts returns the number of parts that are whole.
-func (r *Cache) CompleteParts() int {
+// CompleteParts returns the number of complete parts.
+func (c *Cache) CompleteParts() int {
 	n := 0
-	for _, p := range r.parts {
-		if p.state == held {
+	for _, p := range c.parts {
+		if p.state == complete {
 			n++
 		}
 	}
 	return n
 }
 
-// Decide decides on one part. Leave to fetch lasts until now plus LeaveFor.
-func (r *Cache) Decide(now time.Time, a PartRequest) Decision {
-	r.newest = max(r.newest, a.Weights)
-	r.link.recover(now)
-	p, known := r.parts[a.Key]
+// Decide decides what a request may do with one part. A read permit is valid for
+// ReadPermitTTL from now.
+func (c *Cache) Decide(now time.Time, a PartRequest) Decision {
+	c.newestWeights = max(c.newestWeights, a.Weights)
+	c.link.decaySlowness(now)
+	p, known := c.parts[a.Key]
 	switch {
-	case known && p.state == held && !p.mixed:
-		return r.fetch(now, p, a)
+	case known && p.state == complete && !p.mixedWeights:
+		return c.decideFetch(now, p, a)
 	case known:
 		return Decision{Reason: ReasonSaving}
-	case now.Before(r.saveAfter) || a.ReadOnly:
+	case now.Before(c.saveAfter) || a.ReadOnly:
 		return Decision{Reason: ReasonUnconfirmed}
-	case a.Weights < r.newest:
+	case a.Weights < c.newestWeights:
 		return Decision{Reason: ReasonOldWeights}
-	case a.Last && !r.seenBefore(now, a.Key):
+	case a.Last && !c.seenBefore(now, a.Key):
 		return Decision{Reason: ReasonFirstRequest}
-	case r.QueueTime(now) > maxSaveQueue:
+	case c.QueueTime(now) > maxSaveQueue:
 		return Decision{Reason: ReasonQueue}
-	case !r.roomFor(now, a.Tokens):
+	case !c.hasSpaceFor(now, a.Tokens):
 		return Decision{Reason: ReasonFull, Full: true}
 	}
-	p = r.add(now, a, saving)
-	p.claim = r.link.use(now, a.Tokens)
+	p = c.add(now, a, saving)
+	p.claim = c.link.reserve(now, a.Tokens)
 	return Decision{Reason: ReasonSave, Save: true, Claim: p.claim}
 }
 
-// Release is told that what Ask allowed is not used: no request was sent with it.
+// Release cancels what Decide permitted, after the request turned out not to use it.
 //
-// A save that nobody makes would keep its part from being saved, and so from being fetched,
-// until it counts as broken off. Its claim tells it from a save that another request was
-// allowed since, and from one that broke off: those may write still.
-func (r *Cache) Release(now time.Time, key Key, claim int64) {
-	r.link.drop(now, claim)
-	if p, known := r.parts[key]; known && claim != 0 && p.state == saving && p.claim == claim {
-		r.remove(p)
+// A save that no request makes would prevent its part from being saved, and so from being
+// fetched, until the save counts as lost. The claim distinguishes the released save from one
+// that was permitted to another request since, and from one that was interrupted: both may
+// still be writing.
+func (c *Cache) Release(now time.Time, key Key, claim int64) {
+	c.link.cancel(now, claim)
+	if p, known := c.parts[key]; known && claim != 0 && p.state == saving && p.claim == claim {
+		c.remove(p)
 	}
 }
 
-// seenBefore notes a last part and reports whether it was asked for before, within the
-// time in which it is likely to return.
-func (r *Cache) seenBefore(now time.Time, key Key) bool {
-	if now.Sub(r.seenSwept) > keepFor {
-		r.seenSwept = now
-		for k, at := range r.seen {
-			if now.Sub(at) > keepFor {
-				delete(r.seen, k)
+// seenBefore records a request for a last part. It reports whether the part was requested
+// before, within the time in which it is likely to be used again.
+func (c *Cache) seenBefore(now time.Time, key Key) bool {
+	if now.Sub(c.seenSweptAt) > minRetention {
+		c.seenSweptAt = now
+		for k, at := range c.lastPartSeen {
+			if now.Sub(at) > minRetention {
+				delete(c.lastPartSeen, k)
 			}
 		}
 	}
-	at, known := r.seen[key]
-	r.seen[key] = now
-	return known && now.Sub(at) <= keepFor
+	at, known := c.lastPartSeen[key]
+	c.lastPartSeen[key] = now
+	return known && now.Sub(at) <= minRetention
 }
 
-func (r *Cache) fetch(now time.Time, p *part, a PartRequest) Decision {
-	queue := r.QueueTime(now)
-	p.used = now
-	if !a.Resident && queue > maxQueue {
+func (c *Cache) decideFetch(now time.Time, p *part, a PartRequest) Decision {
+	queue := c.QueueTime(now)
+	p.lastUsed = now
+	if !a.Resident && queue > maxFetchQueue {
 		return Decision{Reason: ReasonQueue}
 	}
-	p.leave = now.Add(ReadPermitTTL)
-	r.lastLeave = p.leave
-	out := Decision{Reason: ReasonCached, Fetch: true, QueueTime: queue, FetchTime: queue + r.p.FirstByte + r.link.transfer(p.tokens)}
+	p.permitUntil = now.Add(ReadPermitTTL)
+	c.lastPermitUntil = p.permitUntil
+	out := Decision{Reason: ReasonCached, Fetch: true, QueueTime: queue, FetchTime: queue + c.params.FirstByte + c.link.transferTime(p.tokens)}
 	if !a.Resident {
-		out.Claim = r.link.use(now, p.tokens)
+		out.Claim = c.link.reserve(now, p.tokens)
 	}
 	return out
 }
 
-// FetchResult is how a fetch went.
+// FetchResult reports the outcome of a fetch.
 type FetchResult struct {
 	Claim int64
-	Took  time.Duration // so far, if it is overdue
-	// Overdue is set if it has not ended, long after it should have.
+	Took  time.Duration // time elapsed until now, if the fetch is overdue
+	// Overdue is set if the fetch has not ended long after its expected time.
 	Overdue bool
-	// Busy is set if the replica had much to do, or fetched from elsewhere as well, which may be
-	// why it took so long.
+	// Busy is set if the replica was loaded or also fetched from another store. Either may
+	// explain a long fetch.
 	Busy bool
 }
 
-// OnFetched is told how a fetch went.
-func (r *Cache) OnFetched(now time.Time, f FetchResult) {
+// OnFetched records the outcome of a fetch.
+func (c *Cache) OnFetched(now time.Time, f FetchResult) {
 	switch {
 	case f.Overdue:
-		r.link.onOverdue(now, f.Claim)
+		c.link.onOverdue(now, f.Claim)
 	case f.Busy:
-		r.link.onEndedLate(now, f.Claim)
+		c.link.onEndedBusy(now, f.Claim)
 	default:
-		r.link.onEnded(now, f.Claim, f.Took)
+		c.link.onEnded(now, f.Claim, f.Took)
 	}
 }
 
-// Slowness returns by how much transfers take longer than the link's speed says.
-func (r *Cache) Slowness() float64 { return r.link.slowness }
+// Slowness returns the factor by which transfers exceed the time that the link's configured
+// speed implies.
+func (c *Cache) Slowness() float64 { return c.link.slowness }
 
-func roundUp(tokens int) int { return (tokens + block - 1) / block * block }
+func roundUp(tokens int) int { return (tokens + blockTokens - 1) / blockTokens * blockTokens }
 
-func (r *Cache) add(now time.Time, a PartRequest, s state) *part {
-	p := &part{key: a.Key, tokens: a.Tokens, weights: a.Weights, state: s, since: now, used: now}
-	r.parts[a.Key] = p
-	r.taken += roundUp(a.Tokens)
+func (c *Cache) add(now time.Time, a PartRequest, s partState) *part {
+	p := &part{key: a.Key, tokens: a.Tokens, weights: a.Weights, state: s, since: now, lastUsed: now}
+	c.parts[a.Key] = p
+	c.usedTokens += roundUp(a.Tokens)
 	return p
 }
 
-func (r *Cache) remove(p *part) {
-	if r.parts[p.key] != p {
+func (c *Cache) remove(p *part) {
+	if c.parts[p.key] != p {
 		return
 	}
-	delete(r.parts, p.key)
-	r.taken -= roundUp(p.tokens)
+	delete(c.parts, p.key)
+	c.usedTokens -= roundUp(p.tokens)
 }
 
-// roomFor reports whether a part fits. While freeing is under way the store's room may be
-// short for a moment; a save is then not tried.
-func (r *Cache) roomFor(now time.Time, tokens int) bool {
-	if r.taken+roundUp(tokens) <= int(fullAt*float64(r.p.CapacityTokens)) {
+// hasSpaceFor reports whether a part fits. The store may briefly lack space while parts are
+// freed; a save is not attempted then.
+func (c *Cache) hasSpaceFor(now time.Time, tokens int) bool {
+	if c.usedTokens+roundUp(tokens) <= int(highWatermark*float64(c.params.CapacityTokens)) {
 		return true
 	}
-	return r.taken+roundUp(tokens) <= r.p.CapacityTokens && len(r.unwanted(now)) > 0
+	return c.usedTokens+roundUp(tokens) <= c.params.CapacityTokens && len(c.freeable(now)) > 0
 }
 
-// OnStored is told by the store that a part is whole. weights is what the salt says.
+// OnStored records the store's report that a part is complete. weights is the version that
+// the part's salt encodes.
 //
-// A run may go on while its replica changes weights. Were it put back and read again then,
-// its prompt would be saved under the name of the old weights and made by the new ones, and
-// a request on the old ones would run on it. A part of old weights that becomes whole when
-// newer ones are known is therefore never given out; old weights are used for some seconds
-// more at most.
-func (r *Cache) OnStored(now time.Time, key Key, tokens int, weights uint64) {
-	p, known := r.parts[key]
+// A run may continue while its replica changes weights. If the run is preempted and its
+// prompt computed again at that time, the prompt is saved under the salt of the old weights
+// although the new ones computed it, and a request on the old weights would use it.
+// Therefore a part of old weights that becomes complete after newer ones are known is never
+// fetched. Old weights remain in use for a few more seconds at most.
+func (c *Cache) OnStored(now time.Time, key Key, tokens int, weights uint64) {
+	p, known := c.parts[key]
 	if !known {
-		r.add(now, PartRequest{Key: key, Tokens: tokens, Weights: weights}, held).mixed = weights < r.newest
+		c.add(now, PartRequest{Key: key, Tokens: tokens, Weights: weights}, complete).mixedWeights = weights < c.newestWeights
 		return
 	}
 	if p.state == saving {
-		r.taken += roundUp(tokens) - roundUp(p.tokens)
-		p.tokens, p.state, p.since, p.mixed = tokens, held, now, p.weights < r.newest
+		c.usedTokens += roundUp(tokens) - roundUp(p.tokens)
+		p.tokens, p.state, p.since, p.mixedWeights = tokens, complete, now, p.weights < c.newestWeights
 	}
 }
 
-// OnRemoved is told by the store that a part is gone. A part that is being written now
-// was gone before: the word of it came late.
-func (r *Cache) OnRemoved(key Key) {
-	if p, known := r.parts[key]; known && p.state != saving {
-		r.remove(p)
+// OnRemoved records the store's report that a part was removed. A report about a part that is
+// being written refers to an earlier copy and arrived late.
+func (c *Cache) OnRemoved(key Key) {
+	if p, known := c.parts[key]; known && p.state != saving {
+		c.remove(p)
 	}
 }
