--- a/internal/contextstore/client.go
+++ b/internal/contextstore/client.go
@@ -21,65 +21,65 @@
 )
 
 const (
-	// askTimeout is the longest that a request waits for a keeper. A question takes 4 ms
-	// between failure domains; a prompt is computed in 100 to 200.
-	askTimeout = 60 * time.Millisecond
-	// tellTimeout bounds telling a keeper what no request waits for. One that does not hear of
-	// a save that is not made takes it for broken off some seconds later.
-	tellTimeout = 500 * time.Millisecond
-	// deafFor is how long a keeper that did not answer is not asked.
-	deafFor = 700 * time.Millisecond
-	// lostFor is how long a store counts as kept by nobody after its keeper said so.
-	lostFor = time.Second
-	// fullFor is how long a store counts as full after its keeper said so.
-	fullFor = 3 * time.Second
-	// smallShare is the part of a store's room that one part of a prompt may take for
-	// the store to be chosen by its speed. Larger ones go where the room is.
-	smallShare = 0.01
+	// claimTimeout is how long a request waits for an owner. A call between failure domains
+	// takes 4 ms, and computing a prompt 100 to 200 ms.
+	claimTimeout = 60 * time.Millisecond
+	// notifyTimeout bounds calls to an owner that no request waits for. An owner that misses the
+	// release of an unused save treats the save as interrupted some seconds later.
+	notifyTimeout = 500 * time.Millisecond
+	// unreachableBackoff is how long an owner that did not respond is not called.
+	unreachableBackoff = 700 * time.Millisecond
+	// disownedTTL is how long a store counts as unowned after its owner disowned it.
+	disownedTTL = time.Second
+	// fullTTL is how long a store counts as full after its owner reported so.
+	fullTTL = 3 * time.Second
+	// smallPartShare is the share of a store's capacity up to which a part is small. The store
+	// of a small part is chosen by speed, that of a larger one by capacity.
+	smallPartShare = 0.01
 )
 
-// ClientOptions are the options of NewAsker.
+// ClientOptions configures a Client.
 type ClientOptions struct {
-	Follower *mirror.Follower // of the key-value service; its owner runs it
+	Follower *mirror.Follower // of the key-value service; the caller runs it
 	Self     request.DaemonID
-	Local    *Owner // asked without a call
+	Local    *Owner // called directly
 	Stores   func() []*routing.Service
 	Client   *http.Client
 	Logger   hclog.Logger
 }
 
-// Client finds the keeper of each part's store and asks it. It implements placer.Stores.
+// Client finds the owner of each part's store and calls it. It implements placer.Stores.
 type Client struct {
-	o      ClientOptions
+	opts   ClientOptions
 	mirror *mirror.Mirror
 
-	holders atomic.Pointer[map[string]lease.Holder]
-	mu      sync.Mutex
-	keepers map[string]Keeper // by address
-	deaf    map[string]time.Time
-	full    map[string]time.Time // by store
-	lost    map[string]time.Time // by store: when its keeper said that it does not keep it
+	holders          atomic.Pointer[map[string]lease.Holder]
+	mu               sync.Mutex
+	owners           map[string]Keeper // by address
+	unreachableUntil map[string]time.Time
+	fullReportedAt   map[string]time.Time // by store
+	disownedAt       map[string]time.Time // by store: when its owner reported that it does not own it
 }
 
-// NewClient returns an asker that knows no keeper yet.
+// NewClient returns a Client that knows no owner yet.
 func NewClient(o ClientOptions) *Client {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
 	o.Logger = o.Logger.Named("contextstore")
-	a := &Client{o: o, keepers: map[string]Keeper{}, deaf: map[string]time.Time{}, full: map[string]time.Time{}, lost: map[string]time.Time{}}
-	a.holders.Store(&map[string]lease.Holder{})
-	a.mirror = o.Follower.Mirror(lease.RecordPrefix+LeasePrefix, a.apply)
-	return a
+	c := &Client{opts: o, owners: map[string]Keeper{}, unreachableUntil: map[string]time.Time{}, fullReportedAt: map[string]time.Time{}, disownedAt: map[string]time.Time{}}
+	c.holders.Store(&map[string]lease.Holder{})
+	c.mirror = o.Follower.Mirror(lease.RecordPrefix+LeasePrefix, c.apply)
+	return c
 }
 
-// Mirror returns the mirror of the entries, whose copies peers may ask for.
-func (a *Client) Mirror() *mirror.Mirror { return a.mirror }
+// Mirror returns the mirror of the store leases, which peers may copy.
+func (c *Client) Mirror() *mirror.Mirror { return c.mirror }
 
-func (a *Client) apply(u mirror.Update) {
+func (c *Client) apply(u mirror.Update) {
 	next := map[string]lease.Holder{}
 	if !u.Full {
-		for store, h := range *a.holders.Load() {
+		for store, h := range *c.holders.Load() {
 			next[store] = h
 		}
 	}
@@ -87,110 +87,110 @@
 		store := strings.TrimPrefix(e.Key, lease.RecordPrefix+LeasePrefix)
 		h, err := lease.HolderIn(e)
 		if err != nil {
-			a.o.Logger.Error("A lease can not be read", "key", e.Key, "error", err)
+			c.opts.Logger.Error("Failed to decode a store lease", "key", e.Key, "error", err)
 			continue
 		}
 		next[store] = h
 	}
-	a.holders.Store(&next)
+	c.holders.Store(&next)
 }
 
-// question is what one keeper is asked.
-type question struct {
-	holder  lease.Holder
-	request *ClaimRequest
-	at      []int // part of the prompt for each part of the request
-	stores  []*routing.Service
+// ownerClaim is a claim request to one owner.
+type ownerClaim struct {
+	holder    lease.Holder
+	request   *ClaimRequest
+	positions []int // index in the prompt of each part of the request
+	stores    []*routing.Service
 }
 
 // Ask implements placer.Stores.
-func (a *Client) Ask(ctx context.Context, salt string, parts []relay.Part, resident []bool) ([]placer.Stored, int64) {
+func (c *Client) Ask(ctx context.Context, salt string, parts []relay.Part, resident []bool) ([]placer.Stored, int64) {
 	out := make([]placer.Stored, len(parts))
-	questions := a.questions(salt, parts, resident)
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	claims := c.claimsByOwner(salt, parts, resident)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	answers := make([]*ClaimResponse, len(questions))
+	answers := make([]*ClaimResponse, len(claims))
 	var wg sync.WaitGroup
-	for i, q := range questions {
+	for i, q := range claims {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			answers[i] = a.put(ctx, q)
+			answers[i] = c.claim(ctx, q)
 		}()
 	}
 	wg.Wait()
 	until := int64(0)
 	unused := make([]placer.Stored, len(parts))
-	for i, q := range questions {
-		if answers[i] == nil || len(answers[i].Parts) != len(q.at) {
+	for i, q := range claims {
+		if answers[i] == nil || len(answers[i].Parts) != len(q.positions) {
 			continue
 		}
-		if leave := answers[i].LeaveUntilMs; leave > 0 && (until == 0 || leave < until) {
-			until = leave
+		if permitUntil := answers[i].LeaveUntilMs; permitUntil > 0 && (until == 0 || permitUntil < until) {
+			until = permitUntil
 		}
-		a.merge(out, unused, q, answers[i])
+		c.merge(out, unused, q, answers[i])
 	}
-	a.Release(salt, parts, unused)
+	c.Release(salt, parts, unused)
 	return out, until
 }
 
-// merge notes what a keeper answered, part by part, and what is not used of it. A part may be
-// asked for at two stores; what can be fetched goes before what can be saved.
-func (a *Client) merge(out, unused []placer.Stored, q *question, r *ClaimResponse) {
+// merge collects an owner's answers per part, and what is not used of them. A part may be
+// requested from two stores; a fetch takes precedence over a save.
+func (c *Client) merge(out, unused []placer.Stored, q *ownerClaim, r *ClaimResponse) {
 	for i, answer := range r.Parts {
 		store := q.stores[i]
-		a.note(string(store.ID), answer)
+		c.recordStatus(string(store.ID), answer)
 		if !answer.Fetch && !answer.Save {
 			continue
 		}
-		at := q.at[i]
+		position := q.positions[i]
 		got := placer.Stored{
 			Store: store.ID, Address: store.Store.Address, FailureDomain: store.Store.FailureDomain,
 			Fetch: answer.Fetch, Save: answer.Save && !answer.Fetch,
 			Takes: time.Duration(answer.TakesUs) * time.Microsecond,
 			Queue: time.Duration(answer.QueueUs) * time.Microsecond, Claim: answer.Claim,
 		}
-		if out[at].Fetch || out[at].Save && !got.Fetch {
-			unused[at] = got
+		if out[position].Fetch || out[position].Save && !got.Fetch {
+			unused[position] = got
 			continue
 		}
-		if out[at].Save {
-			unused[at] = out[at]
+		if out[position].Save {
+			unused[position] = out[position]
 		}
-		out[at] = got
+		out[position] = got
 	}
 }
 
-// note remembers what an answer says of the store itself.
-func (a *Client) note(store string, answer *PartAnswer) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// recordStatus records what an answer reports about the store itself.
+func (c *Client) recordStatus(store string, answer *PartAnswer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if answer.Full {
-		a.full[store] = time.Now()
+		c.fullReportedAt[store] = time.Now()
 	}
 	if answer.NotKept {
-		a.lost[store] = time.Now()
+		c.disownedAt[store] = time.Now()
 	}
 }
 
-// questions sorts the parts by the keepers of their stores.
-func (a *Client) questions(salt string, parts []relay.Part, resident []bool) []*question {
-	byKeeper := map[string]*question{}
-	var order []*question
-	stores := a.o.Stores()
+// claimsByOwner groups the parts by the owners of their stores.
+func (c *Client) claimsByOwner(salt string, parts []relay.Part, resident []bool) []*ownerClaim {
+	byOwner := map[string]*ownerClaim{}
+	var order []*ownerClaim
+	stores := c.opts.Stores()
 	for i, p := range parts {
-		for _, store := range a.storesFor(stores, p) {
-			h, listens := a.holder(store.ID)
-			if !listens {
+		for _, store := range c.storesFor(stores, p) {
+			h, reachable := c.holder(store.ID)
+			if !reachable {
 				continue
 			}
-			q := byKeeper[h.Address]
+			q := byOwner[h.Address]
 			if q == nil {
-				q = &question{holder: h, request: &ClaimRequest{From: string(a.o.Self), Salt: salt, Weights: weightsOf(salt)}}
-				byKeeper[h.Address] = q
+				q = &ownerClaim{holder: h, request: &ClaimRequest{From: string(c.opts.Self), Salt: salt, Weights: weightsOf(salt)}}
+				byOwner[h.Address] = q
 				order = append(order, q)
 			}
-			q.at = append(q.at, i)
+			q.positions = append(q.positions, i)
 			q.stores = append(q.stores, store)
 			q.request.Parts = append(q.request.Parts, &PartAsk{
 				Store: string(store.ID), Id: p.ID, Tokens: int32(p.Tokens), Resident: resident[i], Last: i == len(parts)-1,
@@ -201,48 +201,49 @@
 }
 
 // storesFor returns the store of a part, and a second one while the first is full.
-func (a *Client) storesFor(stores []*routing.Service, p relay.Part) []*routing.Service {
-	first := choose(stores, p, nil)
+func (c *Client) storesFor(stores []*routing.Service, part relay.Part) []*routing.Service {
+	first := chooseStore(stores, part, nil)
 	if first == nil {
 		return nil
 	}
-	a.mu.Lock()
-	full := time.Since(a.full[string(first.ID)]) < fullFor
-	a.mu.Unlock()
+	c.mu.Lock()
+	full := time.Since(c.fullReportedAt[string(first.ID)]) < fullTTL
+	c.mu.Unlock()
 	if !full {
 		return []*routing.Service{first}
 	}
-	if second := choose(stores, p, first); second != nil {
+	if second := chooseStore(stores, part, first); second != nil {
 		return []*routing.Service{first, second}
 	}
 	return []*routing.Service{first}
 }
 
-// choose returns the store of a part by rendezvous hashing among the fastest stores in
-// whose room it is small, or else the roomiest. Stores like the one given are left out.
-func choose(stores []*routing.Service, p relay.Part, but *routing.Service) *routing.Service {
+// chooseStore returns the store of a part by rendezvous hashing. The candidates are the fastest
+// stores for whose capacity the part is small, or else the largest. Stores of the same class as
+// exclude are left out.
+func chooseStore(stores []*routing.Service, part relay.Part, exclude *routing.Service) *routing.Service {
 	var best *routing.Service
 	var bestWeight uint64
 	for _, s := range stores {
-		if !s.Store.Managed || but != nil && alike(s, but) {
+		if !s.Store.Managed || exclude != nil && sameClass(s, exclude) {
 			continue
 		}
-		weight := xxhash.Sum64String(string(s.ID) + "/" + p.ID)
-		if best == nil || better(s, best, p) || alike(s, best) && weight > bestWeight {
+		weight := xxhash.Sum64String(string(s.ID) + "/" + part.ID)
+		if best == nil || preferred(s, best, part) || sameClass(s, best) && weight > bestWeight {
 			best, bestWeight = s, weight
 		}
 	}
 	return best
 }
 
-// alike reports whether two stores have the same speed and room.
-func alike(a, b *routing.Service) bool {
+// sameClass reports whether two stores have the same speed and capacity.
+func sameClass(a, b *routing.Service) bool {
 	return a.Store.LinkMbps == b.Store.LinkMbps && a.Store.Tokens == b.Store.Tokens
 }
 
-func better(a, b *routing.Service, p relay.Part) bool {
-	smallA := float64(p.Tokens) <= smallShare*float64(a.Store.Tokens)
-	smallB := float64(p.Tokens) <= smallShare*float64(b.Store.Tokens)
+func preferred(a, b *routing.Service, part relay.Part) bool {
+	smallA := float64(part.Tokens) <= smallPartShare*float64(a.Store.Tokens)
+	smallB := float64(part.Tokens) <= smallPartShare*float64(b.Store.Tokens)
 	if smallA != smallB {
 		return smallA
 	}
@@ -252,62 +253,61 @@
 	return a.Store.Tokens > b.Store.Tokens
 }
 
-// Fetched implements placer.Stores. The keeper hears of it at once: told with the next question,
-// it heard of a slow link two seconds late.
-func (a *Client) Fetched(store routing.ServiceID, f storecache.FetchResult) {
-	h, listens := a.holder(store)
-	if !listens {
+// Fetched implements placer.Stores. It notifies the owner at once: sent along with the next
+// claim, reports of a slow link reached the owner two seconds late.
+func (c *Client) Fetched(store routing.ServiceID, f storecache.FetchResult) {
+	h, reachable := c.holder(store)
+	if !reachable {
 		return
 	}
 	r := &FetchedRequest{Store: string(store), Claim: f.Claim, TookUs: f.Took.Microseconds(), Overdue: f.Overdue, Busy: f.Busy}
-	go a.tell(h, func(ctx context.Context, k Keeper) error {
+	go c.notify(h, func(ctx context.Context, k Keeper) error {
 		_, err := k.Fetched(ctx, r)
 		return err
 	})
 }
 
-// HasOwner reports whether some daemon keeps a store, as far as is known: it holds the lease
-// and has not been silent, or said that it does not keep the store, a moment ago.
-func (a *Client) HasOwner(store routing.ServiceID) bool {
-	h := (*a.holders.Load())[string(store)]
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// HasOwner reports whether a store has a known and responsive owner: the owner holds the lease,
+// has answered its last call and has not disowned the store recently.
+func (c *Client) HasOwner(store routing.ServiceID) bool {
+	h := (*c.holders.Load())[string(store)]
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	return h.Address != "" && now.After(a.deaf[h.Address]) && now.Sub(a.lost[string(store)]) > lostFor
+	return h.Address != "" && now.After(c.unreachableUntil[h.Address]) && now.Sub(c.disownedAt[string(store)]) > disownedTTL
 }
 
-// LastOwner returns the daemon that kept a store last, as far as is known.
-func (a *Client) LastOwner(store routing.ServiceID) request.DaemonID {
-	return (*a.holders.Load())[string(store)].ID
+// LastOwner returns the last known owner of a store.
+func (c *Client) LastOwner(store routing.ServiceID) request.DaemonID {
+	return (*c.holders.Load())[string(store)].ID
 }
 
-// LeaseEpoch returns the epoch under which a store is kept, as far as is known; zero if nobody
-// ever kept it.
-func (a *Client) LeaseEpoch(store routing.ServiceID) uint64 {
-	return (*a.holders.Load())[string(store)].Epoch
+// LeaseEpoch returns the last known epoch of a store's lease; zero if it was never owned.
+func (c *Client) LeaseEpoch(store routing.ServiceID) uint64 {
+	return (*c.holders.Load())[string(store)].Epoch
 }
 
-// holder returns the keeper of a store, and whether it can be asked now.
-func (a *Client) holder(store routing.ServiceID) (h lease.Holder, listens bool) {
-	h = (*a.holders.Load())[string(store)]
-	return h, h.Address != "" && !a.isDeaf(h.Address)
+// holder returns the owner of a store, and whether it can be called now.
+func (c *Client) holder(store routing.ServiceID) (h lease.Holder, reachable bool) {
+	h = (*c.holders.Load())[string(store)]
+	return h, h.Address != "" && !c.isUnreachable(h.Address)
 }
 
-func (a *Client) isDeaf(address string) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return time.Now().Before(a.deaf[address])
+func (c *Client) isUnreachable(address string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return time.Now().Before(c.unreachableUntil[address])
 }
 
-// Release implements placer.Stores. Nothing waits for the keepers to hear of it.
-func (a *Client) Release(salt string, parts []relay.Part, unused []placer.Stored) {
+// Release implements placer.Stores. It does not wait for the owners.
+func (c *Client) Release(salt string, parts []relay.Part, unused []placer.Stored) {
 	requests := map[lease.Holder]*ReleaseRequest{}
 	for i, u := range unused {
 		if u.Claim == 0 {
 			continue
 		}
-		h, listens := a.holder(u.Store)
-		if !listens {
+		h, reachable := c.holder(u.Store)
+		if !reachable {
 			continue
 		}
 		if requests[h] == nil {
@@ -316,45 +316,45 @@
 		requests[h].Parts = append(requests[h].Parts, &ReleasedPart{Store: string(u.Store), Id: parts[i].ID, Claim: u.Claim})
 	}
 	for h, r := range requests {
-		go a.tell(h, func(ctx context.Context, k Keeper) error {
+		go c.notify(h, func(ctx context.Context, k Keeper) error {
 			_, err := k.Release(ctx, r)
 			return err
 		})
 	}
 }
 
-// tell tells a keeper something that no request waits for.
-func (a *Client) tell(h lease.Holder, call func(context.Context, Keeper) error) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellTimeout)
+// notify sends an owner a message that no request waits for.
+func (c *Client) notify(h lease.Holder, call func(context.Context, Keeper) error) {
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	if err := call(ctx, a.keeper(h)); err != nil {
-		a.o.Logger.Info("A store's keeper can not be told", "keeper", h.ID, "error", err)
+	if err := call(ctx, c.ownerClient(h)); err != nil {
+		c.opts.Logger.Info("Failed to notify a store's owner", "keeper", h.ID, "error", err)
 	}
 }
 
-// put asks one keeper; nil if it does not answer in time.
-func (a *Client) put(ctx context.Context, q *question) *ClaimResponse {
-	answer, err := a.keeper(q.holder).Claim(ctx, q.request)
+// claim sends a claim request to its owner. It returns nil if the owner does not answer in time.
+func (c *Client) claim(ctx context.Context, q *ownerClaim) *ClaimResponse {
+	answer, err := c.ownerClient(q.holder).Claim(ctx, q.request)
 	if err == nil {
 		return answer
 	}
-	a.mu.Lock()
-	a.deaf[q.holder.Address] = time.Now().Add(deafFor)
-	a.mu.Unlock()
-	a.o.Logger.Info("A store's keeper does not answer", "keeper", q.holder.ID, "error", err)
+	c.mu.Lock()
+	c.unreachableUntil[q.holder.Address] = time.Now().Add(unreachableBackoff)
+	c.mu.Unlock()
+	c.opts.Logger.Info("A store's owner did not answer", "keeper", q.holder.ID, "error", err)
 	return nil
 }
 
-func (a *Client) keeper(h lease.Holder) Keeper {
-	if h.ID == a.o.Self {
-		return a.o.Local
+func (c *Client) ownerClient(h lease.Holder) Keeper {
+	if h.ID == c.opts.Self {
+		return c.opts.Local
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	k, ok := a.keepers[h.Address]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	k, ok := c.owners[h.Address]
 	if !ok {
-		k = NewKeeperProtobufClient("http://"+h.Address, a.o.Client)
-		a.keepers[h.Address] = k
+		k = NewKeeperProtobufClient("http://"+h.Address, c.opts.Client)
+		c.owners[h.Address] = k
 	}
 	return k
 }
--- a/internal/contextstore/contextstore_test.go
+++ b/internal/contextstore/contextstore_test.go
@@ -20,7 +20,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
 )
 
-// fakeStore is a context store in memory.
+// fakeStore is an in-memory context store.
 type fakeStore struct {
 	mu     sync.Mutex
 	epoch  uint64
@@ -29,10 +29,10 @@
 	parts  map[storecache.Key]int
 	freed  []storecache.Key
 
-	listTakes time.Duration // how long a list comes over the store's link
+	listTime time.Duration // transfer time of a list over the store's link
 }
 
-// clockAhead is how far the fake store's clock is ahead of this process's, in ms.
+// clockAhead is how far the fake store's clock is ahead of this process's clock, in ms.
 const clockAhead = 1_000_000
 
 func newFakeStore() *fakeStore { return &fakeStore{epoch: 1, parts: map[storecache.Key]int{}} }
@@ -59,9 +59,9 @@
 	s.down = down
 }
 
-// freedByNow gives the keeper time to free what it may, and returns the number of parts freed.
-func (s *fakeStore) freedByNow() int {
-	time.Sleep(3 * keepEvery)
+// freedAfterMaintenance waits for some maintenance rounds and returns the number of parts freed.
+func (s *fakeStore) freedAfterMaintenance() int {
+	time.Sleep(3 * maintainInterval)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.freed)
@@ -74,15 +74,15 @@
 	if s.down {
 		return Content{}, errors.New("down")
 	}
-	c := Content{Epoch: s.epoch, Next: uint64(len(s.events)), ClockMs: time.Now().UnixMilli() + clockAhead}
-	if after <= c.Next {
-		c.Events = append(c.Events, s.events[after:]...)
+	content := Content{Epoch: s.epoch, Next: uint64(len(s.events)), ClockMs: time.Now().UnixMilli() + clockAhead}
+	if after <= content.Next {
+		content.Events = append(content.Events, s.events[after:]...)
 	}
-	return c, nil
+	return content, nil
 }
 
 func (s *fakeStore) List(ctx context.Context, _ string) (Content, error) {
-	if err := pause.For(ctx, s.listTakes); err != nil {
+	if err := pause.For(ctx, s.listTime); err != nil {
 		return Content{}, err
 	}
 	s.mu.Lock()
@@ -90,11 +90,11 @@
 	if s.down {
 		return Content{}, errors.New("down")
 	}
-	c := Content{Epoch: s.epoch, Next: uint64(len(s.events))}
+	content := Content{Epoch: s.epoch, Next: uint64(len(s.events))}
 	for key, tokens := range s.parts {
-		c.Complete = append(c.Complete, storecache.PartRequest{Key: key, Tokens: tokens})
+		content.Complete = append(content.Complete, storecache.PartRequest{Key: key, Tokens: tokens})
 	}
-	return c, nil
+	return content, nil
 }
 
 func (s *fakeStore) Free(_ context.Context, _ string, keys []storecache.Key, epoch uint64, _ int64) error {
@@ -116,53 +116,53 @@
 	}}
 }
 
-// keep returns a daemon that keeps one store, and an asker beside it.
-func keep(t *testing.T, store *fakeStore, services ...*routing.Service) *Client {
+// startOwner starts a daemon that owns the services' stores, and returns its Client.
+func startOwner(t *testing.T, store *fakeStore, services ...*routing.Service) *Client {
 	t.Helper()
-	return keepUnder(t, kv.NewFake(time.Now), 10*time.Second, store, services...)
+	return startOwnerWith(t, kv.NewFake(time.Now), 10*time.Second, store, services...)
 }
 
-// keepUnder is keep with a key-value service and a lease of its own.
-func keepUnder(t *testing.T, fake *kv.Fake, ttl time.Duration, store *fakeStore, services ...*routing.Service) *Client {
+// startOwnerWith is startOwner with a given key-value service and lease TTL.
+func startOwnerWith(t *testing.T, fake *kv.Fake, ttl time.Duration, store *fakeStore, services ...*routing.Service) *Client {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	client := fake.Client("a")
 	all := func() []*routing.Service { return services }
 	leases := lease.NewManager(lease.Options{KV: client, Self: "a", Address: "a:1", TTL: ttl, Margin: ttl / 5})
-	keeper := NewOwner(Options{
+	owner := NewOwner(Options{
 		KV: client, Self: "a", Leases: leases, API: store, Stores: all, Rank: func(routing.ServiceID) int { return 0 },
 		TokenBytes: func() int { return 1000 },
 	})
 	follower := mirror.New(mirror.Options{KV: client})
-	a := NewClient(ClientOptions{Follower: follower, Self: "a", Local: keeper, Stores: all, Client: http.DefaultClient})
+	c := NewClient(ClientOptions{Follower: follower, Self: "a", Local: owner, Stores: all, Client: http.DefaultClient})
 	var runs sync.WaitGroup
-	for _, run := range []func(context.Context) error{leases.Run, keeper.Run} {
+	for _, run := range []func(context.Context) error{leases.Run, owner.Run} {
 		runs.Go(func() { _ = run(ctx) }) // ends with ctx
 	}
 	t.Cleanup(func() {
 		cancel()
 		runs.Wait()
 	})
-	for deadline := time.Now().Add(5 * time.Second); len(*a.holders.Load()) < len(services); {
+	for deadline := time.Now().Add(5 * time.Second); len(*c.holders.Load()) < len(services); {
 		if time.Now().After(deadline) {
-			t.Fatal("nobody keeps the store")
+			t.Fatal("a store has no owner")
 		}
 		entries, _, err := client.List(ctx, lease.RecordPrefix+LeasePrefix)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.apply(mirror.Update{Full: true, Entries: entries})
+		c.apply(mirror.Update{Full: true, Entries: entries})
 		time.Sleep(5 * time.Millisecond)
 	}
-	return a
+	return c
 }
 
-// askFor asks for one part, not the last of its prompt, until the answer is as wanted.
-func askFor(t *testing.T, a *Client, id string, fetch, save bool) {
+// waitForAnswer asks for one part, not the last of its prompt, until it gets the wanted answer.
+func waitForAnswer(t *testing.T, c *Client, id string, fetch, save bool) {
 	t.Helper()
 	parts := []relay.Part{{ID: id, Tokens: 100}, {ID: "own", Tokens: 10}}
 	for deadline := time.Now().Add(8 * time.Second); ; {
-		got, _ := a.Ask(context.Background(), "w1", parts, []bool{false, false})
+		got, _ := c.Ask(context.Background(), "w1", parts, []bool{false, false})
 		if got[0].Fetch == fetch && got[0].Save == save {
 			return
 		}
@@ -173,98 +173,98 @@
 	}
 }
 
-// A part is saved once, may be fetched when the store has it, and not after the store came
-// back empty.
+// A part is saved once. It may be fetched once the store has it, and no longer after the store
+// restarted empty.
 func TestPartIsSavedFetchedAndLost(t *testing.T) {
 	store := newFakeStore()
-	a := keep(t, store, service("s", 100_000, 1000))
-	askFor(t, a, "p", false, true)
-	askFor(t, a, "p", false, false) // it is being written
+	c := startOwner(t, store, service("s", 100_000, 1000))
+	waitForAnswer(t, c, "p", false, true)
+	waitForAnswer(t, c, "p", false, false) // the part is being written
 	store.save("w1", "p", 100)
-	askFor(t, a, "p", true, false)
-	got, until := a.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}}, []bool{false})
+	waitForAnswer(t, c, "p", true, false)
+	got, until := c.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}}, []bool{false})
 	if got[0].Address != "s:1" || got[0].FailureDomain != "d" {
 		t.Errorf("got %+v", got[0])
 	}
 	left := until - (time.Now().UnixMilli() + clockAhead)
 	if left < 1000 || left > storecache.ReadPermitTTL.Milliseconds() {
-		t.Errorf("leave ends in %d ms on the replicas' clock", left)
+		t.Errorf("the permit ends in %d ms on the replicas' clock", left)
 	}
 	store.restart()
-	askFor(t, a, "p", false, true)
+	waitForAnswer(t, c, "p", false, true)
 }
 
-// The key-value service is away for longer than leases last. What the store has is fetched
-// all the while, nothing new is written; when the service is back the same daemon goes on
-// without the wait that a new keeper needs before it may write.
-func TestOutageOfTheServiceLeavesStoresReadable(t *testing.T) {
+// The key-value service is down for longer than the lease TTL. Parts in the store stay
+// fetchable throughout, and nothing new is written. After the outage the same daemon continues
+// without the wait that a new owner needs before it may write.
+func TestStoresStayReadableDuringKeyValueOutage(t *testing.T) {
 	store := newFakeStore()
 	store.save("w1", "p", 100)
 	fake := kv.NewFake(time.Now)
 	const ttl = 500 * time.Millisecond
-	a := keepUnder(t, fake, ttl, store, service("s", 100_000, 1000))
-	askFor(t, a, "p", true, false)
-	askFor(t, a, "q", false, true)
+	c := startOwnerWith(t, fake, ttl, store, service("s", 100_000, 1000))
+	waitForAnswer(t, c, "p", true, false)
+	waitForAnswer(t, c, "q", false, true)
 	store.save("w1", "q", 100)
 	fake.SetDown(true)
 	for began := time.Now(); time.Since(began) < 3*ttl; time.Sleep(20 * time.Millisecond) {
-		got, _ := a.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own", Tokens: 10}}, []bool{false, false})
+		got, _ := c.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own", Tokens: 10}}, []bool{false, false})
 		if !got[0].Fetch {
-			t.Fatalf("not fetched %s into the outage", time.Since(began))
+			t.Fatalf("part not fetchable %s into the outage", time.Since(began))
 		}
 	}
-	askFor(t, a, "new", false, false)
+	waitForAnswer(t, c, "new", false, false)
 	fake.SetDown(false)
 	back := time.Now()
-	askFor(t, a, "newer", false, true)
+	waitForAnswer(t, c, "newer", false, true)
 	if took := time.Since(back); took > storecache.ReadPermitTTL {
-		t.Errorf("written again after %s", took)
+		t.Errorf("saves are permitted again after %s", took)
 	}
 }
 
-// The keeper's VM is suspended. Its leases' clock stood still, so they look held when it goes
-// on, and another daemon may have freed parts and written others since. Leave that it gave
-// by what it knew would let a prompt run on half a part.
-func TestSuspendedKeeperForgetsItsStores(t *testing.T) {
+// The owner's VM is suspended. The clock of its leases stopped, so they look valid after the VM
+// resumes, although another daemon may have freed and written parts since. A permit based on the
+// old state would let a prompt run on half a part.
+func TestSuspendedOwnerDropsItsStores(t *testing.T) {
 	store := newFakeStore()
 	store.save("w1", "p", 100)
-	a := keep(t, store, service("s", 100_000, 1000))
-	askFor(t, a, "p", true, false)
-	a.o.Local.HandleStall(distrustAfter - time.Millisecond)
-	askFor(t, a, "p", true, false)
+	c := startOwner(t, store, service("s", 100_000, 1000))
+	waitForAnswer(t, c, "p", true, false)
+	c.opts.Local.HandleStall(minUnsafeStall - time.Millisecond)
+	waitForAnswer(t, c, "p", true, false)
 	store.mu.Lock()
-	delete(store.parts, storecache.Key{Salt: "w1", ID: "p"}) // by the keeper meanwhile, and no event tells it
+	delete(store.parts, storecache.Key{Salt: "w1", ID: "p"}) // freed by another owner; no event reports it
 	store.mu.Unlock()
-	a.o.Local.HandleStall(distrustAfter)
+	c.opts.Local.HandleStall(minUnsafeStall)
 	for range 50 {
-		if got, _ := a.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own"}}, []bool{false, false}); got[0].Fetch {
-			t.Fatal("leave to fetch what is gone")
+		if got, _ := c.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own"}}, []bool{false, false}); got[0].Fetch {
+			t.Fatal("permit to fetch a part that was freed")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	askFor(t, a, "p", false, true)
+	waitForAnswer(t, c, "p", false, true)
 }
 
-// All daemons lose power and start again, each with the name it had. The keeper of a full
-// store took its own lease from before for that of another one, which might read on, and freed
-// nothing for eleven seconds: prompts were computed and could not be saved.
-func TestKeeperThatStartsAgainFreesSoon(t *testing.T) {
+// All daemons lose power and restart under the same names. The owner of a full store mistook
+// its own earlier lease for that of another owner that might still grant permits. It freed
+// nothing for eleven seconds, and the prompts computed in that time could not be saved.
+func TestRestartedOwnerFreesSoon(t *testing.T) {
 	fake := kv.NewFake(time.Now)
 	const ttl = 300 * time.Millisecond
 	before := lease.NewManager(lease.Options{KV: fake.Client("a"), Self: "a", Address: "a:1", TTL: ttl, WaitAfterTakeover: time.Millisecond})
 	if _, err := before.Acquire(context.Background(), LeasePrefix+"s"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(ttl) // it died, and its lease ran out
+	time.Sleep(ttl) // the process died, and its lease expired
 	store := newFakeStore()
 	for i := range 10 {
 		store.save("w1", fmt.Sprint("old", i), 100)
 	}
-	a := keepUnder(t, fake, time.Second, store, service("s", 1000, 1000))
-	askFor(t, a, "old1", true, false)
+	c := startOwnerWith(t, fake, time.Second, store, service("s", 1000, 1000))
+	waitForAnswer(t, c, "old1", true, false)
 	for deadline := time.Now().Add(storecache.ReadOnlyGrace); ; time.Sleep(50 * time.Millisecond) {
-		// New weights: what is of the old ones may go.
-		_, _ = a.Ask(context.Background(), "w2", []relay.Part{{ID: "n", Tokens: 100}, {ID: "own"}}, []bool{false, false})
+		// With new weights, parts of the old ones may be freed.
+		_, _ = c.Ask(context.Background(), "w2", []relay.Part{{ID: "n", Tokens: 100}, {ID: "own"}}, []bool{false, false})
 		store.mu.Lock()
 		freed := len(store.freed)
 		store.mu.Unlock()
@@ -272,90 +272,89 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("nothing is freed")
+			t.Fatal("no part is freed")
 		}
 	}
 }
 
-// A store falls silent. Each request told to fetch from it would lose some hundred ms, so
-// nothing is within two seconds.
-func TestSilentStoreIsLeftAlone(t *testing.T) {
+// A store stops responding. Each request sent to fetch from it would lose some hundred ms, so
+// no permit may be granted after two seconds.
+func TestSilentStoreIsNotUsed(t *testing.T) {
 	store := newFakeStore()
 	store.save("w1", "p", 100)
-	a := keep(t, store, service("s", 100_000, 1000))
-	askFor(t, a, "p", true, false)
+	c := startOwner(t, store, service("s", 100_000, 1000))
+	waitForAnswer(t, c, "p", true, false)
 	store.setDown(true)
 	began := time.Now()
-	askFor(t, a, "p", false, false)
+	waitForAnswer(t, c, "p", false, false)
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("left alone after %s", took)
+		t.Errorf("fetches stopped after %s", took)
 	}
 	store.setDown(false)
-	askFor(t, a, "p", true, false)
+	waitForAnswer(t, c, "p", true, false)
 }
 
-// A store holds some ten thousand parts, and its list takes the small link of its keeper longer
-// than a second. The keeper must learn what the store holds all the same: cut as a whole, the
-// list was asked for again and again, and prompts were computed that lay in the store.
-func TestLongListOfAStoreIsReadToItsEnd(t *testing.T) {
+// A store holds some ten thousand parts, and its list takes over a second on the owner's slow
+// link. With a limit on the total time the owner requested the list again and again, and prompts
+// were computed although their parts were stored.
+func TestSlowListIsReadCompletely(t *testing.T) {
 	store := newFakeStore()
-	store.listTakes = 1500 * time.Millisecond
+	store.listTime = 1500 * time.Millisecond
 	store.save("w1", "p", 100)
-	askFor(t, keep(t, store, service("s", 100_000, 1000)), "p", true, false)
+	waitForAnswer(t, startOwner(t, store, service("s", 100_000, 1000)), "p", true, false)
 }
 
-// A keeper that is dead or cut off costs a request its stored parts, not a wait.
-func TestDeadKeeperIsNoWait(t *testing.T) {
-	a := NewClient(ClientOptions{
+// An owner that is down or partitioned costs a request its stored parts, but no waiting time.
+func TestDeadOwnerDoesNotDelayRequests(t *testing.T) {
+	c := NewClient(ClientOptions{
 		Follower: mirror.New(mirror.Options{KV: kv.NewFake(time.Now).Client("a")}), Self: "a", Client: http.DefaultClient,
 		Stores: func() []*routing.Service { return []*routing.Service{service("s", 1000, 1000)} },
 	})
-	// An address of the loopback net that nobody listens on.
-	a.holders.Store(&map[string]lease.Holder{"s": {ID: "b", Address: "127.0.0.1:1"}})
+	// A loopback address without a listener.
+	c.holders.Store(&map[string]lease.Holder{"s": {ID: "b", Address: "127.0.0.1:1"}})
 	for range 20 {
 		began := time.Now()
-		got, _ := a.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 10}}, []bool{false})
-		if got[0].Fetch || time.Since(began) > 3*askTimeout {
+		got, _ := c.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 10}}, []bool{false})
+		if got[0].Fetch || time.Since(began) > 3*claimTimeout {
 			t.Fatalf("%+v after %s", got[0], time.Since(began))
 		}
 	}
 }
 
-// Small parts go to fast stores, large ones to those with room, and each to the same
-// store for all daemons.
-func TestPartsAreSpreadByTheirSize(t *testing.T) {
+// Small parts are assigned to fast stores, large ones to stores with much capacity. All daemons
+// assign a part to the same store.
+func TestPartsAreDistributedBySize(t *testing.T) {
 	var stores []*routing.Service
 	for i := range 3 {
 		stores = append(stores, service(fmt.Sprint("fast", i), 140_000, 1300), service(fmt.Sprint("big", i), 1_600_000, 380))
 	}
 	counts := map[string]int{}
 	for i := range 300 {
-		small := choose(stores, relay.Part{ID: fmt.Sprint(i), Tokens: 500}, nil)
-		large := choose(stores, relay.Part{ID: fmt.Sprint(i), Tokens: 5000}, nil)
+		small := chooseStore(stores, relay.Part{ID: fmt.Sprint(i), Tokens: 500}, nil)
+		large := chooseStore(stores, relay.Part{ID: fmt.Sprint(i), Tokens: 5000}, nil)
 		counts[string(small.ID)]++
 		counts[string(large.ID)]++
 		if small.Store.LinkMbps != 1300 || large.Store.LinkMbps != 380 {
-			t.Fatalf("a small part goes to %s, a large one to %s", small.ID, large.ID)
+			t.Fatalf("a small part is assigned to %s, a large one to %s", small.ID, large.ID)
 		}
-		if second := choose(stores, relay.Part{ID: fmt.Sprint(i), Tokens: 500}, small); second.Store.LinkMbps != 380 {
-			t.Fatalf("the overflow goes to %s", second.ID)
+		if second := chooseStore(stores, relay.Part{ID: fmt.Sprint(i), Tokens: 500}, small); second.Store.LinkMbps != 380 {
+			t.Fatalf("the overflow is assigned to %s", second.ID)
 		}
 	}
 	for id, n := range counts {
 		if n < 50 {
-			t.Errorf("%s has %d of 300 parts", id, n)
+			t.Errorf("%s has %d of 300 parts, want at least 50", id, n)
 		}
 	}
-	if choose(nil, relay.Part{ID: "x", Tokens: 1}, nil) != nil {
-		t.Error("a store out of none")
+	if chooseStore(nil, relay.Part{ID: "x", Tokens: 1}, nil) != nil {
+		t.Error("chose a store from an empty list")
 	}
 }
 
-// The load: 260 prompts of 10,000 tokens come in the first second after all daemons lost
-// power and are back, 1.5 s later. None knows yet who the others are, so that each ranks
-// last. The store that a daemon kept must be read again at once, and a store that another
-// one kept be left to that one.
-func TestDaemonKeepsAgainWhatItKeptBeforeItKnowsItsRank(t *testing.T) {
+// All daemons lose power and restart after 1.5 s; 260 prompts of 10,000 tokens arrive in the
+// next second. No daemon knows the others yet, so each ranks last. A daemon must reacquire the
+// store that it owned at once, and must not acquire a store that another daemon owned.
+func TestRestartedDaemonTakesItsStoresBeforeItKnowsItsRank(t *testing.T) {
 	fake, store := kv.NewFake(time.Now), newFakeStore()
 	start := func(id string, services ...*routing.Service) (*Owner, *lease.Manager) {
 		leases := lease.NewManager(lease.Options{
@@ -370,116 +369,116 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	shelf := service("shelf", 10_000, 1000)
+	svc := service("shelf", 10_000, 1000)
 	_, before := start("a")
 	if _, err := before.Acquire(ctx, LeasePrefix+"shelf"); err != nil {
 		t.Fatal(err)
 	}
-	other, _ := start("b", shelf)
-	other.consider(ctx, shelf)
-	again, _ := start("a", shelf)
-	again.consider(ctx, shelf)
-	if other.current("shelf") != nil || again.current("shelf") == nil {
-		t.Errorf("kept by the other: %t, by the one that kept it: %t", other.current("shelf") != nil, again.current("shelf") != nil)
+	other, _ := start("b", svc)
+	other.acquireIfDue(ctx, svc)
+	restarted, _ := start("a", svc)
+	restarted.acquireIfDue(ctx, svc)
+	if other.current("shelf") != nil || restarted.current("shelf") == nil {
+		t.Errorf("owned by the other daemon: %t, by the last owner: %t", other.current("shelf") != nil, restarted.current("shelf") != nil)
 	}
 }
 
-// A daemon takes a store over that is nearly full, and learns what it holds from a list. The
-// list does not name the weights that made a part, its salt does: taken for older ones, all
-// the contexts that callers return to were freed first, and computed again at their return.
-func TestWhatANewKeeperListsIsNotTakenForOld(t *testing.T) {
+// A daemon takes over a store that is nearly full and lists its content. The list names salts but
+// not weight versions. When listed parts counted as made by older weights, all contexts that
+// callers return to were freed first and computed again at their return.
+func TestListedPartsAreNotTakenForOldWeights(t *testing.T) {
 	store := newFakeStore()
 	for i := range 10 {
 		store.save("w1", fmt.Sprint("context", i), 96)
 	}
-	a := keep(t, store, service("shelf", 1000, 1000))
-	askFor(t, a, "context0", true, false)
-	const untilFreed = storecache.ReadPermitTTL + time.Second // nothing is freed while leave may last
+	c := startOwner(t, store, service("shelf", 1000, 1000))
+	waitForAnswer(t, c, "context0", true, false)
+	const untilFreed = storecache.ReadPermitTTL + time.Second // permits may be valid until then
 	time.Sleep(untilFreed)
-	askFor(t, a, "context1", true, false)
-	if n := store.freedByNow(); n > 0 {
+	waitForAnswer(t, c, "context1", true, false)
+	if n := store.freedAfterMaintenance(); n > 0 {
 		t.Errorf("%d parts of the newest weights were freed", n)
 	}
 }
 
-// A daemon's clock is seconds ahead of the replicas', and a list does not tell theirs. Leave
-// that ended by the daemon's clock would let a replica fetch for seconds after the part was
-// freed: none may be given before the store's clock is known, nor end by the daemon's.
-func TestLeaveEndsOnTheStoresClock(t *testing.T) {
-	a := keep(t, newFakeStore(), service("shelf", 10_000, 1000))
+// A daemon's clock is seconds ahead of the replicas' clock, which a list does not report. If
+// permits ended by the daemon's clock, a replica could fetch for seconds after the part was freed.
+// No permit may be granted before the store's clock is known, or end by the daemon's clock.
+func TestPermitEndsOnStoreClock(t *testing.T) {
+	c := startOwner(t, newFakeStore(), service("shelf", 10_000, 1000))
 	parts := []relay.Part{{ID: "x", Tokens: 100}, {ID: "own", Tokens: 10}}
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		_, until := a.Ask(context.Background(), "w1", parts, []bool{false, false})
+		_, until := c.Ask(context.Background(), "w1", parts, []bool{false, false})
 		if until == 0 {
-			continue // nothing is known yet
+			continue // the clock is not known yet
 		}
 		left := time.Duration(until-time.Now().UnixMilli()-clockAhead) * time.Millisecond
 		if left > storecache.ReadPermitTTL || left < storecache.ReadPermitTTL-time.Second {
-			t.Errorf("leave lasts %s on the store's clock", left)
+			t.Errorf("the permit lasts %s on the store's clock", left)
 		}
 		return
 	}
-	t.Fatal("no leave is given")
+	t.Fatal("no permit is granted")
 }
 
-// writeRecord writes what keepers before knew of a store.
-func writeRecord(t *testing.T, fake *kv.Fake, store string, known record) {
+// writeRecord writes a record of previous owners of a store.
+func writeRecord(t *testing.T, fake *kv.Fake, store string, rec record) {
 	t.Helper()
-	if err := (records{kv: fake.Client("before")}).write(context.Background(), routing.ServiceID(store), known, 0); err != nil {
+	if err := (recordStore{kv: fake.Client("before")}).write(context.Background(), routing.ServiceID(store), rec, 0); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The load: all daemons are stopped in turn, and each keeps a store. For 2.8 s after each stop
-// nothing was saved there, since the store could have come back empty under leave of the
-// keeper before; contexts that were computed then were computed again at their return, an
-// eighth of all that was. A store whose process is known to be the same is no such store.
-func TestNewKeeperSavesAtOnceToAStoreThatHasNotRestarted(t *testing.T) {
+// All daemons, each of which owns a store, are stopped in turn. For 2.8 s after each stop nothing
+// was saved, since the store might have restarted empty while permits of the previous owner were
+// valid. Contexts computed in that time were computed again at their return, an eighth of all
+// computation. If the store's process is known to be the same, saves need not wait.
+func TestNewOwnerSavesAtOnceIfStoreHasNotRestarted(t *testing.T) {
 	now := time.Now().UnixMilli() + clockAhead
-	took := func(known record) time.Duration {
+	took := func(rec record) time.Duration {
 		fake := kv.NewFake(time.Now)
-		writeRecord(t, fake, "shelf", known)
+		writeRecord(t, fake, "shelf", rec)
 		began := time.Now()
-		a := keepUnder(t, fake, 10*time.Second, newFakeStore(), service("shelf", 10_000, 1000))
-		askFor(t, a, "x", false, true)
+		c := startOwnerWith(t, fake, 10*time.Second, newFakeStore(), service("shelf", 10_000, 1000))
+		waitForAnswer(t, c, "x", false, true)
 		return time.Since(began)
 	}
 	const wait = storecache.ReadPermitTTL
 	if got := took(record{Epoch: 1, Seen: now - 60_000}); got > wait/2 {
-		t.Errorf("the same process for a minute: saves after %s", got)
+		t.Errorf("same process for a minute: first save after %s", got)
 	}
 	if got := took(record{Epoch: 7, Seen: now - 60_000}); got < wait {
-		t.Errorf("another process: saves after %s", got)
+		t.Errorf("another process: first save after %s", got)
 	}
 	if got := took(record{Epoch: 1, Seen: now - 1000}); got < wait {
-		t.Errorf("the same process for a second: saves after %s", got)
+		t.Errorf("same process for a second: first save after %s", got)
 	}
 }
 
-// Keeper A is cut off and goes on to give leave for 8 s. B takes the store over, knows that,
-// and is stopped as planned; C finds the store given back. It freed parts after 2.8 s, under
-// the readers that A had let in.
-func TestKeeperAfterNextWaitsForReadersOfTheFirst(t *testing.T) {
+// Owner A is partitioned and grants permits for 8 s more. B takes the store over, knows about A
+// and is stopped as planned; C finds the lease released. C freed parts after 2.8 s, while
+// replicas still read under permits of A.
+func TestThirdOwnerWaitsForPermitsOfFirst(t *testing.T) {
 	fake, store := kv.NewFake(time.Now), newFakeStore()
 	for i := range 10 {
 		store.save("w1", fmt.Sprint(i), 96)
 	}
 	now := time.Now().UnixMilli() + clockAhead
-	writeRecord(t, fake, "shelf", record{Epoch: 1, Seen: now - 60_000, Readers: now + 8000})
-	a := keepUnder(t, fake, 10*time.Second, store, service("shelf", 1000, 1000))
+	writeRecord(t, fake, "shelf", record{Epoch: 1, Seen: now - 60_000, OtherOwnerUntil: now + 8000})
+	c := startOwnerWith(t, fake, 10*time.Second, store, service("shelf", 1000, 1000))
 	parts := []relay.Part{{ID: "new", Tokens: 16}, {ID: "own", Tokens: 16}}
-	a.Ask(context.Background(), "w2", parts, []bool{false, false}) // all others are of old weights
+	c.Ask(context.Background(), "w2", parts, []bool{false, false}) // all other parts are of old weights
 	time.Sleep(storecache.ReadPermitTTL + time.Second)
-	a.Ask(context.Background(), "w2", parts, []bool{false, false})
-	if n := store.freedByNow(); n > 0 {
-		t.Errorf("%d parts were freed while a keeper may give leave for them", n)
+	c.Ask(context.Background(), "w2", parts, []bool{false, false})
+	if n := store.freedAfterMaintenance(); n > 0 {
+		t.Errorf("%d parts were freed while another owner may grant permits for them", n)
 	}
 }
 
-// A daemon is killed just as it asks a store to free parts, is back within 50 ms and keeps the
-// store at once. The call may still arrive: leave given before that, for a part that the list
-// shows, would be broken.
-func TestKeeperThatStartsAgainWaitsForItsOwnLastCall(t *testing.T) {
+// A daemon is killed just after it asked a store to free parts, restarts within 50 ms and
+// reacquires the store at once. The free call may still arrive. It would break a permit granted
+// before that for a part that the list still contains.
+func TestRestartedOwnerWaitsForItsLastFreeCall(t *testing.T) {
 	fake, store := kv.NewFake(time.Now), newFakeStore()
 	store.save("w1", "x", 96)
 	manager := func() *lease.Manager {
@@ -492,16 +491,16 @@
 	if _, err := manager().Acquire(ctx, LeasePrefix+"shelf"); err != nil {
 		t.Fatal(err)
 	}
-	shelf := service("shelf", 10_000, 1000)
+	svc := service("shelf", 10_000, 1000)
 	began := time.Now()
-	keeper := NewOwner(Options{
+	owner := NewOwner(Options{
 		KV: fake.Client("a"), Self: "a", Leases: manager(), API: store, TokenBytes: func() int { return 1000 },
-		Stores: func() []*routing.Service { return []*routing.Service{shelf} }, Rank: func(routing.ServiceID) int { return 0 },
+		Stores: func() []*routing.Service { return []*routing.Service{svc} }, Rank: func(routing.ServiceID) int { return 0 },
 	})
-	keeper.consider(ctx, shelf)
+	owner.acquireIfDue(ctx, svc)
 	ask := &ClaimRequest{Salt: "w1", Weights: 1, Parts: []*PartAsk{{Store: "shelf", Id: "x", Tokens: 96}}}
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		answer, err := keeper.Claim(ctx, ask)
+		answer, err := owner.Claim(ctx, ask)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -509,39 +508,39 @@
 			continue
 		}
 		if took := time.Since(began); took < freeTimeout {
-			t.Errorf("leave is given after %s", took)
+			t.Errorf("a permit is granted after %s", took)
 		}
 		return
 	}
-	t.Fatal("no leave is given")
+	t.Fatal("no permit is granted")
 }
 
-// A store is full, so that its parts are asked for at a second one too, and both allow a save.
-// The request makes one of them. The other store counted the part as being written, gave it
-// room and a place in its link's queue, and for eight seconds nobody could save it there.
-func TestOnlyOneOfTwoStoresWaitsForASave(t *testing.T) {
+// A store is full, so its parts are also requested from a second store, and both permit a save.
+// The request makes one of them. The other store counted the part as being written, reserved
+// space and link time for it, and permitted no save of it for eight seconds.
+func TestUnusedSaveAtSecondStoreIsReleased(t *testing.T) {
 	const fast, roomy = "fast", "roomy"
-	a := keep(t, newFakeStore(), service(fast, 100_000, 2000), service(roomy, 200_000, 1000))
-	taken := func(store string) int {
-		k := a.o.Local.current(routing.ServiceID(store))
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		return k.room.UsedTokens()
-	}
-	askFor(t, a, "warm", false, true) // both stores are known by now, and saves are allowed
-	before := taken(fast) + taken(roomy)
-	a.mu.Lock()
-	a.full[fast] = time.Now()
-	a.mu.Unlock()
+	c := startOwner(t, newFakeStore(), service(fast, 100_000, 2000), service(roomy, 200_000, 1000))
+	used := func(store string) int {
+		owned := c.opts.Local.current(routing.ServiceID(store))
+		owned.mu.Lock()
+		defer owned.mu.Unlock()
+		return owned.cache.UsedTokens()
+	}
+	waitForAnswer(t, c, "warm", false, true) // both stores are ready and permit saves
+	before := used(fast) + used(roomy)
+	c.mu.Lock()
+	c.fullReportedAt[fast] = time.Now()
+	c.mu.Unlock()
 	const tokens = 160
 	parts := []relay.Part{{ID: "p", Tokens: tokens}, {ID: "last", Tokens: 16}}
-	got, _ := a.Ask(context.Background(), "w1", parts, []bool{false, false})
+	got, _ := c.Ask(context.Background(), "w1", parts, []bool{false, false})
 	if !got[0].Save {
-		t.Fatalf("got %+v", got[0])
+		t.Fatalf("no save is permitted: %+v", got[0])
 	}
-	for deadline := time.Now().Add(2 * time.Second); taken(fast)+taken(roomy) != before+tokens; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(2 * time.Second); used(fast)+used(roomy) != before+tokens; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d tokens are promised in %s and %d in %s", taken(fast), fast, taken(roomy), roomy)
+			t.Fatalf("%d tokens are reserved in %s and %d in %s", used(fast), fast, used(roomy), roomy)
 		}
 	}
 }
--- a/internal/contextstore/ownedstore.go
+++ b/internal/contextstore/ownedstore.go
@@ -20,73 +20,73 @@
 
 // Event is a change of a store's content.
 type Event struct {
-	Stored bool // or removed
+	Stored bool // false if the part was removed
 	Key    storecache.Key
 	Tokens int
 }
 
-// Content is what a store tells of itself.
+// Content is what a store reports about its content.
 type Content struct {
-	Epoch    uint64 // changes at each start
+	Epoch    uint64 // changes at each start of the store
 	Next     uint64
 	Lost     bool // events are missing
 	ClockMs  int64
 	Events   []Event
-	Complete []storecache.PartRequest // of a list
+	Complete []storecache.PartRequest // set by a list
 	Partial  []storecache.PartRequest
 }
 
-// StoreAPI carries out calls to stores.
+// StoreAPI calls stores.
 type StoreAPI interface {
-	// Events waits for changes after a number. It gives up a store that does not answer soon after
-	// the wait, but takes an answer that comes, however long that lasts.
+	// Events waits for changes after an event number. It fails soon after the wait if the store
+	// has not started to answer, but reads an answer that has started to its end.
 	Events(ctx context.Context, address string, after uint64, wait time.Duration) (Content, error)
-	// List reads all that a store holds; it gives up like Events.
+	// List reads the complete content of a store, with the time limits of Events.
 	List(ctx context.Context, address string) (Content, error)
-	// Free frees parts, unless the store has restarted or its clock is past a time.
+	// Free frees parts, unless the store has restarted or its clock is past until.
 	Free(ctx context.Context, address string, keys []storecache.Key, epoch uint64, until int64) error
 }
 
-// kept is a store that this daemon keeps.
-type kept struct {
-	id      routing.ServiceID
-	address string
-	tokens  int // room
-	calls   StoreAPI
-	log     hclog.Logger
-	metrics tally.Scope
-	records records
-	// readFrom is when leave may be given first. A daemon that starts again keeps its stores
-	// at once, without a lease running out before: what its earlier process asked to be freed
-	// just before it ended may be carried out until then.
-	readFrom time.Time
-
-	mu       sync.Mutex
-	lease    *lease.Lease
-	heldAt   time.Time // when the lease was known to be held
-	retired  bool      // given back, or another daemon keeps the store
-	room     *storecache.Cache
-	epoch    uint64
-	next     uint64
-	listed   bool
-	listedAt time.Time
-	heardAt  time.Time
-	// inherited is set once what the keepers before wrote down of the store is known, and
-	// what this one knows is written down.
+// ownedStore is a store that this daemon owns.
+type ownedStore struct {
+	id             routing.ServiceID
+	address        string
+	capacityTokens int // size of the store
+	api            StoreAPI
+	log            hclog.Logger
+	metrics        tally.Scope
+	records        recordStore
+	// permitFrom is when the first permit may be granted. A restarted daemon reacquires its
+	// stores at once, before any lease expires. Until permitFrom the store may still carry out
+	// a free call that the previous process sent just before it ended.
+	permitFrom time.Time
+
+	mu           sync.Mutex
+	lease        *lease.Lease
+	leaseValidAt time.Time // last time at which the lease was valid
+	retired      bool      // released, or owned by another daemon
+	cache        *storecache.Cache
+	epoch        uint64
+	nextEvent    uint64
+	listed       bool
+	listedAt     time.Time
+	lastContact  time.Time
+	// inherited is set once the record of the previous owners has been read and this owner's
+	// state is recorded.
 	inherited bool
-	// inheritAt is when that is tried again at the soonest.
+	// inheritAt is the earliest time of the next attempt to inherit.
 	inheritAt time.Time
-	// clockMs is the replicas' clock at clockAt, a little less than the truth, so that leave
-	// ends too early rather than too late. It is carried on by the steady clock: were it kept
-	// as the difference to the time of day, leave given after that was set ahead by 2 s would
-	// last 2 s longer than the room knows, and its parts be freed under their readers.
+	// clockMs is the replicas' clock at clockAt. It errs on the early side, so that permits end
+	// too early rather than too late. The monotonic clock advances it. If it were an offset to
+	// the wall clock, setting that clock ahead by 2 s would extend later permits by 2 s beyond
+	// what the cache assumes, and parts would be freed while replicas read them.
 	clockMs int64
 	clockAt time.Time
-	// reasons count the answers since the last line of the log.
+	// reasons counts the decisions since the last log line.
 	reasons map[storecache.Reason]int
 }
 
-// weightsOf returns the version that a salt stands for; zero if it is not one of ours.
+// weightsOf returns the weight version that a salt encodes; zero if the salt is not ours.
 func weightsOf(salt string) uint64 {
 	digits, _, _ := strings.Cut(strings.TrimPrefix(salt, "w"), ".")
 	n, err := strconv.ParseUint(digits, 10, 64)
@@ -96,84 +96,83 @@
 	return n
 }
 
-func (k *kept) run(ctx context.Context) {
+func (s *ownedStore) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go k.tend(ctx)
-	for ctx.Err() == nil && k.serves(time.Now()) {
-		if err := k.follow(ctx); err != nil && ctx.Err() == nil {
-			k.log.Info("A store does not answer", "store", k.id, "error", err)
-			_ = pause.For(ctx, failPause) // the loop asks the context itself
+	go s.runMaintenance(ctx)
+	for ctx.Err() == nil && s.serves(time.Now()) {
+		if err := s.follow(ctx); err != nil && ctx.Err() == nil {
+			s.log.Info("A context store did not answer", "store", s.id, "error", err)
+			_ = pause.For(ctx, retryInterval) // the loop checks ctx itself
 			continue
 		}
-		k.learn(ctx)
-		_ = pause.For(ctx, followPause) // the loop asks the context itself
+		s.inheritIfDue(ctx)
+		_ = pause.For(ctx, followInterval) // the loop checks ctx itself
 	}
-	k.log.Info("A store is no longer kept here", "store", k.id)
+	s.log.Info("No longer owner of a context store", "store", s.id)
 }
 
-// follow reads the store's changes, or all of it where changes are missing.
-func (k *kept) follow(ctx context.Context) error {
-	k.mu.Lock()
-	must := !k.listed || k.room.NeedsListing(time.Now()) && time.Since(k.listedAt) > listAtMost
-	k.mu.Unlock()
-	if !must {
-		return k.read(ctx, followWait)
+// follow reads the store's changes, or its complete content if changes are missing.
+func (s *ownedStore) follow(ctx context.Context) error {
+	s.mu.Lock()
+	needsList := !s.listed || s.cache.NeedsListing(time.Now()) && time.Since(s.listedAt) > minListInterval
+	s.mu.Unlock()
+	if !needsList {
+		return s.readEvents(ctx, followWait)
 	}
-	if err := k.list(ctx); err != nil {
+	if err := s.list(ctx); err != nil {
 		return err
 	}
-	return k.read(ctx, 0) // a list does not tell the clock
+	return s.readEvents(ctx, 0) // a list does not include the clock
 }
 
-// learn takes over from the keepers before, as soon as the store has told its clock.
-func (k *kept) learn(ctx context.Context) {
-	k.mu.Lock()
+// inheritIfDue inherits from the previous owners as soon as the store's clock is known.
+func (s *ownedStore) inheritIfDue(ctx context.Context) {
+	s.mu.Lock()
 	now := time.Now()
-	due := k.listed && !k.inherited && !k.clockAt.IsZero() && !now.Before(k.inheritAt)
+	due := s.listed && !s.inherited && !s.clockAt.IsZero() && !now.Before(s.inheritAt)
 	if due {
-		k.inheritAt = now.Add(inheritEvery)
+		s.inheritAt = now.Add(inheritInterval)
 	}
-	k.mu.Unlock()
+	s.mu.Unlock()
 	if !due {
 		return
 	}
-	if err := k.inherit(ctx); err != nil {
-		k.log.Info("What is known of a store could not be taken over", "store", k.id, "error", err)
+	if err := s.inherit(ctx); err != nil {
+		s.log.Info("Failed to inherit the record of a context store", "store", s.id, "error", err)
 	}
 }
 
-// read takes the store's changes after the last one known, and its clock. It waits for some
-// changes.
-func (k *kept) read(ctx context.Context, wait time.Duration) error {
-	k.mu.Lock()
-	after := k.next
-	k.mu.Unlock()
-	c, err := k.calls.Events(ctx, k.address, after, wait)
+// readEvents reads the store's clock and its changes after the last known one. It waits up to
+// wait for changes.
+func (s *ownedStore) readEvents(ctx context.Context, wait time.Duration) error {
+	s.mu.Lock()
+	after := s.nextEvent
+	s.mu.Unlock()
+	c, err := s.api.Events(ctx, s.address, after, wait)
 	if err != nil {
 		return err
 	}
-	k.take(c)
+	s.applyEvents(c)
 	return nil
 }
 
-func (k *kept) list(ctx context.Context) error {
-	c, err := k.calls.List(ctx, k.address)
+func (s *ownedStore) list(ctx context.Context) error {
+	c, err := s.api.List(ctx, s.address)
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	k.heard(now, c)
-	k.listed, k.listedAt, k.next = true, now, c.Next
-	k.room.OnList(now, withWeights(c.Complete), withWeights(c.Partial))
+	s.recordContact(now, c)
+	s.listed, s.listedAt, s.nextEvent = true, now, c.Next
+	s.cache.OnList(now, withWeights(c.Complete), withWeights(c.Partial))
 	return nil
 }
 
-// withWeights adds the versions that made the parts of a list; their salts tell. Without them
-// all that a store held when it was listed counted as made by older weights: a new keeper
-// freed it first.
+// withWeights sets the weight versions of listed parts from their salts. Without them all
+// listed parts counted as made by older weights, and a new owner freed them first.
 func withWeights(parts []storecache.PartRequest) []storecache.PartRequest {
 	out := slices.Clone(parts)
 	for i := range out {
@@ -182,207 +181,207 @@
 	return out
 }
 
-func (k *kept) take(c Content) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *ownedStore) applyEvents(c Content) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	k.heard(now, c)
-	k.next = c.Next
+	s.recordContact(now, c)
+	s.nextEvent = c.Next
 	if c.Lost {
-		k.listed = false
+		s.listed = false
 	}
 	for _, e := range c.Events {
 		if e.Stored {
-			k.room.OnStored(now, e.Key, e.Tokens, weightsOf(e.Key.Salt))
+			s.cache.OnStored(now, e.Key, e.Tokens, weightsOf(e.Key.Salt))
 		} else {
-			k.room.OnRemoved(e.Key)
+			s.cache.OnRemoved(e.Key)
 		}
 	}
 }
 
-// heard notes that the store lives, and whether it has restarted.
-func (k *kept) heard(now time.Time, c Content) {
-	k.heardAt = now
+// recordContact records that the store responds, and detects a restart.
+func (s *ownedStore) recordContact(now time.Time, c Content) {
+	s.lastContact = now
 	if c.ClockMs > 0 {
-		k.clockMs, k.clockAt = c.ClockMs, now
+		s.clockMs, s.clockAt = c.ClockMs, now
 	}
-	if k.epoch != 0 && k.epoch != c.Epoch {
-		k.log.Warn("A store has restarted", "store", k.id)
-		k.room.Reset(now)
-		k.listed, k.inherited = false, false
+	if s.epoch != 0 && s.epoch != c.Epoch {
+		s.log.Warn("A context store has restarted", "store", s.id)
+		s.cache.Reset(now)
+		s.listed, s.inherited = false, false
 	}
-	k.epoch = c.Epoch
+	s.epoch = c.Epoch
 }
 
-// tend frees what the room needs.
-func (k *kept) tend(ctx context.Context) {
-	told := time.Now()
+// runMaintenance frees parts when space is needed and logs the decisions periodically.
+func (s *ownedStore) runMaintenance(ctx context.Context) {
+	loggedAt := time.Now()
 	for ctx.Err() == nil {
-		_ = pause.For(ctx, keepEvery) // the loop asks the context itself
-		k.free(ctx)
-		if time.Since(told) >= tellEvery {
-			told = time.Now()
-			k.tell()
+		_ = pause.For(ctx, maintainInterval) // the loop checks ctx itself
+		s.free(ctx)
+		if time.Since(loggedAt) >= logInterval {
+			loggedAt = time.Now()
+			s.logDecisions()
 		}
 	}
 }
 
-// tell logs what was answered lately.
-func (k *kept) tell() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.reasons) == 0 {
+// logDecisions logs the decisions since its last call.
+func (s *ownedStore) logDecisions() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.reasons) == 0 {
 		return
 	}
 	args := []any{
-		"store", k.id, "parts", k.room.CompleteParts(), "tokens", k.room.UsedTokens(), "room", k.tokens,
-		"queue_ms", k.room.QueueTime(time.Now()).Milliseconds(), "slowness", k.room.Slowness(),
+		"store", s.id, "parts", s.cache.CompleteParts(), "tokens", s.cache.UsedTokens(), "room", s.capacityTokens,
+		"queue_ms", s.cache.QueueTime(time.Now()).Milliseconds(), "slowness", s.cache.Slowness(),
 	}
-	for _, reason := range slices.Sorted(maps.Keys(k.reasons)) {
-		args = append(args, string(reason), k.reasons[reason])
+	for _, reason := range slices.Sorted(maps.Keys(s.reasons)) {
+		args = append(args, string(reason), s.reasons[reason])
 	}
-	k.log.Info("A store's keeper answered", args...)
-	clear(k.reasons)
+	s.log.Info("Decisions on a context store", args...)
+	clear(s.reasons)
 }
 
-func (k *kept) free(ctx context.Context) {
-	k.mu.Lock()
-	if !k.ready(time.Now()) || !k.inherited || !k.lease.MayAct(freeTimeout) {
-		k.mu.Unlock()
+func (s *ownedStore) free(ctx context.Context) {
+	s.mu.Lock()
+	if !s.ready(time.Now()) || !s.inherited || !s.lease.MayAct(freeTimeout) {
+		s.mu.Unlock()
 		return
 	}
-	keys := k.room.StartFreeing(time.Now())
-	epoch := k.epoch
-	until := k.replicaClock(time.Now().Add(freeTimeout))
-	k.mu.Unlock()
+	keys := s.cache.StartFreeing(time.Now())
+	epoch := s.epoch
+	until := s.replicaClock(time.Now().Add(freeTimeout))
+	s.mu.Unlock()
 	for len(keys) > 0 {
-		n := min(len(keys), maxFree)
-		k.freeSome(ctx, keys[:n], epoch, until)
+		n := min(len(keys), maxFreeBatch)
+		s.freeBatch(ctx, keys[:n], epoch, until)
 		keys = keys[n:]
 	}
 }
 
-func (k *kept) freeSome(ctx context.Context, keys []storecache.Key, epoch uint64, until int64) {
+func (s *ownedStore) freeBatch(ctx context.Context, keys []storecache.Key, epoch uint64, until int64) {
 	ctx, cancel := context.WithTimeout(ctx, freeTimeout)
 	defer cancel()
-	err := k.calls.Free(ctx, k.address, keys, epoch, until)
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	err := s.api.Free(ctx, s.address, keys, epoch, until)
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if err != nil {
-		k.log.Info("Parts could not be freed", "store", k.id, "parts", len(keys), "error", err)
-		k.room.OnFreeFailed(time.Now(), keys)
+		s.log.Info("Failed to free parts of a context store", "store", s.id, "parts", len(keys), "error", err)
+		s.cache.OnFreeFailed(time.Now(), keys)
 		return
 	}
 	for _, key := range keys {
-		k.room.OnRemoved(key)
+		s.cache.OnRemoved(key)
 	}
 }
 
-// ready reports whether the store's content and clock are known and the store lives.
-func (k *kept) ready(now time.Time) bool {
-	return k.listed && !k.clockAt.IsZero() && !now.Before(k.readFrom) && now.Sub(k.heardAt) < deafAfter && k.servesLocked(now)
+// ready reports whether the store responds and its content and clock are known.
+func (s *ownedStore) ready(now time.Time) bool {
+	return s.listed && !s.clockAt.IsZero() && !now.Before(s.permitFrom) && now.Sub(s.lastContact) < silenceTimeout && s.servesLocked(now)
 }
 
-// serves reports whether leave may be given here: while the lease is held, and for some time
-// after it ran out.
-func (k *kept) serves(now time.Time) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.servesLocked(now)
+// serves reports whether permits may be granted here. This is the case while the lease is held
+// and for ReadOnlyGrace after it expired.
+func (s *ownedStore) serves(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.servesLocked(now)
 }
 
-func (k *kept) servesLocked(now time.Time) bool {
-	if k.retired {
+func (s *ownedStore) servesLocked(now time.Time) bool {
+	if s.retired {
 		return false
 	}
-	if k.lease.Valid() {
-		k.heldAt = now
+	if s.lease.Valid() {
+		s.leaseValidAt = now
 		return true
 	}
-	// The clock that timers use stands still while a VM is suspended, the time of day does
-	// not: both must agree.
-	return now.Sub(k.heldAt) < storecache.ReadOnlyGrace && now.Round(0).Sub(k.heldAt.Round(0)) < storecache.ReadOnlyGrace
+	// The clock of timers stops while a VM is suspended, the wall clock does not. Both must be
+	// within the grace period.
+	return now.Sub(s.leaseValidAt) < storecache.ReadOnlyGrace && now.Round(0).Sub(s.leaseValidAt.Round(0)) < storecache.ReadOnlyGrace
 }
 
-// holds reports whether the store's lease is held.
-func (k *kept) holds() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return !k.retired && k.lease.Valid()
+// holdsLease reports whether the store's lease is held.
+func (s *ownedStore) holdsLease() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return !s.retired && s.lease.Valid()
 }
 
-func (k *kept) epochOfLease() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lease.Epoch()
+func (s *ownedStore) leaseEpoch() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.lease.Epoch()
 }
 
-// retire ends the keeping of the store here, and returns the lease.
-func (k *kept) retire() *lease.Lease {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.retired = true
-	return k.lease
+// retire ends the ownership of the store here and returns the lease.
+func (s *ownedStore) retire() *lease.Lease {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.retired = true
+	return s.lease
 }
 
-// resume goes on under a new lease if nobody else can have kept the store in between: each
-// holder has the next epoch.
-func (k *kept) resume(l *lease.Lease) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.retired || l.Epoch() != k.lease.Epoch()+1 {
+// resume continues under a new lease if no other daemon can have owned the store in between.
+// Each holder of the lease increments its epoch.
+func (s *ownedStore) resume(l *lease.Lease) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.retired || l.Epoch() != s.lease.Epoch()+1 {
 		return false
 	}
-	k.lease = l
+	s.lease = l
 	return true
 }
 
-// mayRelease reports whether the next keeper can know all that this one knew of others that
-// may give leave.
-func (k *kept) mayRelease() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.inherited || !time.Now().Before(k.room.OtherOwnerUntil())
+// mayRelease reports whether the next owner can learn about all other owners that may still
+// grant permits.
+func (s *ownedStore) mayRelease() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.inherited || !time.Now().Before(s.cache.OtherOwnerUntil())
 }
 
-func (k *kept) replicaClock(t time.Time) int64 {
-	return k.clockMs + t.Sub(k.clockAt).Milliseconds()
+func (s *ownedStore) replicaClock(t time.Time) int64 {
+	return s.clockMs + t.Sub(s.clockAt).Milliseconds()
 }
 
-// claim decides on parts. The second result is false if the store can't be used now.
-func (k *kept) claim(salt string, weights uint64, asks []*PartAsk) ([]*PartAnswer, int64, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// claim decides on parts. The third result is false if the store can't be used now.
+func (s *ownedStore) claim(salt string, weights uint64, asks []*PartAsk) ([]*PartAnswer, int64, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	if !k.ready(now) {
+	if !s.ready(now) {
 		return nil, 0, false
 	}
-	lapsed := !k.lease.Valid()
+	leaseExpired := !s.lease.Valid()
 	answers := make([]*PartAnswer, len(asks))
 	for i, a := range asks {
-		answer := k.room.Decide(now, storecache.PartRequest{
-			Key: storecache.Key{Salt: salt, ID: a.Id}, Tokens: int(a.Tokens), Weights: weights, Resident: a.Resident, Last: a.Last, ReadOnly: lapsed,
+		answer := s.cache.Decide(now, storecache.PartRequest{
+			Key: storecache.Key{Salt: salt, ID: a.Id}, Tokens: int(a.Tokens), Weights: weights, Resident: a.Resident, Last: a.Last, ReadOnly: leaseExpired,
 		})
-		k.reasons[answer.Reason]++
-		k.metrics.Tagged(map[string]string{"reason": string(answer.Reason)}).Counter("store_asks").Inc(1)
+		s.reasons[answer.Reason]++
+		s.metrics.Tagged(map[string]string{"reason": string(answer.Reason)}).Counter("store_asks").Inc(1)
 		answers[i] = &PartAnswer{
 			Fetch: answer.Fetch, Save: answer.Save, Full: answer.Full, TakesUs: int32(answer.FetchTime.Microseconds()),
-			NotKept: lapsed, Claim: answer.Claim, QueueUs: int32(answer.QueueTime.Microseconds()),
+			NotKept: leaseExpired, Claim: answer.Claim, QueueUs: int32(answer.QueueTime.Microseconds()),
 		}
 	}
-	return answers, k.replicaClock(now.Add(storecache.ReadPermitTTL)), true
+	return answers, s.replicaClock(now.Add(storecache.ReadPermitTTL)), true
 }
 
-// release takes back what claim allowed for a part.
-func (k *kept) release(key storecache.Key, claim int64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.room.Release(time.Now(), key, claim)
+// release cancels what claim permitted for a part.
+func (s *ownedStore) release(key storecache.Key, claim int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cache.Release(time.Now(), key, claim)
 }
 
-// fetched notes how a fetch went.
-func (k *kept) fetched(f storecache.FetchResult) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.room.OnFetched(time.Now(), f)
+// fetched records the outcome of a fetch.
+func (s *ownedStore) fetched(f storecache.FetchResult) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cache.OnFetched(time.Now(), f)
 }
--- a/internal/contextstore/owner.go
+++ b/internal/contextstore/owner.go
@@ -1,9 +1,9 @@
-// Package contextstore lets prompts use the managed context stores: one daemon keeps the
-// room of each store, under a lease, and all others ask it before a request fetches from
-// the store or saves to it.
+// Package contextstore manages the context stores that hold stored parts of prompts. One daemon
+// owns each store, under a lease, and manages its space. The other daemons ask the owner before a
+// request fetches from the store or saves to it.
 //
-// A keeper that does not answer at once costs the request its stored parts, never a wait:
-// the prompt is computed instead.
+// An owner that does not respond promptly costs the request its stored parts but no waiting
+// time: the prompt is computed instead.
 package contextstore
 
 import (
@@ -27,44 +27,45 @@
 )
 
 const (
-	// LeasePrefix begins the names under which stores are kept.
+	// LeasePrefix is the prefix of the names of the store leases.
 	LeasePrefix = "store/"
 
 	followWait = time.Second
-	// followPause gathers events, so that a busy store is not asked for each one.
-	followPause = 60 * time.Millisecond
-	failPause   = 300 * time.Millisecond
-	keepEvery   = 100 * time.Millisecond
-	listAtMost  = 3 * time.Second // between two lists, which stall the store
-	// freeTimeout is how long a store may take to carry out that parts are freed; it answers
-	// in some ms.
-	freeTimeout  = 150 * time.Millisecond
-	acquireEvery = time.Second
-	backupRanks  = 2
-	// deafAfter is how long a store may be silent before nothing is fetched from it: it
-	// may be gone, and a dead source costs a request some hundred ms.
-	deafAfter = 1600 * time.Millisecond
-	maxFree   = 64              // parts in one call
-	tellEvery = 2 * time.Second // between two lines of the log on one store
+	// followInterval batches events, so that a busy store is not polled for each one.
+	followInterval   = 60 * time.Millisecond
+	retryInterval    = 300 * time.Millisecond
+	maintainInterval = 100 * time.Millisecond
+	minListInterval  = 3 * time.Second // between two lists, which stall the store
+	// freeTimeout is how long a store may take to free parts. It responds within a few
+	// milliseconds.
+	freeTimeout     = 150 * time.Millisecond
+	acquireInterval = time.Second
+	backupRanks     = 2
+	// silenceTimeout is how long a store may be silent before fetches from it stop. It may be
+	// down, and a dead source costs a request some hundred ms.
+	silenceTimeout = 1600 * time.Millisecond
+	maxFreeBatch   = 64              // per call
+	logInterval    = 2 * time.Second // between two log lines of a store
 )
 
-// Options of NewKeeper.
+// Options configures an Owner.
 type Options struct {
 	KV platform.KV
-	// Self is this daemon. What it kept before its start, or dropped, nobody reads any more.
+	// Self is this daemon. No replica still reads under permits that it granted before its
+	// start or for a store that it dropped.
 	Self   request.DaemonID
 	Leases *lease.Manager
 	API    StoreAPI
 	// Stores returns the managed stores of the desired state.
 	Stores func() []*routing.Service
-	// Rank returns this daemon's place among those that may keep a store, 0 first.
+	// Rank returns this daemon's rank among the candidate owners of a store, starting at 0.
 	Rank func(store routing.ServiceID) int
-	// LastOwner returns the daemon that kept a store last, as far as is known; nil: none is.
+	// LastOwner returns the last known owner of a store. If nil, no last owner is known.
 	LastOwner func(store routing.ServiceID) request.DaemonID
-	// HasOwner reports whether some daemon is known to keep a store, and has answered when it
-	// was asked last; nil: never.
+	// HasOwner reports whether a store has a known owner that answered its last call. If nil,
+	// no store has one.
 	HasOwner func(store routing.ServiceID) bool
-	// LeaseEpoch returns the newest epoch that is known under which a store is kept; nil: never.
+	// LeaseEpoch returns the newest known epoch of a store's lease. If nil, none is known.
 	LeaseEpoch func(store routing.ServiceID) uint64
 	// TokenBytes returns the size of a token's KV cache; zero if it is not known yet.
 	TokenBytes func() int
@@ -72,20 +73,20 @@
 	Metrics    tally.Scope
 }
 
-// Owner keeps the stores that fall to this daemon. It implements Keeper.
+// Owner owns the stores that are assigned to this daemon. It implements Keeper.
 type Owner struct {
-	o Options
+	opts Options
 
-	started time.Time // of this process, or a little later
+	started time.Time // start of this process, or slightly later
 
-	mu     sync.Mutex
-	stores map[routing.ServiceID]*kept
-	asked  map[routing.ServiceID]time.Time
+	mu           sync.Mutex
+	stores       map[routing.ServiceID]*ownedStore
+	acquireTried map[routing.ServiceID]time.Time
 
 	leaving atomic.Bool
 }
 
-// NewOwner returns a keeper that keeps nothing yet.
+// NewOwner returns an Owner that owns no store yet.
 func NewOwner(o Options) *Owner {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
@@ -94,208 +95,209 @@
 		o.Metrics = tally.NoopScope
 	}
 	o.Logger = o.Logger.Named("contextstore")
-	return &Owner{o: o, started: time.Now(), stores: map[routing.ServiceID]*kept{}, asked: map[routing.ServiceID]time.Time{}}
+	return &Owner{opts: o, started: time.Now(), stores: map[routing.ServiceID]*ownedStore{}, acquireTried: map[routing.ServiceID]time.Time{}}
 }
 
-// Leave gives all stores back, so that other daemons keep them.
-func (s *Owner) Leave(ctx context.Context) {
-	s.leaving.Store(true)
-	s.mu.Lock()
-	stores := slices.Collect(maps.Values(s.stores))
-	clear(s.stores)
-	s.mu.Unlock()
-	for _, k := range stores {
-		l := k.retire()
-		if !k.mayRelease() {
-			continue // the next keeper must know that there may be a reader: the lease lapses
+// Leave releases all stores, so that other daemons can own them.
+func (o *Owner) Leave(ctx context.Context) {
+	o.leaving.Store(true)
+	o.mu.Lock()
+	stores := slices.Collect(maps.Values(o.stores))
+	clear(o.stores)
+	o.mu.Unlock()
+	for _, owned := range stores {
+		l := owned.retire()
+		if !owned.mayRelease() {
+			continue // the lease must expire, which tells the next owner that there may be readers
 		}
 		if err := l.Release(ctx); err != nil {
-			s.o.Logger.Warn("A store could not be given back; its lease lapses", "store", k.id, "error", err)
+			o.opts.Logger.Warn("Failed to release a context store; its lease will expire", "store", owned.id, "error", err)
 		}
 	}
 }
 
-// Run takes stores that nobody keeps until ctx ends.
-func (s *Owner) Run(ctx context.Context) error {
-	for ctx.Err() == nil && !s.leaving.Load() {
-		for _, store := range s.o.Stores() {
-			s.consider(ctx, store)
+// Run acquires stores that have no owner until ctx ends.
+func (o *Owner) Run(ctx context.Context) error {
+	for ctx.Err() == nil && !o.leaving.Load() {
+		for _, store := range o.opts.Stores() {
+			o.acquireIfDue(ctx, store)
 		}
-		_ = pause.For(ctx, keepEvery) // the loop asks the context itself
+		_ = pause.For(ctx, maintainInterval) // the loop checks ctx itself
 	}
 	return nil
 }
 
-// consider takes a store if it falls to this daemon and is free, or takes it again if its
-// lease ran out here.
-func (s *Owner) consider(ctx context.Context, store *routing.Service) {
-	before := s.current(store.ID)
-	if before != nil && before.holds() {
+// acquireIfDue acquires a store that is free and assigned to this daemon. It also reacquires a
+// store whose lease expired here.
+func (o *Owner) acquireIfDue(ctx context.Context, store *routing.Service) {
+	prev := o.current(store.ID)
+	if prev != nil && prev.holdsLease() {
 		return
 	}
-	s.mu.Lock()
-	due := time.Since(s.asked[store.ID]) > acquireEvery
-	s.mu.Unlock()
-	bytes := s.o.TokenBytes()
-	if !due || bytes == 0 || !store.Store.Managed || before == nil && !s.mayTake(store.ID) {
+	o.mu.Lock()
+	due := time.Since(o.acquireTried[store.ID]) > acquireInterval
+	o.mu.Unlock()
+	bytes := o.opts.TokenBytes()
+	if !due || bytes == 0 || !store.Store.Managed || prev == nil && !o.mayAcquire(store.ID) {
 		return
 	}
-	s.mu.Lock()
-	s.asked[store.ID] = time.Now()
-	s.mu.Unlock()
-	l, err := s.o.Leases.Acquire(ctx, LeasePrefix+string(store.ID))
+	o.mu.Lock()
+	o.acquireTried[store.ID] = time.Now()
+	o.mu.Unlock()
+	l, err := o.opts.Leases.Acquire(ctx, LeasePrefix+string(store.ID))
 	switch {
 	case errors.Is(err, lease.ErrHeld):
-		s.drop(store.ID)
+		o.drop(store.ID)
 	case err != nil:
-		s.o.Logger.Warn("A store could not be taken", "store", store.ID, "error", err)
-	case before != nil && before.resume(l):
-		s.o.Logger.Info("A store is kept here again", "store", store.ID, "epoch", l.Epoch())
+		o.opts.Logger.Warn("Failed to acquire a context store", "store", store.ID, "error", err)
+	case prev != nil && prev.resume(l):
+		o.opts.Logger.Info("Reacquired a context store", "store", store.ID, "epoch", l.Epoch())
 	default:
-		s.drop(store.ID)
-		s.keep(ctx, store, l, bytes)
+		o.drop(store.ID)
+		o.startOwning(ctx, store, l, bytes)
 	}
 }
 
-// current returns what is kept here of a store; nil if nothing is, or another daemon is
-// known to keep it.
-func (s *Owner) current(store routing.ServiceID) *kept {
-	k := s.keptStore(store)
-	if k == nil {
+// current returns the state of a store owned here, or nil if it is not owned here or another
+// daemon is known to own it.
+func (o *Owner) current(store routing.ServiceID) *ownedStore {
+	owned := o.lookup(store)
+	if owned == nil {
 		return nil
 	}
-	if !k.serves(time.Now()) || s.o.LeaseEpoch != nil && s.o.LeaseEpoch(store) > k.epochOfLease() {
-		s.drop(store)
+	if !owned.serves(time.Now()) || o.opts.LeaseEpoch != nil && o.opts.LeaseEpoch(store) > owned.leaseEpoch() {
+		o.drop(store)
 		return nil
 	}
-	return k
+	return owned
 }
 
-// distrustAfter is the shortest standstill in which a lease may have run out and been taken:
-// the time from one renewal to the next is left out of it.
-const distrustAfter = time.Second
+// minUnsafeStall is the shortest process stall in which a lease may have expired and been
+// acquired elsewhere. It leaves out the time between two renewals.
+const minUnsafeStall = time.Second
 
-// HandleStall is told that the process stood still. The clock of the leases may have stood still
-// with it, so that they look held, and another daemon may have kept the stores since: what is
-// known of them counts for nothing any more.
-func (s *Owner) HandleStall(gap time.Duration) {
-	if gap < distrustAfter {
+// HandleStall drops all stores after a long process stall. The clock of the leases may have
+// stopped as well, so that expired leases look valid. Another daemon may have owned the stores
+// since, which invalidates the state held here.
+func (o *Owner) HandleStall(gap time.Duration) {
+	if gap < minUnsafeStall {
 		return
 	}
-	s.mu.Lock()
-	stores := slices.Collect(maps.Keys(s.stores))
-	s.mu.Unlock()
+	o.mu.Lock()
+	stores := slices.Collect(maps.Keys(o.stores))
+	o.mu.Unlock()
 	for _, store := range stores {
-		s.drop(store)
+		o.drop(store)
 	}
 }
 
-func (s *Owner) drop(store routing.ServiceID) {
-	s.mu.Lock()
-	k := s.stores[store]
-	delete(s.stores, store)
-	s.mu.Unlock()
-	if k != nil {
-		k.retire()
+func (o *Owner) drop(store routing.ServiceID) {
+	o.mu.Lock()
+	owned := o.stores[store]
+	delete(o.stores, store)
+	o.mu.Unlock()
+	if owned != nil {
+		owned.retire()
 	}
 }
 
-// mayTake reports whether it is this daemon's turn to ask for a store. Where its keeper
-// does not answer, the next ones in rank ask, too: the first is mostly that keeper, and is
-// listed for some time after it died.
+// mayAcquire reports whether this daemon may try to acquire a store. If the owner of a store
+// does not respond, the daemons next in rank also try. The first in rank is mostly that owner
+// itself and stays listed for some time after its death.
 //
-// A daemon that starts again goes on with what it kept before. When all daemons lose power
-// and are back after 1.5 s, their leases last for some hundred ms more, and none knows its
-// rank yet: with nobody to give leave for 1.2 s all contexts that return were computed, and
-// callers refused for want of replicas.
-func (s *Owner) mayTake(store routing.ServiceID) bool {
-	if s.o.LastOwner != nil && s.o.LastOwner(store) == s.o.Self {
+// A restarted daemon reacquires its previous stores. When all daemons lose power and restart
+// after 1.5 s, their leases remain valid for some hundred ms and no daemon knows its rank yet.
+// Without an owner to grant permits for 1.2 s, the prompts of all returning contexts were
+// computed, and callers were refused because no replica was available.
+func (o *Owner) mayAcquire(store routing.ServiceID) bool {
+	if o.opts.LastOwner != nil && o.opts.LastOwner(store) == o.opts.Self {
 		return true
 	}
-	if s.o.HasOwner != nil && s.o.HasOwner(store) {
+	if o.opts.HasOwner != nil && o.opts.HasOwner(store) {
 		return false
 	}
-	return s.o.Rank(store) <= backupRanks
+	return o.opts.Rank(store) <= backupRanks
 }
 
 const bitsPerMegabit = 1e6
 
-func (s *Owner) keep(ctx context.Context, store *routing.Service, l *lease.Lease, tokenBytes int) {
+func (o *Owner) startOwning(ctx context.Context, store *routing.Service, l *lease.Lease, tokenBytes int) {
 	const bitsPerByte = 8
-	k := &kept{
-		id: store.ID, address: store.Store.Address, tokens: store.Store.Tokens, lease: l, heldAt: time.Now(), calls: s.o.API, log: s.o.Logger, metrics: s.o.Metrics, records: records{kv: s.o.KV}, reasons: map[storecache.Reason]int{},
-		room: storecache.New(time.Now(), storecache.Params{
+	owned := &ownedStore{
+		id: store.ID, address: store.Store.Address, capacityTokens: store.Store.Tokens, lease: l, leaseValidAt: time.Now(), api: o.opts.API, log: o.opts.Logger, metrics: o.opts.Metrics, records: recordStore{kv: o.opts.KV}, reasons: map[storecache.Reason]int{},
+		cache: storecache.New(time.Now(), storecache.Params{
 			CapacityTokens: store.Store.Tokens, FirstByte: store.Store.FirstByte,
 			TokensPerSec:         store.Store.LinkMbps * bitsPerMegabit / bitsPerByte / float64(tokenBytes),
-			PreviousLeaseExpired: l.Lapsed() != "" && l.Lapsed() != s.o.Self,
+			PreviousLeaseExpired: l.Lapsed() != "" && l.Lapsed() != o.opts.Self,
 		}),
 	}
-	if l.Lapsed() == s.o.Self {
-		k.readFrom = s.started.Add(freeTimeout)
+	if l.Lapsed() == o.opts.Self {
+		owned.permitFrom = o.started.Add(freeTimeout)
 	}
-	s.mu.Lock()
-	s.stores[store.ID] = k
-	s.mu.Unlock()
-	s.o.Logger.Info("A store is kept here", "store", store.ID, "epoch", l.Epoch())
-	go k.run(ctx)
+	o.mu.Lock()
+	o.stores[store.ID] = owned
+	o.mu.Unlock()
+	o.opts.Logger.Info("Acquired a context store", "store", store.ID, "epoch", l.Epoch())
+	go owned.run(ctx)
 }
 
 // Claim implements Keeper.
-func (s *Owner) Claim(_ context.Context, r *ClaimRequest) (*ClaimResponse, error) {
+func (o *Owner) Claim(_ context.Context, r *ClaimRequest) (*ClaimResponse, error) {
 	out := &ClaimResponse{Parts: make([]*PartAnswer, len(r.Parts))}
 	byStore := map[string][]int{}
 	for i, p := range r.Parts {
 		out.Parts[i] = &PartAnswer{}
 		byStore[p.Store] = append(byStore[p.Store], i)
 	}
-	for store, at := range byStore {
-		k := s.keptStore(routing.ServiceID(store))
-		if k == nil {
-			for _, n := range at {
+	for store, positions := range byStore {
+		owned := o.lookup(routing.ServiceID(store))
+		if owned == nil {
+			for _, n := range positions {
 				out.Parts[n].NotKept = true
 			}
 			continue
 		}
-		asks := make([]*PartAsk, len(at))
-		for i, n := range at {
+		asks := make([]*PartAsk, len(positions))
+		for i, n := range positions {
 			asks[i] = r.Parts[n]
 		}
-		answers, until, ok := k.claim(r.Salt, r.Weights, asks)
+		answers, permitUntil, ok := owned.claim(r.Salt, r.Weights, asks)
 		if !ok {
 			continue
 		}
-		for i, n := range at {
+		for i, n := range positions {
 			out.Parts[n] = answers[i]
 		}
-		if out.LeaveUntilMs == 0 || until < out.LeaveUntilMs {
-			out.LeaveUntilMs = until
+		if out.LeaveUntilMs == 0 || permitUntil < out.LeaveUntilMs {
+			out.LeaveUntilMs = permitUntil
 		}
 	}
 	return out, nil
 }
 
 // Release implements Keeper.
-func (s *Owner) Release(_ context.Context, r *ReleaseRequest) (*ReleaseResponse, error) {
+func (o *Owner) Release(_ context.Context, r *ReleaseRequest) (*ReleaseResponse, error) {
 	for _, p := range r.Parts {
-		if k := s.keptStore(routing.ServiceID(p.Store)); k != nil {
-			k.release(storecache.Key{Salt: r.Salt, ID: p.Id}, p.Claim)
+		if owned := o.lookup(routing.ServiceID(p.Store)); owned != nil {
+			owned.release(storecache.Key{Salt: r.Salt, ID: p.Id}, p.Claim)
 		}
 	}
 	return &ReleaseResponse{}, nil
 }
 
 // Fetched implements Keeper.
-func (s *Owner) Fetched(_ context.Context, r *FetchedRequest) (*FetchedResponse, error) {
-	if k := s.keptStore(routing.ServiceID(r.Store)); k != nil {
+func (o *Owner) Fetched(_ context.Context, r *FetchedRequest) (*FetchedResponse, error) {
+	if owned := o.lookup(routing.ServiceID(r.Store)); owned != nil {
 		took := time.Duration(r.TookUs) * time.Microsecond
-		k.fetched(storecache.FetchResult{Claim: r.Claim, Took: took, Overdue: r.Overdue, Busy: r.Busy})
+		owned.fetched(storecache.FetchResult{Claim: r.Claim, Took: took, Overdue: r.Overdue, Busy: r.Busy})
 	}
 	return &FetchedResponse{}, nil
 }
 
-// keptStore returns what is kept here of a store, whether it serves or not; nil if nothing is.
-func (s *Owner) keptStore(store routing.ServiceID) *kept {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.stores[store]
+// lookup returns the state of a store owned here, even if it can't grant permits; nil if the
+// store is not owned here.
+func (o *Owner) lookup(store routing.ServiceID) *ownedStore {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.stores[store]
 }
--- a/internal/contextstore/record.go
+++ b/internal/contextstore/record.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// RecordPrefix begins the keys under which keepers write down what they know of a store's
-	// running process.
+	// RecordPrefix is the prefix of the keys under which owners record what they know about a
+	// store's running process.
 	RecordPrefix = "store-record/"
-	// recordTimeout bounds reading and writing one of them.
+	// recordTimeout bounds each read and write of a record.
 	recordTimeout = 500 * time.Millisecond
-	// inheritEvery is how often that is tried while the key-value service does not answer.
-	inheritEvery = time.Second
+	// inheritInterval is the time between attempts while the key-value service does not respond.
+	inheritInterval = time.Second
 )
 
-// record is what keepers tell their successors of a store. Its times are on the replicas'
-// clock, in ms: those of daemons may be set.
+// record is what owners pass on to their successors about a store. Its times are on the
+// replicas' clock, in ms, because the wall clocks of daemons may be set.
 type record struct {
 	Epoch uint64 `json:"epoch"` // of the store's process
-	Seen  int64  `json:"seen"`  // when that was known
-	// Readers is until when a keeper whose lease ran out may give leave.
-	Readers int64 `json:"readers"`
+	Seen  int64  `json:"seen"`  // when this process was first seen
+	// OtherOwnerUntil is until when an owner whose lease expired may grant permits.
+	OtherOwnerUntil int64 `json:"readers"`
 }
 
-// errUnreadable is a record that some other writer made.
-var errUnreadable = errors.New("contextstore: unreadable record")
+// errUnreadableRecord marks a record that was not written by an owner.
+var errUnreadableRecord = errors.New("contextstore: unreadable record")
 
-// records reads and writes what keepers know of stores.
-type records struct{ kv platform.KV }
+// recordStore reads and writes records in the key-value service.
+type recordStore struct{ kv platform.KV }
 
-func (r records) read(ctx context.Context, store routing.ServiceID) (record, platform.Revision, error) {
+func (r recordStore) read(ctx context.Context, store routing.ServiceID) (record, platform.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	entry, err := r.kv.Get(ctx, RecordPrefix+string(store))
@@ -49,71 +49,72 @@
 	}
 	var known record
 	if err := json.Unmarshal(entry.Value, &known); err != nil {
-		return record{}, entry.Revision, errors.Mark(errors.Wrap(err, "contextstore: a store's record"), errUnreadable)
+		return record{}, entry.Revision, errors.Mark(errors.Wrap(err, "contextstore: decode a store's record"), errUnreadableRecord)
 	}
 	return known, entry.Revision, nil
 }
 
-func (r records) write(ctx context.Context, store routing.ServiceID, known record, at platform.Revision) error {
+func (r recordStore) write(ctx context.Context, store routing.ServiceID, known record, revision platform.Revision) error {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	value, err := json.Marshal(known)
 	if err != nil {
 		return errors.Wrap(err, "contextstore: encode a store's record")
 	}
-	_, err = r.kv.CompareAndSwap(ctx, RecordPrefix+string(store), at, value, "")
+	_, err = r.kv.CompareAndSwap(ctx, RecordPrefix+string(store), revision, value, "")
 	return errors.Wrap(err, "contextstore: write a store's record")
 }
 
-// inherit compares what this keeper sees of the store with what the one before wrote down.
+// inherit compares this owner's view of the store with the record of the previous owners.
 //
-// A new keeper has nothing saved for as long as leave of the one before may last: had the
-// store come back empty meanwhile, a part that is being written could be read by a request
-// that had leave for the whole one. If the store's process is the same as some time before
-// that leave was given, the store was not empty, and saves need not wait. All contexts that
-// return in that time, 2.8 s after each stop of a keeper, were else not saved and computed
+// A new owner permits no save while permits of the previous owner may be valid. If the store had
+// restarted empty in the meantime, a request with a permit for the complete part could read
+// one that is being written. If the store's process is known from some time before those
+// permits were granted, the store was not empty, and saves need not wait. Otherwise contexts
+// that returned within 2.8 s after each stop of an owner were not saved, and were computed
 // again at their next return.
 //
-// It also learns until when a keeper that was cut off may go on to give leave. That keeper's
-// own successor knows it from its lease; the one after that would not, and free too soon.
-func (k *kept) inherit(ctx context.Context) error {
-	known, revision, err := k.records.read(ctx, k.id)
-	unreadable := errors.Is(err, errUnreadable)
+// The record also tells until when an owner behind a network partition may grant permits. That
+// owner's direct successor knows it from the expired lease. The successor's successor would not,
+// and would free parts too early.
+func (s *ownedStore) inherit(ctx context.Context) error {
+	known, revision, err := s.records.read(ctx, s.id)
+	unreadable := errors.Is(err, errUnreadableRecord)
 	if err != nil && !unreadable {
 		return err
 	}
 	if unreadable {
-		k.log.Warn("What keepers wrote down of a store can not be read; it is written anew", "store", k.id, "error", err)
+		s.log.Warn("The record of a context store is unreadable; writing a new one", "store", s.id, "error", err)
 	}
-	next := k.compare(known, unreadable)
+	next := s.reconcile(known, unreadable)
 	if next != known {
-		if err := k.records.write(ctx, k.id, next, revision); err != nil {
+		if err := s.records.write(ctx, s.id, next, revision); err != nil {
 			return err
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.inherited = k.epoch == next.Epoch // else the store has restarted meanwhile
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.inherited = s.epoch == next.Epoch // false if the store has restarted in the meantime
 	return nil
 }
 
-// compare tells the room what a record says, and returns the one to be written.
-func (k *kept) compare(known record, unreadable bool) record {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// reconcile applies a record to the cache and returns the record to be written.
+func (s *ownedStore) reconcile(known record, unreadable bool) record {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	clock := k.replicaClock(now)
+	clock := s.replicaClock(now)
 	if unreadable {
-		k.room.OnOtherOwner(now.Add(storecache.ReadOnlyGrace)) // as if one had just been cut off
+		s.cache.OnOtherOwner(now.Add(storecache.ReadOnlyGrace)) // as if an owner had just been partitioned
 	}
-	k.room.OnOtherOwner(now.Add(time.Duration(known.Readers-clock) * time.Millisecond))
-	next := record{Epoch: k.epoch, Seen: clock, Readers: max(known.Readers, k.replicaClock(k.room.OtherOwnerUntil()))}
-	if known.Epoch != k.epoch {
+	s.cache.OnOtherOwner(now.Add(time.Duration(known.OtherOwnerUntil-clock) * time.Millisecond))
+	next := record{Epoch: s.epoch, Seen: clock, OtherOwnerUntil: max(known.OtherOwnerUntil, s.replicaClock(s.cache.OtherOwnerUntil()))}
+	if known.Epoch != s.epoch {
 		return next
 	}
 	next.Seen = known.Seen
 	if time.Duration(clock-known.Seen)*time.Millisecond > storecache.MinProcessAge {
-		k.room.OnSameProcess(now)
+		s.cache.OnSameProcess(now)
 	}
 	return next
 }
