--- a/internal/steady/steady.go
+++ b/internal/monotime/monotime.go
@@ -1,11 +1,11 @@
-// Package steady holds moments that several goroutines share and that setting the clock does
+// Package monotime holds moments that several goroutines share and that setting the clock does
 // not move.
 //
 // The failure: a moment kept as Unix time. The clock is set back by two seconds, and a replica
 // that loads weights for half a second is left alone for two and a half; it is set ahead, and
 // requests go to a replica that refuses them. Why the guard holds: a moment is kept as the
 // time since the process began, by the clock that only runs forward.
-package steady
+package monotime
 
 import (
 	"sync/atomic"
@@ -15,9 +15,9 @@
 // began is any moment of this process: times are counted from it.
 var began = time.Now()
 
-// Moment is a time that may be set. Zero, it has never been set and lies in the past. It is
+// Instant is a time that may be set. Zero, it has never been set and lies in the past. It is
 // safe for concurrent use.
-type Moment struct {
+type Instant struct {
 	since atomic.Int64 // nanoseconds after began, never zero once set
 }
 
@@ -29,7 +29,7 @@
 }
 
 // Set sets the moment. The zero time unsets it.
-func (m *Moment) Set(t time.Time) {
+func (m *Instant) Set(t time.Time) {
 	if t.IsZero() {
 		m.since.Store(0)
 		return
@@ -38,7 +38,7 @@
 }
 
 // Extend sets the moment unless it is later already.
-func (m *Moment) Extend(t time.Time) {
+func (m *Instant) Extend(t time.Time) {
 	next := sinceBegan(t)
 	for {
 		known := m.since.Load()
@@ -49,13 +49,13 @@
 }
 
 // IsAhead reports whether the moment has not come yet.
-func (m *Moment) IsAhead(now time.Time) bool {
+func (m *Instant) IsAhead(now time.Time) bool {
 	since := m.since.Load()
 	return since != 0 && sinceBegan(now) < since
 }
 
 // Time returns the moment and whether it was ever set.
-func (m *Moment) Time() (time.Time, bool) {
+func (m *Instant) Time() (time.Time, bool) {
 	since := m.since.Load()
 	return began.Add(time.Duration(since)), since != 0
 }
--- a/internal/steady/steady_test.go
+++ b/internal/monotime/monotime_test.go
@@ -1,4 +1,4 @@
-package steady
+package monotime
 
 import (
 	"testing"
@@ -8,8 +8,8 @@
 // The clock of a VM is set back by 2.4 s, and later ahead: what lasts half a second must last
 // half a second. Times with another wall clock and the same reading of the steady clock can't
 // be made, so that the test checks that the wall clock plays no part.
-func TestMomentGoesByTheSteadyClock(t *testing.T) {
-	var m Moment
+func TestInstantFollowsMonotonicClock(t *testing.T) {
+	var m Instant
 	now := time.Now()
 	if m.IsAhead(now) {
 		t.Error("a moment that was never set is ahead")
@@ -31,7 +31,7 @@
 }
 
 func TestExtendNeverShortens(t *testing.T) {
-	var m Moment
+	var m Instant
 	now := time.Now()
 	m.Extend(now.Add(time.Second))
 	m.Extend(now.Add(time.Millisecond))
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -11,10 +11,10 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/bluebellscale/bluebellscale/internal/metrics"
+	"github.com/bluebellscale/bluebellscale/internal/monotime"
 	"github.com/bluebellscale/bluebellscale/internal/policy/retry"
 	"github.com/bluebellscale/bluebellscale/internal/request"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
-	"github.com/bluebellscale/bluebellscale/internal/steady"
 )
 
 const (
@@ -69,7 +69,7 @@
 type Server struct {
 	o         Options
 	stopping  atomic.Bool
-	noStreams steady.Moment // when stopping, from when streams are refused
+	noStreams monotime.Instant // when stopping, from when streams are refused
 	inFlight  atomic.Int64
 
 	first map[routing.Kind]tally.Histogram // until the answer, or the first event
--- a/internal/replicas/replicas.go
+++ b/internal/replicas/replicas.go
@@ -16,9 +16,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/bluebellscale/bluebellscale/internal/monotime"
 	"github.com/bluebellscale/bluebellscale/internal/request"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
-	"github.com/bluebellscale/bluebellscale/internal/steady"
 	"github.com/bluebellscale/bluebellscale/internal/upstream"
 )
 
@@ -70,10 +70,10 @@
 	lookedAt time.Time // by Dead
 	dead     bool
 	info     atomic.Pointer[Info]
-	weights  sync.Map      // request.Model -> uint64, from answers newer than the registry
-	busy     steady.Moment // until when it takes no requests
-	backoff  steady.Moment // until when it wants no requests of this daemon
-	cold     steady.Moment // until when it bears few requests only
+	weights  sync.Map         // request.Model -> uint64, from answers newer than the registry
+	busy     monotime.Instant // until when it takes no requests
+	backoff  monotime.Instant // until when it wants no requests of this daemon
+	cold     monotime.Instant // until when it bears few requests only
 	limit    rateLimit
 	leaving  atomic.Bool // an answer said so
 	coldFor  func(routing.ServiceID) time.Duration
--- a/internal/weights/duty.go
+++ b/internal/weights/duty.go
@@ -15,12 +15,12 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/bluebellscale/bluebellscale/internal/lease"
+	"github.com/bluebellscale/bluebellscale/internal/monotime"
 	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 	"github.com/bluebellscale/bluebellscale/internal/policy/rollout"
 	"github.com/bluebellscale/bluebellscale/internal/replicas"
 	"github.com/bluebellscale/bluebellscale/internal/request"
-	"github.com/bluebellscale/bluebellscale/internal/steady"
 )
 
 const (
@@ -142,8 +142,8 @@
 	foreign map[request.TargetID]time.Time // until when the holder before may count as a replica's
 
 	leaving  atomic.Bool
-	left     chan struct{} // closed once the duty is given back
-	lastSent steady.Moment // when the last order was sent
+	left     chan struct{}    // closed once the duty is given back
+	lastSent monotime.Instant // when the last order was sent
 }
 
 // ordered is an order under way.
