--- a/internal/contextstore/contextstore_test.go
+++ b/internal/contextstore/contextstore_test.go
@@ -12,11 +12,11 @@
 
 	"github.com/bluebellscale/bluebellscale/internal/lease"
 	"github.com/bluebellscale/bluebellscale/internal/mirror"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/policy/storeroom"
 	"github.com/bluebellscale/bluebellscale/internal/relay"
 	"github.com/bluebellscale/bluebellscale/internal/request"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
 )
 
@@ -82,7 +82,7 @@
 }
 
 func (s *fakeStore) List(ctx context.Context, _ string) (Content, error) {
-	if err := pause.For(ctx, s.listTakes); err != nil {
+	if err := sleep.For(ctx, s.listTakes); err != nil {
 		return Content{}, err
 	}
 	s.mu.Lock()
--- a/internal/contextstore/keeper.go
+++ b/internal/contextstore/keeper.go
@@ -19,11 +19,11 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/bluebellscale/bluebellscale/internal/lease"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 	"github.com/bluebellscale/bluebellscale/internal/policy/storeroom"
 	"github.com/bluebellscale/bluebellscale/internal/request"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 const (
@@ -121,7 +121,7 @@
 		for _, store := range s.o.Stores() {
 			s.consider(ctx, store)
 		}
-		_ = pause.For(ctx, keepEvery) // the loop asks the context itself
+		_ = sleep.For(ctx, keepEvery) // the loop asks the context itself
 	}
 	return nil
 }
--- a/internal/contextstore/kept.go
+++ b/internal/contextstore/kept.go
@@ -13,9 +13,9 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/bluebellscale/bluebellscale/internal/lease"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/policy/storeroom"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // Event is a change of a store's content.
@@ -103,11 +103,11 @@
 	for ctx.Err() == nil && k.serves(time.Now()) {
 		if err := k.follow(ctx); err != nil && ctx.Err() == nil {
 			k.log.Info("A store does not answer", "store", k.id, "error", err)
-			_ = pause.For(ctx, failPause) // the loop asks the context itself
+			_ = sleep.For(ctx, failPause) // the loop asks the context itself
 			continue
 		}
 		k.learn(ctx)
-		_ = pause.For(ctx, followPause) // the loop asks the context itself
+		_ = sleep.For(ctx, followPause) // the loop asks the context itself
 	}
 	k.log.Info("A store is no longer kept here", "store", k.id)
 }
@@ -218,7 +218,7 @@
 func (k *kept) tend(ctx context.Context) {
 	told := time.Now()
 	for ctx.Err() == nil {
-		_ = pause.For(ctx, keepEvery) // the loop asks the context itself
+		_ = sleep.For(ctx, keepEvery) // the loop asks the context itself
 		k.free(ctx)
 		if time.Since(told) >= tellEvery {
 			told = time.Now()
--- a/internal/controlbench/fleet.go
+++ b/internal/controlbench/fleet.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strconv"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // Load of the fleet part: about ten requests a second for each daemon.
@@ -41,7 +41,7 @@
 	if err := c.startDaemons(ctx, n); err != nil {
 		return err
 	}
-	if err := pause.For(ctx, settle); err != nil {
+	if err := sleep.For(ctx, settle); err != nil {
 		return err
 	}
 	idle, err := c.observe(ctx, window)
@@ -54,7 +54,7 @@
 		return err
 	}
 	defer load.stop()
-	if err := pause.For(ctx, settle/2); err != nil {
+	if err := sleep.For(ctx, settle/2); err != nil {
 		return err
 	}
 	busy, err := c.observe(ctx, window)
--- a/internal/controlbench/inforce.go
+++ b/internal/controlbench/inforce.go
@@ -11,7 +11,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
@@ -44,7 +44,7 @@
 	if err := c.startDaemons(ctx, n); err != nil {
 		return err
 	}
-	if err := pause.For(ctx, settle); err != nil {
+	if err := sleep.For(ctx, settle); err != nil {
 		return err
 	}
 	times := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
@@ -54,7 +54,7 @@
 			return err
 		}
 		_ = times.RecordValue(took.Microseconds())
-		if err := pause.For(ctx, time.Duration(i%7)*100*time.Millisecond); err != nil {
+		if err := sleep.For(ctx, time.Duration(i%7)*100*time.Millisecond); err != nil {
 			return err
 		}
 	}
@@ -103,7 +103,7 @@
 		if state.Revision >= revision {
 			return nil
 		}
-		if err := pause.For(ctx, tablePoll); err != nil {
+		if err := sleep.For(ctx, tablePoll); err != nil {
 			return errors.Wrapf(err, "%s lacks revision %d", d.name, revision)
 		}
 	}
--- a/internal/controlbench/looks.go
+++ b/internal/controlbench/looks.go
@@ -4,7 +4,7 @@
 	"context"
 	"fmt"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // looksDaemons is the number of daemons among which the engines' stewards are spread.
@@ -37,7 +37,7 @@
 	if err := c.startDaemons(ctx, looksDaemons); err != nil {
 		return err
 	}
-	if err := pause.For(ctx, settle); err != nil {
+	if err := sleep.For(ctx, settle); err != nil {
 		return err
 	}
 	idle, err := c.observe(ctx, window/2)
@@ -49,7 +49,7 @@
 		return err
 	}
 	defer load.stop()
-	if err := pause.For(ctx, settle/2); err != nil {
+	if err := sleep.For(ctx, settle/2); err != nil {
 		return err
 	}
 	busy, err := c.observe(ctx, window)
--- a/internal/controlbench/processes.go
+++ b/internal/controlbench/processes.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 	"github.com/cockroachdb/errors"
 )
 
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for !condition() {
-		if err := pause.For(ctx, pollStep); err != nil {
+		if err := sleep.For(ctx, pollStep); err != nil {
 			return errors.Wrap(err, "waited in vain")
 		}
 	}
--- a/internal/controlbench/relay.go
+++ b/internal/controlbench/relay.go
@@ -17,8 +17,8 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/bluebellscale/bluebellscale/internal/engineapi"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/request"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 const (
@@ -56,7 +56,7 @@
 	if err := c.startDaemons(ctx, 1); err != nil {
 		return err
 	}
-	if err := pause.For(ctx, settle/2); err != nil {
+	if err := sleep.For(ctx, settle/2); err != nil {
 		return err
 	}
 	prefix := fmt.Sprintf("relay_%d", streams)
@@ -117,7 +117,7 @@
 	if err != nil {
 		return relayResult{}, errors.Wrapf(err, "%d of %d streams began", r.begun.Load(), streams)
 	}
-	if err := pause.For(ctx, time.Second); err != nil {
+	if err := sleep.For(ctx, time.Second); err != nil {
 		return relayResult{}, err
 	}
 	before, err := c.processorSample()
@@ -125,7 +125,7 @@
 		return relayResult{}, err
 	}
 	r.measuring.Store(true)
-	if err := pause.For(ctx, relayWindow); err != nil {
+	if err := sleep.For(ctx, relayWindow); err != nil {
 		return relayResult{}, err
 	}
 	r.measuring.Store(false)
--- a/internal/controlbench/sample.go
+++ b/internal/controlbench/sample.go
@@ -14,7 +14,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
 )
 
@@ -175,7 +175,7 @@
 	if err != nil {
 		return span{}, err
 	}
-	if err := pause.For(ctx, length); err != nil {
+	if err := sleep.For(ctx, length); err != nil {
 		return span{}, err
 	}
 	after, err := c.sample(ctx)
--- a/internal/controlbench/table.go
+++ b/internal/controlbench/table.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 const (
@@ -42,7 +42,7 @@
 	if err := c.startDaemons(ctx, tableDaemons); err != nil {
 		return err
 	}
-	if err := pause.For(ctx, settle); err != nil {
+	if err := sleep.For(ctx, settle); err != nil {
 		return err
 	}
 	idle, err := c.observe(ctx, window)
@@ -66,12 +66,12 @@
 		if _, err := c.edit(ctx, fmt.Sprintf("org-%05d", i*17), 100+i); err != nil {
 			return err
 		}
-		if err := pause.For(ctx, editGap); err != nil {
+		if err := sleep.For(ctx, editGap); err != nil {
 			return err
 		}
 	}
 	// The metrics of a daemon are a second old.
-	if err := pause.For(ctx, 2*time.Second); err != nil {
+	if err := sleep.For(ctx, 2*time.Second); err != nil {
 		return err
 	}
 	after, err := c.sample(ctx)
--- a/internal/controlbench/targets.go
+++ b/internal/controlbench/targets.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // targets measures one daemon that is the steward of all targets, at several numbers of
@@ -41,7 +41,7 @@
 	if err := c.startDaemons(ctx, 1); err != nil {
 		return err
 	}
-	if err := pause.For(ctx, settle); err != nil {
+	if err := sleep.For(ctx, settle); err != nil {
 		return err
 	}
 	asked := e.asked.Load()
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/bluebellscale/bluebellscale/internal/engineapi"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/policy/retry"
 	"github.com/bluebellscale/bluebellscale/internal/request"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 	"github.com/bluebellscale/bluebellscale/internal/target"
 )
 
@@ -73,7 +73,7 @@
 	case retry.GiveUp:
 		return d.Err
 	case retry.RetryElsewhere:
-		if pause.For(j.ctx, d.After) != nil {
+		if sleep.For(j.ctx, d.After) != nil {
 			return cancelled(failure.answer.Ran)
 		}
 	}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -13,9 +13,9 @@
 
 	"github.com/bluebellscale/bluebellscale/internal/kvapi"
 	"github.com/bluebellscale/bluebellscale/internal/lease"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 	"github.com/bluebellscale/bluebellscale/internal/request"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // MaxBody is the largest result body that is kept, in bytes. The repeat of a call
@@ -162,7 +162,7 @@
 			<-ctx.Done()
 			return err
 		}
-		if pause.For(ctx, scanInterval) != nil {
+		if sleep.For(ctx, scanInterval) != nil {
 			return nil
 		}
 	}
@@ -208,7 +208,7 @@
 			return
 		}
 		w.step(ctx)
-		_ = pause.For(ctx, flushInterval) // the loop asks the context itself
+		_ = sleep.For(ctx, flushInterval) // the loop asks the context itself
 	}
 }
 
--- a/internal/journal/worker.go
+++ b/internal/journal/worker.go
@@ -11,8 +11,8 @@
 	"golang.org/x/time/rate"
 
 	"github.com/bluebellscale/bluebellscale/internal/lease"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // worker is the shell of one partition: it does the calls that the core asks for.
@@ -347,7 +347,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if pause.For(ctx, pauseAfter(w.timedStep(ctx), pace)) != nil {
+		if sleep.For(ctx, pauseAfter(w.timedStep(ctx), pace)) != nil {
 			return
 		}
 	}
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -15,8 +15,8 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/bluebellscale/bluebellscale/internal/block"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/request"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 	"github.com/bluebellscale/bluebellscale/internal/standin/engine"
 	"github.com/bluebellscale/bluebellscale/internal/standin/service"
 )
@@ -99,11 +99,11 @@
 func (d *driver) runContext(ctx context.Context, org Org, n int, rng *rand.Rand) {
 	head := fmt.Sprintf("%s %s %d ", d.c.RunID, org.ID, n)
 	text := head + randomText(rng, d.c.ContextTokens*block.BytesPerToken-len(head))
-	if pause.For(ctx, time.Duration(rng.Int63n(int64(d.c.Gap)+1))) != nil {
+	if sleep.For(ctx, time.Duration(rng.Int63n(int64(d.c.Gap)+1))) != nil {
 		return
 	}
 	for turn := range d.c.Turns {
-		if turn > 0 && pause.For(ctx, gap(rng, d.c.Gap)) != nil {
+		if turn > 0 && sleep.For(ctx, gap(rng, d.c.Gap)) != nil {
 			return
 		}
 		prompt := text + randomText(rng, d.c.TurnTokens*block.BytesPerToken)
@@ -161,7 +161,7 @@
 // runCaller makes one caller's share of an organisation's service calls.
 func (d *driver) runCaller(ctx context.Context, org Org, caller int, rng *rand.Rand) {
 	for n := caller; n < d.c.Calls; n += d.c.Callers {
-		if pause.For(ctx, gap(rng, d.c.CallGap)) != nil {
+		if sleep.For(ctx, gap(rng, d.c.CallGap)) != nil {
 			return
 		}
 		key := fmt.Sprintf("%s-%s-%d", d.c.RunID, org.ID, n)
@@ -247,7 +247,7 @@
 			d.router.fail(address)
 			last = outcomeUnanswered
 		}
-		if pause.For(ctx, wait) != nil {
+		if sleep.For(ctx, wait) != nil {
 			return last, tries
 		}
 	}
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/uber-go/tally/v4"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/peer"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // Service runs the membership of one daemon. It implements peer.Gossip and is safe for
@@ -215,7 +215,7 @@
 		peers := s.node.core.TakeUrgent()
 		s.mu.Unlock()
 		s.begin(ctx, peers)
-		_ = pause.For(ctx, urgentGap) // the loop asks the context itself
+		_ = sleep.For(ctx, urgentGap) // the loop asks the context itself
 	}
 }
 
--- a/internal/membership/vms.go
+++ b/internal/membership/vms.go
@@ -4,8 +4,8 @@
 	"context"
 	"net"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // runVMs reads the platform's VM list now and then. While it can't be read, the members
@@ -18,7 +18,7 @@
 		} else if ctx.Err() == nil {
 			s.log.Warn("VM list was not read", "error", err)
 		}
-		_ = pause.For(ctx, s.options.VMInterval) // the loop asks the context itself
+		_ = sleep.For(ctx, s.options.VMInterval) // the loop asks the context itself
 	}
 }
 
--- a/internal/mirror/fleet_test.go
+++ b/internal/mirror/fleet_test.go
@@ -20,8 +20,8 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // The model: many daemons before one service, in a bubble of synthetic time. Each has a small
@@ -170,14 +170,14 @@
 	case kind == faultRefused || kind == faultFlaky && d.calls%2 == 0:
 		return platform.ErrUnavailable
 	case kind == faultSilent:
-		if err := pause.For(ctx, fleetSilence); err != nil {
+		if err := sleep.For(ctx, fleetSilence); err != nil {
 			return err
 		}
 		return platform.ErrUnavailable
 	case kind == faultSlow:
-		return pause.For(ctx, 60*fleetCall)
+		return sleep.For(ctx, 60*fleetCall)
 	default:
-		return pause.For(ctx, fleetCall)
+		return sleep.For(ctx, fleetCall)
 	}
 }
 
@@ -326,7 +326,7 @@
 // tell has a daemon tell others what it knows, some times a second.
 func (f *modelFleet) tell(ctx context.Context, i int) {
 	chance := rand.New(rand.NewPCG(uint64(i), 1))
-	for pause.For(ctx, fleetTell) == nil {
+	for sleep.For(ctx, fleetTell) == nil {
 		for n := range fleetPeers {
 			f.tellOne(ctx, i, (i+1+n)%fleetDaemons)
 		}
@@ -396,19 +396,19 @@
 	for range draw.IntN(4) {
 		at := time.Duration(draw.Int64N(int64(length)))
 		wg.Go(func() {
-			if pause.For(ctx, at) == nil {
+			if sleep.For(ctx, at) == nil {
 				f.service.compact()
 			}
 		})
 	}
-	_ = pause.For(ctx, 2*time.Second) // all have listed
+	_ = sleep.For(ctx, 2*time.Second) // all have listed
 	var checks sync.WaitGroup
 	for range 2 + draw.IntN(3) {
-		_ = pause.For(ctx, 300*time.Millisecond+time.Duration(draw.Int64N(int64(3*time.Second))))
+		_ = sleep.For(ctx, 300*time.Millisecond+time.Duration(draw.Int64N(int64(3*time.Second))))
 		revision := f.service.put("op/config", largeState(draw))
 		at := time.Since(f.start)
 		checks.Go(func() {
-			_ = pause.For(ctx, fleetBound)
+			_ = sleep.For(ctx, fleetBound)
 			f.check(t, at, revision)
 		})
 	}
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -11,8 +11,8 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/bluebellscale/bluebellscale/internal/loglines"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 const (
@@ -230,7 +230,7 @@
 		m.takeSome(m.below(entries), next, f.lapsing())
 	}
 	if len(entries) > 0 {
-		_ = pause.For(ctx, f.o.Gather()) // the loop asks the context itself
+		_ = sleep.For(ctx, f.o.Gather()) // the loop asks the context itself
 	}
 	return next, nil
 }
@@ -298,7 +298,7 @@
 		}
 		f.connected.Store(false)
 		f.failed(err)
-		_ = pause.For(ctx, next/2+rand.N(next/2)) // the loop asks the context itself
+		_ = sleep.For(ctx, next/2+rand.N(next/2)) // the loop asks the context itself
 		next = min(2*next, maxPause)
 	}
 }
--- a/internal/planner/budget.go
+++ b/internal/planner/budget.go
@@ -6,9 +6,9 @@
 
 	"github.com/bluebellscale/bluebellscale/internal/block"
 	"github.com/bluebellscale/bluebellscale/internal/engineapi"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/policy/retention"
 	"github.com/bluebellscale/bluebellscale/internal/request"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
@@ -61,7 +61,7 @@
 		granted := p.allow(id, int64(len(left))*unit, unit)
 		if granted == 0 {
 			p.deferredChunks.Inc(1)
-			if pause.For(ctx, chunkPause) != nil {
+			if sleep.For(ctx, chunkPause) != nil {
 				return nil, ctx.Err()
 			}
 			continue
--- a/internal/pause/pause.go
+++ b/internal/sleep/sleep.go
@@ -1,5 +1,5 @@
-// Package pause waits for a time that a context may cut short.
-package pause
+// Package sleep waits for a time that a context may cut short.
+package sleep
 
 import (
 	"context"
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -14,8 +14,8 @@
 
 	"github.com/bluebellscale/bluebellscale/internal/block"
 	"github.com/bluebellscale/bluebellscale/internal/engineapi"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/request"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 	"github.com/bluebellscale/bluebellscale/internal/standin/fault"
 	"github.com/bluebellscale/bluebellscale/internal/standin/vmlist"
 )
@@ -212,7 +212,7 @@
 
 // pause waits and tells whether the replica goes on.
 func (e *Engine) pause(ctx context.Context, d time.Duration) bool {
-	return pause.For(ctx, d) == nil
+	return sleep.For(ctx, d) == nil
 }
 
 func (e *Engine) signal() {
--- a/internal/standin/fault/middleware.go
+++ b/internal/standin/fault/middleware.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // Path is where the switches are read and set.
@@ -61,7 +61,7 @@
 	if status.Cut {
 		panic(http.ErrAbortHandler)
 	}
-	if pause.For(r.Context(), time.Duration(status.DelayMillis)*time.Millisecond) != nil {
+	if sleep.For(r.Context(), time.Duration(status.DelayMillis)*time.Millisecond) != nil {
 		panic(http.ErrAbortHandler)
 	}
 	// A read takes no effect, so a lost answer is always that of a request that does:
--- a/internal/standin/kv/fake.go
+++ b/internal/standin/kv/fake.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/bluebellscale/bluebellscale/internal/kvapi"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // Fault is what happens to one call on a Fake.
@@ -104,7 +104,7 @@
 		cl = classWrite
 	}
 	slow, reachable := c.f.arrive(c.id, cl, bytes)
-	if !reachable || pause.For(ctx, slow) != nil {
+	if !reachable || sleep.For(ctx, slow) != nil {
 		return FaultUnavailable
 	}
 	if c.f.hook != nil {
@@ -182,7 +182,7 @@
 // Watch implements platform.KV. The wait is by the real clock.
 func (c *fakeClient) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]platform.Entry, platform.Revision, error) {
 	slow, reachable := c.f.arrive(c.id, classWatch, 0)
-	if !reachable || pause.For(ctx, slow) != nil {
+	if !reachable || sleep.For(ctx, slow) != nil {
 		return nil, 0, platform.ErrUnavailable
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
--- a/internal/standin/kv/server.go
+++ b/internal/standin/kv/server.go
@@ -12,7 +12,7 @@
 	"golang.org/x/time/rate"
 
 	"github.com/bluebellscale/bluebellscale/internal/kvapi"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // ClientHeader carries the daemon id of the caller, so that one daemon can be cut off.
@@ -126,7 +126,7 @@
 			writeJSON(w, http.StatusTooManyRequests, struct{}{})
 			return
 		}
-		if pause.For(r.Context(), slow) != nil {
+		if sleep.For(r.Context(), slow) != nil {
 			return
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, maxRequestBytes)
--- a/internal/table/run.go
+++ b/internal/table/run.go
@@ -9,9 +9,9 @@
 	"github.com/cenkalti/backoff/v5"
 	"github.com/cockroachdb/errors"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/peer"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // ErrRead reports that the table could not be read from the key-value service.
@@ -61,7 +61,7 @@
 	loop.setRereadJitter()
 	for ctx.Err() == nil {
 		wait := loop.step(ctx, watcher())
-		_ = pause.For(ctx, wait) // the loop asks the context itself
+		_ = sleep.For(ctx, wait) // the loop asks the context itself
 	}
 	return ctx.Err()
 }
--- a/internal/table/wait.go
+++ b/internal/table/wait.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"github.com/bluebellscale/bluebellscale/internal/pause"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 	"github.com/cockroachdb/errors"
 )
 
@@ -72,7 +72,7 @@
 		if last.InForce {
 			return last
 		}
-		_ = pause.For(ctx, waitPoll) // the loop asks the context itself
+		_ = sleep.For(ctx, waitPoll) // the loop asks the context itself
 	}
 	return last
 }
--- a/internal/weights/duty.go
+++ b/internal/weights/duty.go
@@ -16,11 +16,11 @@
 
 	"github.com/bluebellscale/bluebellscale/internal/lease"
 	"github.com/bluebellscale/bluebellscale/internal/monotime"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 	"github.com/bluebellscale/bluebellscale/internal/policy/rollout"
 	"github.com/bluebellscale/bluebellscale/internal/replicas"
 	"github.com/bluebellscale/bluebellscale/internal/request"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 const (
@@ -174,7 +174,7 @@
 		if d.step(ctx) {
 			next = stepEvery
 		}
-		_ = pause.For(ctx, next) // the loop asks the context itself
+		_ = sleep.For(ctx, next) // the loop asks the context itself
 	}
 	return nil
 }
@@ -194,7 +194,7 @@
 		return
 	}
 	if sent, any := d.lastSent.Time(); any {
-		_ = pause.For(ctx, time.Until(sent.Add(d.o.OrderLease))) // released in any case
+		_ = sleep.For(ctx, time.Until(sent.Add(d.o.OrderLease))) // released in any case
 	}
 	if err := d.lease.Release(ctx); err != nil {
 		d.o.Logger.Warn("The duty could not be given back; it lapses", "error", err)
--- a/internal/weights/orders.go
+++ b/internal/weights/orders.go
@@ -11,10 +11,10 @@
 
 	"github.com/bluebellscale/bluebellscale/internal/engineapi"
 	"github.com/bluebellscale/bluebellscale/internal/lease"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/policy/rollout"
 	"github.com/bluebellscale/bluebellscale/internal/replicas"
 	"github.com/bluebellscale/bluebellscale/internal/request"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // act orders what may be ordered now, one model after the other: a replica that serves several
@@ -263,7 +263,7 @@
 	d.keepBusy(b)
 	l := d.lease
 	go func() {
-		if pause.For(ctx, hearFirst) != nil {
+		if sleep.For(ctx, hearFirst) != nil {
 			return
 		}
 		report, known := reports[a.Target]
