--- a/internal/contextstore/asker.go
+++ b/internal/contextstore/asker.go
@@ -69,7 +69,7 @@
 	o.Logger = o.Logger.Named("contextstore")
 	a := &Asker{o: o, keepers: map[string]Keeper{}, deaf: map[string]time.Time{}, full: map[string]time.Time{}, lost: map[string]time.Time{}}
 	a.holders.Store(&map[string]lease.Holder{})
-	a.mirror = o.Follower.Mirror(lease.RecordPrefix+LeasePrefix, a.apply)
+	a.mirror = o.Follower.AddMirror(lease.RecordPrefix+LeasePrefix, a.apply)
 	return a
 }
 
--- a/internal/contextstore/keeper.go
+++ b/internal/contextstore/keeper.go
@@ -227,10 +227,10 @@
 		room: storeroom.New(time.Now(), storeroom.Params{
 			Tokens: store.Store.Tokens, FirstByte: store.Store.FirstByte,
 			TokensPerSec: store.Store.LinkMbps * bitsPerMegabit / bitsPerByte / float64(tokenBytes),
-			Lapsed:       l.Lapsed() != "" && l.Lapsed() != s.o.Self,
+			Lapsed:       l.ExpiredHolder() != "" && l.ExpiredHolder() != s.o.Self,
 		}),
 	}
-	if l.Lapsed() == s.o.Self {
+	if l.ExpiredHolder() == s.o.Self {
 		k.readFrom = s.started.Add(freeTimeout)
 	}
 	s.mu.Lock()
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -170,7 +170,7 @@
 }
 
 func (s *stepped) round(ctx context.Context) {
-	_ = s.leases.Beat(ctx)
+	_ = s.leases.Heartbeat(ctx)
 	_ = s.Scan(ctx)
 	s.Step(ctx)
 	s.Step(ctx)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -39,10 +39,10 @@
 // Valid reports whether the lease can be relied on now. It guards against a holder
 // that was paused past its lease: it asks the clock, not a message that the paused
 // process might not have read yet.
-func (l *Lease) Valid() bool { return l.Left() > 0 }
+func (l *Lease) Valid() bool { return l.Remaining() > 0 }
 
-// Left is the time for which the lease can be relied on, the margin taken off.
-func (l *Lease) Left() time.Duration {
+// Remaining is the time for which the lease can be relied on, the margin taken off.
+func (l *Lease) Remaining() time.Duration {
 	select {
 	case <-l.done:
 		return 0
@@ -56,16 +56,16 @@
 // process can hold the name, and none starts until the former holder's have ended.
 func (l *Lease) MayAct(timeout time.Duration) bool {
 	now := l.manager.opts.Now()
-	return !now.Before(l.actAfter) && l.Left() > timeout
+	return !now.Before(l.actAfter) && l.Remaining() > timeout
 }
 
 // ActAfter is the time before which MayAct refuses; zero without a takeover.
 func (l *Lease) ActAfter() time.Time { return l.actAfter }
 
-// Lapsed returns the daemon whose lease of the name ran out before this one; empty if the
+// ExpiredHolder returns the daemon whose lease of the name ran out before this one; empty if the
 // name was released, or never held. It may be this daemon, also before its last start, or
 // UnknownHolder.
-func (l *Lease) Lapsed() request.DaemonID { return l.lapsed }
+func (l *Lease) ExpiredHolder() request.DaemonID { return l.lapsed }
 
 // Release ends the lease and frees the name. When the service does not answer, the
 // manager frees the name later, or the session lapses.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -80,14 +80,14 @@
 	if second.MayAct(0) || !second.Valid() {
 		t.Error("orders of the first holder may still be on their way")
 	}
-	if first.Lapsed() != "" || second.Lapsed() != "a" {
-		t.Errorf("lapsed before: %q, %q", first.Lapsed(), second.Lapsed())
+	if first.ExpiredHolder() != "" || second.ExpiredHolder() != "a" {
+		t.Errorf("lapsed before: %q, %q", first.ExpiredHolder(), second.ExpiredHolder())
 	}
 	c.now = c.now.Add(wait)
 	if !second.MayAct(0) {
 		t.Error("the new holder may not act after the wait")
 	}
-	if err := a.Beat(ctx); err != nil || told(first) {
+	if err := a.Heartbeat(ctx); err != nil || told(first) {
 		t.Errorf("after the next beat: told=%v, %v", told(first), err)
 	}
 	if err := b.Close(ctx); err != nil {
@@ -105,7 +105,7 @@
 	c := &clock{now: time.Unix(1_700_000_000, 0)}
 	f := kv.NewFake(c.Now)
 	a, b := newManager(f, c, "a"), newManager(f, c, "b")
-	if err := a.Beat(ctx); err != nil {
+	if err := a.Heartbeat(ctx); err != nil {
 		t.Fatal(err)
 	}
 	f.LoseWrites(1)
@@ -115,7 +115,7 @@
 	if _, err := b.Acquire(ctx, "duty"); !errors.Is(err, lease.ErrHeld) {
 		t.Fatalf("before the repair: %v", err)
 	}
-	if err := a.Beat(ctx); err != nil {
+	if err := a.Heartbeat(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := b.Acquire(ctx, "duty"); err != nil {
@@ -132,7 +132,7 @@
 	c := &clock{now: time.Unix(1_700_000_000, 0)}
 	f := kv.NewFake(c.Now)
 	a, b := newManager(f, c, "a"), newManager(f, c, "b")
-	if err := b.Beat(ctx); err != nil {
+	if err := b.Heartbeat(ctx); err != nil {
 		t.Fatal(err)
 	}
 	for _, late := range []kv.Fault{kv.FaultDelayed, kv.FaultUnavailable} {
@@ -151,7 +151,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.CombineErrors(b.Beat(ctx), held.Release(ctx)); err != nil {
+		if err := errors.CombineErrors(b.Heartbeat(ctx), held.Release(ctx)); err != nil {
 			t.Fatal(err)
 		}
 		f.Deliver(0)
@@ -177,7 +177,7 @@
 		}
 	}
 	before := f.Counts()
-	if err := a.Beat(ctx); err != nil {
+	if err := a.Heartbeat(ctx); err != nil {
 		t.Fatal(err)
 	}
 	holders, err := a.Holders(ctx, "n")
@@ -312,7 +312,7 @@
 	}
 }
 
-func (m *leaseMachine) beat(t *rapid.T) { _ = m.managers[m.who(t)].Beat(context.Background()) }
+func (m *leaseMachine) beat(t *rapid.T) { _ = m.managers[m.who(t)].Heartbeat(context.Background()) }
 
 func (m *leaseMachine) close(t *rapid.T) { _ = m.managers[m.who(t)].Close(context.Background()) }
 
@@ -335,7 +335,7 @@
 	ctx := context.Background()
 	i := m.who(t)
 	m.clock.now = m.clock.now.Add(ttl)
-	if err := m.managers[i].Beat(ctx); err != nil {
+	if err := m.managers[i].Heartbeat(ctx); err != nil {
 		t.Fatal(err)
 	}
 	for name, d := range m.duties {
@@ -358,7 +358,7 @@
 	for range 5 {
 		m.clock.now = m.clock.now.Add(ttl / 4)
 		for _, manager := range m.managers {
-			if err := manager.Beat(ctx); err != nil {
+			if err := manager.Heartbeat(ctx); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -420,7 +420,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again.Epoch() != first.Epoch()+1 || again.Lapsed() != "a" || again.MayAct(time.Millisecond) {
-		t.Errorf("epoch %d after %d, lapsed %q; an order of the earlier process may still act", again.Epoch(), first.Epoch(), again.Lapsed())
+	if again.Epoch() != first.Epoch()+1 || again.ExpiredHolder() != "a" || again.MayAct(time.Millisecond) {
+		t.Errorf("epoch %d after %d, lapsed %q; an order of the earlier process may still act", again.Epoch(), first.Epoch(), again.ExpiredHolder())
 	}
 }
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -34,9 +34,9 @@
 	// WaitAfterTakeover is how long the new holder of a name that was not released
 	// waits before MayAct allows an order: at least the longest order timeout.
 	WaitAfterTakeover time.Duration
-	// Returned returns when this process learnt that the service had come back from a copy that
+	// Restored returns when this process learnt that the service had come back from a copy that
 	// may lack what was written last, and whether it did; nil: it never does.
-	Returned func() (at time.Time, ok bool)
+	Restored func() (at time.Time, ok bool)
 	Now      func() time.Time // nil: time.Now, which carries the monotonic clock
 	Logger   hclog.Logger
 	Metrics  tally.Scope
@@ -68,8 +68,8 @@
 	if opts.Now == nil {
 		opts.Now = time.Now
 	}
-	if opts.Returned == nil {
-		opts.Returned = func() (time.Time, bool) { return time.Time{}, false }
+	if opts.Restored == nil {
+		opts.Restored = func() (time.Time, bool) { return time.Time{}, false }
 	}
 	if opts.Logger == nil {
 		opts.Logger = hclog.NewNullLogger()
@@ -107,7 +107,7 @@
 	if m.rest(ctx) {
 		return
 	}
-	if err := m.Beat(ctx); err != nil {
+	if err := m.Heartbeat(ctx); err != nil {
 		m.opts.Logger.Warn("Session not renewed", "error", err)
 	}
 }
@@ -167,7 +167,7 @@
 // before may be missing there while its holder, which has not heard of the return, relies on it
 // still; it was renewed last before the return.
 func (m *Manager) checkSettled() error {
-	at, ok := m.opts.Returned()
+	at, ok := m.opts.Restored()
 	if left := m.opts.TTL - m.opts.Now().Sub(at); ok && left > 0 {
 		return errors.Mark(errors.Newf("lease: the service has come back from a copy; claims wait for %s", left), ErrUnavailable)
 	}
@@ -265,7 +265,7 @@
 // come back from a copy, and nobody has claimed the name since. The record's epoch tells its era;
 // its revision does not, since a copy's entries have those of the new era.
 func (m *Manager) mayHaveForgotten(s *session, r record) bool {
-	_, returned := m.opts.Returned()
+	_, returned := m.opts.Restored()
 	return returned && r.Epoch < s.leastEpoch()
 }
 
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// Beat renews the session, or starts one if there is none, and finishes releases
+// Heartbeat renews the session, or starts one if there is none, and finishes releases
 // that could not be written before. Run calls it; tests call it themselves.
-func (m *Manager) Beat(ctx context.Context) error {
+func (m *Manager) Heartbeat(ctx context.Context) error {
 	if err := m.renew(ctx); err != nil {
 		return err
 	}
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -8,7 +8,7 @@
 // State is a dump of a manager.
 type State struct {
 	Session   string       `json:"session,omitempty"`
-	Left      string       `json:"left,omitempty"` // time until the session must be renewed
+	Remaining string       `json:"left,omitempty"` // time until the session must be renewed
 	Held      []LeaseState `json:"held"`
 	Unsettled []string     `json:"unsettled,omitempty"`
 }
@@ -26,7 +26,7 @@
 	out := State{Unsettled: sortedKeys(m.unsettled)}
 	if m.session != nil {
 		out.Session = string(m.session.id)
-		out.Left = m.session.left(m.opts.Now()).Round(time.Millisecond).String()
+		out.Remaining = m.session.left(m.opts.Now()).Round(time.Millisecond).String()
 	}
 	for _, name := range sortedKeys(m.held) {
 		out.Held = append(out.Held, LeaseState{Name: name, Epoch: m.held[name].epoch})
--- a/internal/mirror/fleet_test.go
+++ b/internal/mirror/fleet_test.go
@@ -139,7 +139,7 @@
 	mu           sync.Mutex
 	state        platform.Revision // of the desired state in force
 	wentBackOnce bool
-	relays       Relays
+	relays       RelayTracker
 	watches      func() bool // whether the service tells this daemon itself
 }
 
@@ -305,10 +305,10 @@
 			service: f.service, start: f.start, faults: faults(i),
 			down: rate.NewLimiter(fleetLink, burst), up: rate.NewLimiter(fleetLink, burst),
 		}
-		isRelayed := func() bool { return relayed && i%fleetWatchers != 0 && d.relays.Covered(time.Now()) }
-		follower := New(Options{KV: d, Wait: func() time.Duration { return fleetBound - 800*time.Millisecond }, Relayed: isRelayed})
-		d.watches = follower.Watches
-		mirrors := []*Mirror{follower.Mirror("op/", d.apply), follower.Mirror("servers/", func(Update) {})}
+		isRelayed := func() bool { return relayed && i%fleetWatchers != 0 && d.relays.PeerWatching(time.Now()) }
+		follower := New(Options{KV: d, WatchTimeout: func() time.Duration { return fleetBound - 800*time.Millisecond }, Relayed: isRelayed})
+		d.watches = follower.Watching
+		mirrors := []*Mirror{follower.AddMirror("op/", d.apply), follower.AddMirror("servers/", func(Update) {})}
 		d.group = NewGroup(GroupOptions{Client: &http.Client{Transport: modelNet{self: d, by: by}}, Mirrors: mirrors, Relayed: isRelayed})
 		d.handler, _ = d.group.Handler() // fails for wrong options only
 		f.daemons = append(f.daemons, d)
@@ -336,9 +336,9 @@
 
 // tellOne has a daemon tell another what it knows, and whether the service tells it itself.
 func (f *modelFleet) tellOne(ctx context.Context, from, to int) {
-	f.daemons[to].group.Heard(ctx, address(from), f.daemons[from].group.Revisions())
+	f.daemons[to].group.HandleRevisions(ctx, address(from), f.daemons[from].group.Revisions())
 	if f.daemons[from].watches() {
-		f.daemons[to].relays.Heard(time.Now())
+		f.daemons[to].relays.RecordWatcher(time.Now())
 	}
 }
 
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -40,12 +40,12 @@
 	// Prefix is that of all keys that are watched, and begins the prefix of each mirror; empty:
 	// all there are.
 	Prefix string
-	// Wait returns the longest wait of one watch; nil: 8 s. A watch that was cut without a
+	// WatchTimeout returns the longest wait of one watch; nil: 8 s. A watch that was cut without a
 	// word is noticed after it, so that it bounds how late a change may be known.
-	Wait func() time.Duration
-	// Gather returns how long to wait after a change for more, so that many changes at
+	WatchTimeout func() time.Duration
+	// BatchDelay returns how long to wait after a change for more, so that many changes at
 	// once don't cost a call each; nil: not at all.
-	Gather func() time.Duration
+	BatchDelay func() time.Duration
 	// Relayed reports whether peers tell of all changes now, so that none is asked for; nil: never.
 	Relayed func() bool
 	Logger  hclog.Logger
@@ -75,11 +75,11 @@
 
 // New returns a follower that has read nothing yet.
 func New(o Options) *Follower {
-	if o.Wait == nil {
-		o.Wait = func() time.Duration { return defaultWait }
+	if o.WatchTimeout == nil {
+		o.WatchTimeout = func() time.Duration { return defaultWait }
 	}
-	if o.Gather == nil {
-		o.Gather = func() time.Duration { return 0 }
+	if o.BatchDelay == nil {
+		o.BatchDelay = func() time.Duration { return 0 }
 	}
 	if o.Relayed == nil {
 		o.Relayed = func() bool { return false }
@@ -91,10 +91,10 @@
 	return &Follower{o: o, wake: make(chan struct{}, 1)}
 }
 
-// Mirror adds a copy of the keys below a prefix, which no other mirror may share. apply is
+// AddMirror adds a copy of the keys below a prefix, which no other mirror may share. apply is
 // called from one goroutine at a time. It must be called before Run. Mirrors are listed in the
 // order in which they were added: the first is in force first.
-func (f *Follower) Mirror(prefix string, apply func(Update)) *Mirror {
+func (f *Follower) AddMirror(prefix string, apply func(Update)) *Mirror {
 	m := &Mirror{prefix: prefix, apply: apply, lapsing: f.lapsing, entries: map[string]platform.Entry{}}
 	f.mirrors = append(f.mirrors, m)
 	return m
@@ -104,8 +104,8 @@
 // service's answers.
 func (f *Follower) Connected() bool { return f.connected.Load() }
 
-// Watches reports whether the service tells this process itself of changes.
-func (f *Follower) Watches() bool { return f.watching.Load() }
+// Watching reports whether the service tells this process itself of changes.
+func (f *Follower) Watching() bool { return f.watching.Load() }
 
 // State returns how the follower stands with the service.
 func (f *Follower) State() State {
@@ -132,9 +132,9 @@
 	}
 }
 
-// ServiceReturned tells that the service has come back from a copy of some time ago. All is listed
+// ServiceRestored tells that the service has come back from a copy of some time ago. All is listed
 // anew, and what is missing may have been lost with its owner alive.
-func (f *Follower) ServiceReturned() {
+func (f *Follower) ServiceRestored() {
 	f.mu.Lock()
 	f.returning = true
 	f.mu.Unlock()
@@ -230,7 +230,7 @@
 		m.takeSome(m.below(entries), next, f.lapsing())
 	}
 	if len(entries) > 0 {
-		_ = sleep.For(ctx, f.o.Gather()) // the loop asks the context itself
+		_ = sleep.For(ctx, f.o.BatchDelay()) // the loop asks the context itself
 	}
 	return next, nil
 }
@@ -255,7 +255,7 @@
 
 // nextWait returns how long the next watch may wait.
 func (f *Follower) nextWait() time.Duration {
-	longest := f.o.Wait()
+	longest := f.o.WatchTimeout()
 	return longest - time.Duration(spread*rand.Float64()*float64(longest))
 }
 
--- a/internal/mirror/group.go
+++ b/internal/mirror/group.go
@@ -138,9 +138,9 @@
 	return out
 }
 
-// Heard is told the newest changes that a peer knows, in the order of Revisions. Where the
+// HandleRevisions is told the newest changes that a peer knows, in the order of Revisions. Where the
 // peer knows more for a while, its copy is asked for.
-func (c *Group) Heard(ctx context.Context, peer string, revisions []uint64) {
+func (c *Group) HandleRevisions(ctx context.Context, peer string, revisions []uint64) {
 	if len(revisions) != len(c.order) {
 		return // a daemon of another release
 	}
@@ -152,9 +152,9 @@
 	}
 }
 
-// Behind returns for how long peers have told of a change below a prefix that is not known here,
+// Lag returns for how long peers have told of a change below a prefix that is not known here,
 // zero if none tells of one.
-func (c *Group) Behind(prefix string) time.Duration {
+func (c *Group) Lag(prefix string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lags[prefix].lasts(time.Now(), c.by[prefix])
--- a/internal/mirror/group_test.go
+++ b/internal/mirror/group_test.go
@@ -29,7 +29,7 @@
 // filled returns a mirror that nobody keeps up, with some entries at revision at.
 func filled(at platform.Revision, values map[string]string) (*Mirror, *copyOf) {
 	c := newCopy()
-	m := New(Options{KV: kv.NewFake(time.Now).Client("a")}).Mirror("p/", c.apply)
+	m := New(Options{KV: kv.NewFake(time.Now).Client("a")}).AddMirror("p/", c.apply)
 	var entries []platform.Entry
 	for key, value := range values {
 		entries = append(entries, platform.Entry{Key: key, Value: []byte(value), Revision: at})
@@ -47,7 +47,7 @@
 			t.Fatalf("%s is %q, want %q", key, c.get(key), want)
 		}
 		for _, peer := range peers {
-			g.Heard(context.Background(), peer, []uint64{at})
+			g.HandleRevisions(context.Background(), peer, []uint64{at})
 		}
 	}
 }
@@ -78,7 +78,7 @@
 		if time.Now().After(deadline) {
 			t.Fatal("the first peer is not asked")
 		}
-		g.Heard(context.Background(), slowAddress, []uint64{5})
+		g.HandleRevisions(context.Background(), slowAddress, []uint64{5})
 	}
 	begun := time.Now()
 	tellUntil(t, g, c, 5, "p/1", "new", servePeer(t, newGroup(knows)))
@@ -190,7 +190,7 @@
 	peer := servePeer(t, newGroup(lister))
 	var first time.Time
 	for range 60 {
-		g.Heard(context.Background(), peer, told)
+		g.HandleRevisions(context.Background(), peer, told)
 		time.Sleep(10 * time.Millisecond)
 		g.mu.Lock()
 		asked := g.lags["p/"].asked
@@ -202,7 +202,7 @@
 			t.Fatal("a copy is asked for again")
 		}
 	}
-	if g.Behind("p/") > 0 {
+	if g.Lag("p/") > 0 {
 		t.Error("the removal counts as unknown")
 	}
 }
@@ -236,12 +236,12 @@
 // peers know more, and peers are told what is known here: neither may wait for it.
 func TestNobodyWaitsForAChangeThatIsBeingApplied(t *testing.T) {
 	applying, applied := make(chan struct{}), make(chan struct{})
-	m := New(Options{KV: kv.NewFake(time.Now).Client("a")}).Mirror("p/", func(Update) {
+	m := New(Options{KV: kv.NewFake(time.Now).Client("a")}).AddMirror("p/", func(Update) {
 		close(applying)
 		<-applied
 	})
 	g := newGroup(m)
-	g.Heard(context.Background(), "127.0.0.1:1", []uint64{5})
+	g.HandleRevisions(context.Background(), "127.0.0.1:1", []uint64{5})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -251,7 +251,7 @@
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
-		if g.Behind("p/") == 0 {
+		if g.Lag("p/") == 0 {
 			t.Error("the change counts as known before it is in force")
 		}
 		if told := g.Revisions(); told[0] != 0 {
@@ -266,7 +266,7 @@
 	close(applied)
 	<-done
 	<-answered
-	if g.Behind("p/") != 0 {
+	if g.Lag("p/") != 0 {
 		t.Error("the change is not known")
 	}
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -22,9 +22,9 @@
 type Update struct {
 	Entries []platform.Entry // changed; all there are, if Full
 	Full    bool
-	// Lapsing is set in the time after an outage in which a removed entry may be one
+	// AfterOutage is set in the time after an outage in which a removed entry may be one
 	// that lapsed with its owner alive.
-	Lapsing bool
+	AfterOutage bool
 }
 
 // Mirror is the copy of the keys below one prefix. Follower.Mirror makes it.
@@ -95,7 +95,7 @@
 	if c.newest <= c.complete {
 		m.newest = max(m.newest, c.newest) // also where it was a removal that had another revision here
 	}
-	m.apply(Update{Entries: m.present(), Full: true, Lapsing: c.lapsing})
+	m.apply(Update{Entries: m.present(), Full: true, AfterOutage: c.lapsing})
 	m.publish()
 }
 
@@ -117,7 +117,7 @@
 		}
 	}
 	if len(news) > 0 {
-		m.apply(Update{Entries: news, Lapsing: lapsing})
+		m.apply(Update{Entries: news, AfterOutage: lapsing})
 	}
 	m.publish()
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -38,7 +38,7 @@
 		}
 		c.values[e.Key] = string(e.Value)
 	}
-	c.lapsing = u.Lapsing
+	c.lapsing = u.AfterOutage
 	c.changed <- struct{}{}
 }
 
@@ -125,8 +125,8 @@
 func start(t *testing.T, store platform.KV) (followed, *copyOf) {
 	t.Helper()
 	c := newCopy()
-	m := New(Options{KV: store, Wait: func() time.Duration { return 50 * time.Millisecond }})
-	mirror := m.Mirror("p/", c.apply)
+	m := New(Options{KV: store, WatchTimeout: func() time.Duration { return 50 * time.Millisecond }})
+	mirror := m.AddMirror("p/", c.apply)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -240,7 +240,7 @@
 		if time.Now().After(deadline) {
 			t.Fatal("the peer's copy was not taken")
 		}
-		group.Heard(context.Background(), strings.TrimPrefix(peer.URL, "http://"), told.Revisions())
+		group.HandleRevisions(context.Background(), strings.TrimPrefix(peer.URL, "http://"), told.Revisions())
 		time.Sleep(20 * time.Millisecond)
 	}
 
@@ -271,8 +271,8 @@
 	store := &faulty{KV: kv.NewFake(time.Now).Client("a")}
 	put(t, store, "p/1", "one")
 	c := newCopy()
-	m := New(Options{KV: slowWatch{store}, Wait: func() time.Duration { return 6 * time.Second }})
-	m.Mirror("p/", c.apply)
+	m := New(Options{KV: slowWatch{store}, WatchTimeout: func() time.Duration { return 6 * time.Second }})
+	m.AddMirror("p/", c.apply)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -325,8 +325,8 @@
 	put(t, store, "replicas/1", "ready")
 	f := New(Options{KV: slowPages{store}})
 	operators, replicas := newCopy(), newCopy()
-	f.Mirror("op/", operators.apply)
-	f.Mirror("replicas/", replicas.apply)
+	f.AddMirror("op/", operators.apply)
+	f.AddMirror("replicas/", replicas.apply)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/internal/mirror/relays_test.go
+++ b/internal/mirror/relays_test.go
@@ -13,13 +13,13 @@
 
 // The peers that watch die: a daemon that left the watch to them watches again within a second.
 func TestDaemonWatchesAgainWhenItsPeersFallSilent(t *testing.T) {
-	var r Relays
+	var r RelayTracker
 	now := time.Unix(1000, 0)
-	if r.Covered(now) {
+	if r.PeerWatching(now) {
 		t.Fatal("covered by nobody")
 	}
-	r.Heard(now)
-	if !r.Covered(now.Add(relayFresh-time.Millisecond)) || r.Covered(now.Add(relayFresh)) {
+	r.RecordWatcher(now)
+	if !r.PeerWatching(now.Add(relayFresh-time.Millisecond)) || r.PeerWatching(now.Add(relayFresh)) {
 		t.Error("covered for another time than a peer's word is fresh")
 	}
 }
@@ -34,7 +34,7 @@
 	is := func() bool { v := <-relayed; relayed <- v; return v }
 	f := New(Options{KV: counted, Relayed: is})
 	applied := make(chan Update, 10)
-	f.Mirror("a/", func(u Update) { applied <- u })
+	f.AddMirror("a/", func(u Update) { applied <- u })
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { _ = f.Run(ctx) })
@@ -46,7 +46,7 @@
 		t.Fatalf("told of %+v", u)
 	case <-time.After(3 * relayedEvery):
 	}
-	if counted.count() > 0 || f.Watches() {
+	if counted.count() > 0 || f.Watching() {
 		t.Error("it watches")
 	}
 	<-relayed
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// IsAhead reports whether the moment has not come yet.
-func (m *Instant) IsAhead(now time.Time) bool {
+// After reports whether the moment has not come yet.
+func (m *Instant) After(now time.Time) bool {
 	since := m.since.Load()
 	return since != 0 && sinceBegan(now) < since
 }
--- a/internal/monotime/monotime_test.go
+++ b/internal/monotime/monotime_test.go
@@ -11,11 +11,11 @@
 func TestInstantFollowsMonotonicClock(t *testing.T) {
 	var m Instant
 	now := time.Now()
-	if m.IsAhead(now) {
+	if m.After(now) {
 		t.Error("a moment that was never set is ahead")
 	}
 	m.Set(now.Add(500 * time.Millisecond))
-	if !m.IsAhead(now.Add(499*time.Millisecond)) || m.IsAhead(now.Add(500*time.Millisecond)) {
+	if !m.After(now.Add(499*time.Millisecond)) || m.After(now.Add(500*time.Millisecond)) {
 		t.Error("it does not last as long as it was set for")
 	}
 	if at, set := m.Time(); !set || at.Sub(now) != 500*time.Millisecond {
@@ -25,7 +25,7 @@
 		t.Error("its reading of the steady clock is lost")
 	}
 	m.Set(time.Time{})
-	if m.IsAhead(now) {
+	if m.After(now) {
 		t.Error("it is ahead after it was unset")
 	}
 }
@@ -35,7 +35,7 @@
 	now := time.Now()
 	m.Extend(now.Add(time.Second))
 	m.Extend(now.Add(time.Millisecond))
-	if !m.IsAhead(now.Add(900 * time.Millisecond)) {
+	if !m.After(now.Add(900 * time.Millisecond)) {
 		t.Error("a shorter time cut a longer one short")
 	}
 }
--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -107,5 +107,5 @@
 
 // tooLate reports whether a request must not begin any more.
 func (s *Server) tooLate(j *Job) bool {
-	return j.Route.Kind == routing.KindStream && s.stopping.Load() && !s.noStreams.IsAhead(time.Now())
+	return j.Route.Kind == routing.KindStream && s.stopping.Load() && !s.noStreams.After(time.Now())
 }
--- a/internal/replicas/cold.go
+++ b/internal/replicas/cold.go
@@ -8,7 +8,7 @@
 )
 
 // Cold reports whether the replica bears few requests only: it has just started, or may have.
-func (r *Replica) Cold(now time.Time) bool { return r.cold.IsAhead(now) }
+func (r *Replica) Cold(now time.Time) bool { return r.cold.After(now) }
 
 // AssumeCold says that the replica may have started just now. The registry tells of that some
 // seconds later; what it told before is no reason to believe otherwise.
--- a/internal/replicas/reach.go
+++ b/internal/replicas/reach.go
@@ -9,7 +9,7 @@
 func (r *Replica) SetBusy(until time.Time) { r.busy.Set(until) }
 
 // Busy reports whether the replica takes no requests now.
-func (r *Replica) Busy(now time.Time) bool { return r.busy.IsAhead(now) }
+func (r *Replica) Busy(now time.Time) bool { return r.busy.After(now) }
 
 // Refused notes that the replica would not run a model's request: it is full, or carries out
 // an order and waits for what runs to end, which takes seconds. It looks idle meanwhile. Left
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -75,7 +75,7 @@
 	}
 	o.Logger = o.Logger.Named("roster")
 	r := &Roster{o: o, self: o.Self, known: map[string]Daemon{}, lapsing: map[string]time.Time{}}
-	r.mirror = o.Follower.Mirror(o.Prefix, r.apply)
+	r.mirror = o.Follower.AddMirror(o.Prefix, r.apply)
 	r.publish()
 	return r
 }
@@ -175,7 +175,7 @@
 	for _, e := range u.Entries {
 		id := strings.TrimPrefix(e.Key, r.o.Prefix)
 		if e.Deleted {
-			r.remove(id, u.Lapsing)
+			r.remove(id, u.AfterOutage)
 			continue
 		}
 		seen[id] = true
@@ -190,7 +190,7 @@
 	if u.Full {
 		for id := range r.known {
 			if !seen[id] {
-				r.remove(id, u.Lapsing)
+				r.remove(id, u.AfterOutage)
 			}
 		}
 	}
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -35,11 +35,11 @@
 	if got := ids(r); got != "abc" {
 		t.Fatalf("live: %s", got)
 	}
-	r.apply(mirror.Update{Full: true, Lapsing: true})
+	r.apply(mirror.Update{Full: true, AfterOutage: true})
 	if got := ids(r); got != "abc" {
 		t.Errorf("after the outage: %s", got)
 	}
-	r.apply(mirror.Update{Lapsing: true, Entries: []platform.Entry{entry("b")}})
+	r.apply(mirror.Update{AfterOutage: true, Entries: []platform.Entry{entry("b")}})
 	r.mu.Lock()
 	for id := range r.lapsing {
 		r.lapsing[id] = time.Now().Add(-time.Second)
--- a/internal/schedules/daemon.go
+++ b/internal/schedules/daemon.go
@@ -48,7 +48,7 @@
 	})}
 }
 
-func (r *realOnce) Beat(ctx context.Context) { _ = r.leases.Beat(ctx) }
+func (r *realOnce) Beat(ctx context.Context) { _ = r.leases.Heartbeat(ctx) }
 
 func (r *realOnce) Scan(ctx context.Context) { _ = r.journal.Scan(ctx) }
 
--- a/internal/suspect/counted.go
+++ b/internal/suspect/counted.go
@@ -53,7 +53,7 @@
 		o: o, keeper: New(Options{KV: o.KV, Logger: o.Logger, Now: o.Now, Params: quarantine.Params{Counted: refuseAt}}),
 	}
 	c.o.Logger = o.Logger.Named("suspect")
-	c.mirror = o.Follower.Mirror(keyPrefix, c.apply)
+	c.mirror = o.Follower.AddMirror(keyPrefix, c.apply)
 	return c
 }
 
--- a/internal/suspect/counted_test.go
+++ b/internal/suspect/counted_test.go
@@ -17,7 +17,7 @@
 func counting(t *testing.T, fake *kv.Fake, name string, tell func(quarantine.Sighting)) *Counted {
 	t.Helper()
 	client := fake.Client(name)
-	follower := mirror.New(mirror.Options{KV: client, Wait: func() time.Duration { return 10 * time.Millisecond }})
+	follower := mirror.New(mirror.Options{KV: client, WatchTimeout: func() time.Duration { return 10 * time.Millisecond }})
 	c := NewCounted(CountedOptions{KV: client, Follower: follower, Tell: tell})
 	ctx, cancel := context.WithCancel(context.Background())
 	var run sync.WaitGroup
--- a/internal/weights/duty.go
+++ b/internal/weights/duty.go
@@ -315,7 +315,7 @@
 	for _, id := range p.Ordered {
 		d.foreign[id] = now.Add(d.o.OrderLease)
 	}
-	if l.Lapsed() == lease.UnknownHolder {
+	if l.ExpiredHolder() == lease.UnknownHolder {
 		// What its holder before wrote down may be lost: any replica may have its orders.
 		for _, r := range d.o.Set.All() {
 			d.foreign[r.Info().ID] = now.Add(d.o.OrderLease)
--- a/internal/weights/orders.go
+++ b/internal/weights/orders.go
@@ -279,7 +279,7 @@
 }
 
 func (d *Duty) send(ctx context.Context, l *lease.Lease, b behind, report Report, runsGoOn bool) {
-	if l.Left() <= callTimeout {
+	if l.Remaining() <= callTimeout {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
