--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -1,10 +1,10 @@
-// Package monotime holds moments that several goroutines share and that setting the clock does
-// not move.
+// Package monotime provides points in time that goroutines can share and that adjustments of
+// the wall clock do not move.
 //
-// The failure: a moment kept as Unix time. The clock is set back by two seconds, and a replica
-// that loads weights for half a second is left alone for two and a half; it is set ahead, and
-// requests go to a replica that refuses them. Why the guard holds: a moment is kept as the
-// time since the process began, by the clock that only runs forward.
+// An Instant is stored as the monotonic time since the start of the process. If it were stored
+// as Unix time and the clock were set back by two seconds, a replica that loads weights for half
+// a second would get no requests for two and a half; if the clock were set ahead, requests would
+// be sent to a replica that still refuses them.
 package monotime
 
 import (
@@ -12,50 +12,50 @@
 	"time"
 )
 
-// began is any moment of this process: times are counted from it.
-var began = time.Now()
+// processStart is the reference point from which instants are counted.
+var processStart = time.Now()
 
-// Instant is a time that may be set. Zero, it has never been set and lies in the past. It is
-// safe for concurrent use.
+// Instant is a settable point in time. The zero value is unset and counts as past. It is safe
+// for concurrent use.
 type Instant struct {
-	since atomic.Int64 // nanoseconds after began, never zero once set
+	offset atomic.Int64 // nanoseconds after began, never zero once set
 }
 
-func sinceBegan(t time.Time) int64 {
-	if n := int64(t.Sub(began)); n != 0 {
+func sinceStart(t time.Time) int64 {
+	if n := int64(t.Sub(processStart)); n != 0 {
 		return n
 	}
 	return 1
 }
 
-// Set sets the moment. The zero time unsets it.
+// Set sets the instant to t. The zero time unsets it.
 func (m *Instant) Set(t time.Time) {
 	if t.IsZero() {
-		m.since.Store(0)
+		m.offset.Store(0)
 		return
 	}
-	m.since.Store(sinceBegan(t))
+	m.offset.Store(sinceStart(t))
 }
 
-// Extend sets the moment unless it is later already.
+// Extend sets the instant to t unless it is later than t already.
 func (m *Instant) Extend(t time.Time) {
-	next := sinceBegan(t)
+	next := sinceStart(t)
 	for {
-		known := m.since.Load()
-		if known != 0 && known >= next || m.since.CompareAndSwap(known, next) {
+		current := m.offset.Load()
+		if current != 0 && current >= next || m.offset.CompareAndSwap(current, next) {
 			return
 		}
 	}
 }
 
-// After reports whether the moment has not come yet.
+// After reports whether the instant is set and later than now.
 func (m *Instant) After(now time.Time) bool {
-	since := m.since.Load()
-	return since != 0 && sinceBegan(now) < since
+	offset := m.offset.Load()
+	return offset != 0 && sinceStart(now) < offset
 }
 
-// Time returns the moment and whether it was ever set.
+// Time returns the instant and whether it is set.
 func (m *Instant) Time() (time.Time, bool) {
-	since := m.since.Load()
-	return began.Add(time.Duration(since)), since != 0
+	offset := m.offset.Load()
+	return processStart.Add(time.Duration(offset)), offset != 0
 }
--- a/internal/monotime/monotime_test.go
+++ b/internal/monotime/monotime_test.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// The clock of a VM is set back by 2.4 s, and later ahead: what lasts half a second must last
-// half a second. Times with another wall clock and the same reading of the steady clock can't
-// be made, so that the test checks that the wall clock plays no part.
+// Guards against durations that change when the wall clock of a VM is set, for example back by
+// 2.4 s and later ahead. Go cannot construct times that share a monotonic reading but differ in
+// wall time, so the test checks that the wall clock is not used.
 func TestInstantFollowsMonotonicClock(t *testing.T) {
 	var m Instant
 	now := time.Now()
 	if m.After(now) {
-		t.Error("a moment that was never set is ahead")
+		t.Error("an unset instant is in the future")
 	}
 	m.Set(now.Add(500 * time.Millisecond))
 	if !m.After(now.Add(499*time.Millisecond)) || m.After(now.Add(500*time.Millisecond)) {
-		t.Error("it does not last as long as it was set for")
+		t.Error("the instant does not become past 500 ms after now")
 	}
 	if at, set := m.Time(); !set || at.Sub(now) != 500*time.Millisecond {
-		t.Errorf("it is %s ahead", at.Sub(now))
+		t.Errorf("the instant is %s after now, want 500ms", at.Sub(now))
 	}
 	if at, _ := m.Time(); at.Round(0).Equal(at) && at.String() == at.Round(0).String() {
-		t.Error("its reading of the steady clock is lost")
+		t.Error("the returned time has no monotonic clock reading")
 	}
 	m.Set(time.Time{})
 	if m.After(now) {
-		t.Error("it is ahead after it was unset")
+		t.Error("the instant is in the future after it was unset")
 	}
 }
 
@@ -36,6 +36,6 @@
 	m.Extend(now.Add(time.Second))
 	m.Extend(now.Add(time.Millisecond))
 	if !m.After(now.Add(900 * time.Millisecond)) {
-		t.Error("a shorter time cut a longer one short")
+		t.Error("Extend with an earlier time shortened the instant")
 	}
 }
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits for a time that a context may cut short.
+// Package sleep provides a sleep that a context can interrupt.
 package sleep
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends and returns its error. A d of zero or less is no wait.
+// For sleeps for d. If ctx ends first, For returns its error. If d is not positive, For returns
+// ctx.Err() at once.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,9 +1,9 @@
-// Package stall notices that the process stood still: a paused or suspended VM, or a
-// scheduler that gave it no time.
+// Package stall detects that the process did not run for a while, because its VM was paused or
+// suspended or because the scheduler did not run it.
 //
-// After a standstill nothing that is believed of the outside may be trusted before it is
-// read again: leases have run out, replicas have gone and the desired state has changed.
-// The steady clock does not count a suspension, so it is compared with CLOCK_BOOTTIME.
+// After a stall, cached state of other processes must be read again before it is used: leases
+// may have expired, replicas may have terminated and the desired state may have changed. The
+// monotonic clock excludes suspensions, so the package measures with CLOCK_BOOTTIME.
 package stall
 
 import (
@@ -14,15 +14,15 @@
 )
 
 const (
-	checkEvery = 100 * time.Millisecond
-	// noticed is the shortest standstill that is reported. Shorter ones leave all that
-	// is believed within the bounds that hold anyway.
-	noticed = 700 * time.Millisecond
+	checkInterval = 100 * time.Millisecond
+	// minStall is the shortest stall that is reported. The bounds on the age of cached state
+	// cover shorter ones.
+	minStall = 700 * time.Millisecond
 )
 
-// Watch calls stood with the length of each standstill until ctx ends.
-func Watch(ctx context.Context, stood func(time.Duration)) error {
-	tick := time.NewTicker(checkEvery)
+// Watch calls onStall with the duration of each stall until ctx ends.
+func Watch(ctx context.Context, onStall func(time.Duration)) error {
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	last := now()
 	for {
@@ -32,18 +32,18 @@
 			return nil
 		}
 		at := now()
-		if gap := at - last; gap > noticed {
-			stood(gap)
+		if gap := at - last; gap > minStall {
+			onStall(gap)
 		}
 		last = at
 	}
 }
 
-// now returns the time since boot, which counts suspensions.
+// now returns the time since boot, which includes suspensions.
 func now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return time.Duration(time.Now().UnixNano()) // the time of day counts them, too
+		return time.Duration(time.Now().UnixNano()) // the wall clock includes suspensions, too
 	}
 	return time.Duration(ts.Nano())
 }
