--- a/internal/mirror/fleet_test.go
+++ b/internal/mirror/fleet_test.go
@@ -24,42 +24,42 @@
 	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
-// The model: many daemons before one service, in a bubble of synthetic time. Each has a small
-// link, for what the service tells it and for what peers ask of it, and its calls to the
-// service meet faults of their own. Sizes and links are an eighth of the users', so that all
-// takes as long as there.
+// The model has many daemons and one service and runs in synthetic time. Each daemon has a small
+// link, which carries traffic from the service and from and to peers, and its own faults on calls
+// to the service. Data sizes and bandwidths are an eighth of those in production, so that
+// transfers take the same time.
 const (
-	fleetDaemons  = 100
-	fleetReplicas = 150
-	fleetPeers    = 6 // that a daemon tells of what it knows, and one more by chance
-	fleetTell     = 100 * time.Millisecond
-	fleetBound    = 3 * time.Second // the users' tightest until a change is in force
-	fleetLink     = 10e6 / 8 / 8    // bytes a second
-	fleetState    = 1 << 20 / 8     // bytes of the largest desired state
-	fleetPage     = 50              // entries
-	fleetCall     = 4 * time.Millisecond
-	fleetWatchers = 4                       // one daemon in so many watches the service, where the others are told
-	fleetSilence  = 1500 * time.Millisecond // until a call without an answer is given up
+	fleetDaemons        = 100
+	fleetReplicas       = 150
+	fleetPeers          = 6 // fixed peers that a daemon reports to, besides a random one
+	fleetReportInterval = 100 * time.Millisecond
+	fleetMaxDelay       = 3 * time.Second // strictest production bound until a change is applied
+	fleetBandwidth      = 10e6 / 8 / 8    // bytes a second
+	fleetStateSize      = 1 << 20 / 8     // bytes of the largest desired state
+	fleetPageSize       = 50              // entries
+	fleetCallDuration   = 4 * time.Millisecond
+	fleetWatchRatio     = 4                       // one in four daemons watches, if changes are relayed
+	fleetCallTimeout    = 1500 * time.Millisecond // of a call without a response
 )
 
-// faultKind is what calls to the service meet.
+// faultKind is a kind of fault of calls to the service.
 type faultKind string
 
 const (
 	faultNone    faultKind = "none"
 	faultRefused faultKind = "refused"
 	faultSilent  faultKind = "silent"
-	faultSlow    faultKind = "slow"  // answers take sixty times as long
+	faultSlow    faultKind = "slow"  // responses take sixty times as long
 	faultFlaky   faultKind = "flaky" // every second call fails
 )
 
-// fault is one stretch of faults at one daemon.
+// fault is a period of faults of one daemon's calls.
 type fault struct {
 	kind     faultKind
 	from, to time.Duration // since the start
 }
 
-// modelService is the key-value service.
+// modelService models the key-value service.
 type modelService struct {
 	mu       sync.Mutex
 	revision platform.Revision
@@ -107,10 +107,10 @@
 		}
 	}
 	slices.SortFunc(page, func(a, b platform.Entry) int { return strings.Compare(a.Key, b.Key) })
-	return page[:min(len(page), fleetPage)], s.revision
+	return page[:min(len(page), fleetPageSize)], s.revision
 }
 
-// since returns changes after a revision, and what tells of the next.
+// since returns the changes after a revision, and a channel that is closed at the next change.
 func (s *modelService) since(after platform.Revision) ([]platform.Entry, platform.Revision, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,21 +126,21 @@
 	return events, s.revision, s.changed, nil
 }
 
-// modelDaemon is a daemon, and the service as it sees it.
+// modelDaemon is a daemon and its client of the service.
 type modelDaemon struct {
-	platform.KV  // what a Follower does not call
-	service      *modelService
-	down, up     *rate.Limiter // its link
-	start        time.Time
-	faults       []fault
-	calls        int
-	group        *Group
-	handler      http.Handler
-	mu           sync.Mutex
-	state        platform.Revision // of the desired state in force
-	wentBackOnce bool
-	relays       RelayTracker
-	watches      func() bool // whether the service tells this daemon itself
+	platform.KV // nil: a Follower calls List and Watch only
+	service     *modelService
+	down, up    *rate.Limiter // its link
+	start       time.Time
+	faults      []fault
+	calls       int
+	group       *Group
+	handler     http.Handler
+	mu          sync.Mutex
+	applied     platform.Revision // of the applied desired state
+	reverted    bool
+	relays      RelayTracker
+	watches     func() bool // whether this daemon watches the service
 }
 
 func (d *modelDaemon) apply(u Update) {
@@ -150,14 +150,14 @@
 		if e.Key != "op/config" {
 			continue
 		}
-		if e.Revision < d.state {
-			d.wentBackOnce = true
+		if e.Revision < d.applied {
+			d.reverted = true
 		}
-		d.state = e.Revision
+		d.applied = e.Revision
 	}
 }
 
-// call is one call to the service, until its answer begins.
+// call simulates a call to the service until its response begins.
 func (d *modelDaemon) call(ctx context.Context) error {
 	kind, now := faultNone, time.Since(d.start)
 	for _, f := range d.faults {
@@ -170,18 +170,18 @@
 	case kind == faultRefused || kind == faultFlaky && d.calls%2 == 0:
 		return platform.ErrUnavailable
 	case kind == faultSilent:
-		if err := sleep.For(ctx, fleetSilence); err != nil {
+		if err := sleep.For(ctx, fleetCallTimeout); err != nil {
 			return err
 		}
 		return platform.ErrUnavailable
 	case kind == faultSlow:
-		return sleep.For(ctx, 60*fleetCall)
+		return sleep.For(ctx, 60*fleetCallDuration)
 	default:
-		return sleep.For(ctx, fleetCall)
+		return sleep.For(ctx, fleetCallDuration)
 	}
 }
 
-// receive takes the time that entries need on the link, in the service's encoding.
+// receive waits as long as the link needs to transfer entries in the service's encoding.
 func (d *modelDaemon) receive(ctx context.Context, entries []platform.Entry) error {
 	for _, e := range entries {
 		for left := len(e.Value)*4/3 + 100; left > 0; left -= d.down.Burst() {
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// List implements platform.KV, page by page.
+// List implements platform.KV. It reads page by page.
 func (d *modelDaemon) List(ctx context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
 	var all []platform.Entry
 	var first platform.Revision
@@ -209,7 +209,7 @@
 			first = at
 		}
 		all = append(all, page...)
-		if len(page) < fleetPage {
+		if len(page) < fleetPageSize {
 			return all, first, nil
 		}
 	}
@@ -240,20 +240,20 @@
 	}
 }
 
-// modelNet carries questions between daemons over their links.
-type modelNet struct {
+// modelTransport sends requests between daemons over their links.
+type modelTransport struct {
 	self *modelDaemon
 	by   map[string]*modelDaemon
 }
 
 // RoundTrip implements http.RoundTripper.
-func (n modelNet) RoundTrip(r *http.Request) (*http.Response, error) {
+func (n modelTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	peer := n.by[r.URL.Host]
 	r.Header.Set("Accept-Encoding", "gzip")
 	answer := httptest.NewRecorder()
 	peer.handler.ServeHTTP(answer, r)
 	out := answer.Result()
-	link := &modelBody{ctx: r.Context(), from: peer.up, to: n.self.down, left: bytes.NewReader(answer.Body.Bytes())}
+	link := &modelBody{ctx: r.Context(), from: peer.up, to: n.self.down, remaining: bytes.NewReader(answer.Body.Bytes())}
 	if out.Header.Get("Content-Encoding") != "gzip" {
 		out.Body = io.NopCloser(link)
 		return out, nil
@@ -266,16 +266,16 @@
 	return out, nil
 }
 
-// modelBody is an answer that comes over two links.
+// modelBody is a response body that is limited by two links.
 type modelBody struct {
-	ctx      context.Context
-	from, to *rate.Limiter
-	left     *bytes.Reader
+	ctx       context.Context
+	from, to  *rate.Limiter
+	remaining *bytes.Reader
 }
 
 // Read implements io.Reader.
 func (b *modelBody) Read(p []byte) (int, error) {
-	n, err := b.left.Read(p[:min(len(p), b.to.Burst())])
+	n, err := b.remaining.Read(p[:min(len(p), b.to.Burst())])
 	for _, l := range []*rate.Limiter{b.from, b.to} {
 		if waitErr := l.WaitN(b.ctx, n); waitErr != nil {
 			return 0, waitErr
@@ -284,14 +284,14 @@
 	return n, err
 }
 
-// modelFleet is all of it.
+// modelFleet is the service and all daemons.
 type modelFleet struct {
 	service *modelService
 	daemons []*modelDaemon
 	start   time.Time
 }
 
-// newModelFleet starts daemons that meet the faults drawn for each.
+// newModelFleet starts the daemons, each with the faults that were drawn for it.
 func newModelFleet(ctx context.Context, wg *sync.WaitGroup, relayed bool, faults func(daemon int) []fault) *modelFleet {
 	f := &modelFleet{service: newModelService(), start: time.Now()}
 	f.service.put("op/config", []byte("first"))
@@ -303,46 +303,46 @@
 		const burst = 2 << 10 // bytes of one read
 		d := &modelDaemon{
 			service: f.service, start: f.start, faults: faults(i),
-			down: rate.NewLimiter(fleetLink, burst), up: rate.NewLimiter(fleetLink, burst),
+			down: rate.NewLimiter(fleetBandwidth, burst), up: rate.NewLimiter(fleetBandwidth, burst),
 		}
-		isRelayed := func() bool { return relayed && i%fleetWatchers != 0 && d.relays.PeerWatching(time.Now()) }
-		follower := New(Options{KV: d, WatchTimeout: func() time.Duration { return fleetBound - 800*time.Millisecond }, Relayed: isRelayed})
+		isRelayed := func() bool { return relayed && i%fleetWatchRatio != 0 && d.relays.PeerWatching(time.Now()) }
+		follower := New(Options{KV: d, WatchTimeout: func() time.Duration { return fleetMaxDelay - 800*time.Millisecond }, Relayed: isRelayed})
 		d.watches = follower.Watching
 		mirrors := []*Mirror{follower.AddMirror("op/", d.apply), follower.AddMirror("servers/", func(Update) {})}
-		d.group = NewGroup(GroupOptions{Client: &http.Client{Transport: modelNet{self: d, by: by}}, Mirrors: mirrors, Relayed: isRelayed})
+		d.group = NewGroup(GroupOptions{Client: &http.Client{Transport: modelTransport{self: d, by: by}}, Mirrors: mirrors, Relayed: isRelayed})
 		d.handler, _ = d.group.Handler() // fails for wrong options only
 		f.daemons = append(f.daemons, d)
 		by[address(i)] = d
 		wg.Go(func() { _ = follower.Run(ctx) }) // ends with ctx
 	}
 	for i := range f.daemons {
-		wg.Go(func() { f.tell(ctx, i) })
+		wg.Go(func() { f.reportPeriodically(ctx, i) })
 	}
 	return f
 }
 
 func address(daemon int) string { return fmt.Sprint("d", daemon, ":1") }
 
-// tell has a daemon tell others what it knows, some times a second.
-func (f *modelFleet) tell(ctx context.Context, i int) {
+// reportPeriodically sends a daemon's revisions to its peers every fleetReportInterval.
+func (f *modelFleet) reportPeriodically(ctx context.Context, i int) {
 	chance := rand.New(rand.NewPCG(uint64(i), 1))
-	for sleep.For(ctx, fleetTell) == nil {
+	for sleep.For(ctx, fleetReportInterval) == nil {
 		for n := range fleetPeers {
-			f.tellOne(ctx, i, (i+1+n)%fleetDaemons)
+			f.report(ctx, i, (i+1+n)%fleetDaemons)
 		}
-		f.tellOne(ctx, i, chance.IntN(fleetDaemons))
+		f.report(ctx, i, chance.IntN(fleetDaemons))
 	}
 }
 
-// tellOne has a daemon tell another what it knows, and whether the service tells it itself.
-func (f *modelFleet) tellOne(ctx context.Context, from, to int) {
+// report sends one daemon's revisions to another, and whether the sender watches the service.
+func (f *modelFleet) report(ctx context.Context, from, to int) {
 	f.daemons[to].group.HandleRevisions(ctx, address(from), f.daemons[from].group.Revisions())
 	if f.daemons[from].watches() {
 		f.daemons[to].relays.RecordWatcher(time.Now())
 	}
 }
 
-// drawFaults draws what one daemon meets within a time.
+// drawFaults draws the faults of one daemon within a duration.
 func drawFaults(draw *rand.Rand, within time.Duration) []fault {
 	kinds := []faultKind{faultRefused, faultSilent, faultSlow, faultFlaky}
 	var out []fault
@@ -354,9 +354,9 @@
 	return out
 }
 
-// largeState returns text as unlike itself as names drawn by chance.
-func largeState(draw *rand.Rand) []byte {
-	size := fleetState/8 + draw.IntN(fleetState*7/8)
+// randomState returns a desired state with random names, which compresses no better than real ones.
+func randomState(draw *rand.Rand) []byte {
+	size := fleetStateSize/8 + draw.IntN(fleetStateSize*7/8)
 	var b bytes.Buffer
 	for b.Len() < size {
 		fmt.Fprintf(&b, `{"name":"r-%08x","host":"%08x.example","prefix":"/%08x/","kind":"safe"},`, draw.Uint32(), draw.Uint32(), draw.Uint32())
@@ -364,13 +364,13 @@
 	return b.Bytes()
 }
 
-// Operators write large desired states, one soon after the other, while the service refuses
-// some daemons, answers others not at all, late or every second time, and drops its history. Each
-// state must be in force on every daemon within the bound, as each reaches its peers, and never
-// give way to an older one.
+// Operators write large desired states in quick succession. Meanwhile the service refuses some
+// daemons, is silent or slow to others, fails every second call, and compacts its history. All
+// daemons can reach their peers, so each state must be applied on every daemon within the bound,
+// and no daemon may revert to an older state.
 //
-// FLEET_SEEDS is how many seeds to play by hand, from FLEET_FIRST on.
-func TestChangesAreInForceInTimeOnAHundredDaemons(t *testing.T) {
+// FLEET_SEEDS sets how many seeds to run, starting with FLEET_FIRST.
+func TestChangesReachHundredDaemonsInTime(t *testing.T) {
 	first, seeds := uint64(1), 3
 	if n, err := strconv.Atoi(os.Getenv("FLEET_SEEDS")); err == nil {
 		seeds = n
@@ -381,14 +381,14 @@
 	for seed := first; seed < first+uint64(seeds); seed++ {
 		for name, relayed := range map[string]bool{"all watch": false, "few watch": true} {
 			t.Run(fmt.Sprintf("%s seed=%d", name, seed), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { playFleet(t, rand.New(rand.NewPCG(seed, 0)), relayed) })
+				synctest.Test(t, func(t *testing.T) { runFleet(t, rand.New(rand.NewPCG(seed, 0)), relayed) })
 			})
 		}
 	}
 }
 
-// playFleet has operators make some changes, and looks after each whether it is in force in time.
-func playFleet(t *testing.T, draw *rand.Rand, relayed bool) {
+// runFleet makes changes as operators do, and checks that each is applied in time.
+func runFleet(t *testing.T, draw *rand.Rand, relayed bool) {
 	const length = 12 * time.Second
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -401,15 +401,15 @@
 			}
 		})
 	}
-	_ = sleep.For(ctx, 2*time.Second) // all have listed
+	_ = sleep.For(ctx, 2*time.Second) // until all daemons have listed
 	var checks sync.WaitGroup
 	for range 2 + draw.IntN(3) {
 		_ = sleep.For(ctx, 300*time.Millisecond+time.Duration(draw.Int64N(int64(3*time.Second))))
-		revision := f.service.put("op/config", largeState(draw))
+		revision := f.service.put("op/config", randomState(draw))
 		at := time.Since(f.start)
 		checks.Go(func() {
-			_ = sleep.For(ctx, fleetBound)
-			f.check(t, at, revision)
+			_ = sleep.For(ctx, fleetMaxDelay)
+			f.checkApplied(t, at, revision)
 		})
 	}
 	checks.Wait()
@@ -417,15 +417,15 @@
 	wg.Wait()
 }
 
-// check reports daemons on which a change is not in force, or older ones came back.
-func (f *modelFleet) check(t *testing.T, at time.Duration, revision platform.Revision) {
+// checkApplied reports daemons that have not applied a change or reverted to an older one.
+func (f *modelFleet) checkApplied(t *testing.T, at time.Duration, revision platform.Revision) {
 	for i, d := range f.daemons {
 		d.mu.Lock()
-		if d.state < revision {
-			t.Errorf("daemon %d: the change of %s (revision %d) is not in force after %s: revision %d is; its faults: %v", i, at, revision, fleetBound, d.state, d.faults)
+		if d.applied < revision {
+			t.Errorf("daemon %d: the change of %s (revision %d) is not applied after %s, only revision %d; faults: %v", i, at, revision, fleetMaxDelay, d.applied, d.faults)
 		}
-		if d.wentBackOnce {
-			t.Errorf("daemon %d: an older state came back", i)
+		if d.reverted {
+			t.Errorf("daemon %d reverted to an older state", i)
 		}
 		d.mu.Unlock()
 	}
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -16,67 +16,69 @@
 )
 
 const (
-	// defaultWait bounds one watch. A watch can be cut without a word; each then begins
-	// anew after its wait, and tells its peers what it finds.
-	defaultWait = 8 * time.Second
-	minPause    = 100 * time.Millisecond // between failed calls, at first
-	maxPause    = time.Second
-	// returnGrace is how long after the listing that ends an outage a removal may be of a lease
-	// that ran out in it, with its owner alive. What is removed later has left.
-	returnGrace = time.Second
-	// outageAfter is how long calls must fail to count as an outage. A watch that is cut
-	// and goes on at once is none.
-	outageAfter = 500 * time.Millisecond
-	// spread is the part of a watch's wait that is left to chance, so that the watches of
-	// many daemons don't end together.
-	spread = 0.2
-	// relayedEvery is how often a process looks whether peers still tell it of changes.
-	relayedEvery = 100 * time.Millisecond
+	// defaultWatchTimeout bounds one watch. A watch connection can fail silently; the follower
+	// then detects missed changes with its next watch, and the daemon reports them to its peers.
+	defaultWatchTimeout = 8 * time.Second
+	minBackoff          = 100 * time.Millisecond // first delay between failed calls
+	maxBackoff          = time.Second
+	// recoveryGrace is how long after the listing that ends an outage a removed entry may belong to
+	// a lease that expired in the outage while its owner was alive. The owner of an entry that is
+	// removed later has left.
+	recoveryGrace = time.Second
+	// outageThreshold is how long calls must fail to count as an outage. An interrupted watch
+	// that resumes at once does not count.
+	outageThreshold = 500 * time.Millisecond
+	// watchJitter is the random fraction of a watch's timeout. It prevents the watches of many
+	// daemons from ending at the same time.
+	watchJitter = 0.2
+	// relayCheckInterval is how often a follower checks whether peers still relay changes.
+	relayCheckInterval = 100 * time.Millisecond
 )
 
 // Options of New.
 type Options struct {
 	KV platform.KV
-	// Prefix is that of all keys that are watched, and begins the prefix of each mirror; empty:
-	// all there are.
+	// Prefix is the prefix of all watched keys. The prefix of each mirror must begin with it.
+	// Empty: all keys.
 	Prefix string
-	// WatchTimeout returns the longest wait of one watch; nil: 8 s. A watch that was cut without a
-	// word is noticed after it, so that it bounds how late a change may be known.
+	// WatchTimeout returns the longest duration of one watch; nil: 8 s. It bounds the delay of a
+	// change, because a watch whose connection failed silently is detected after this time.
 	WatchTimeout func() time.Duration
-	// BatchDelay returns how long to wait after a change for more, so that many changes at
-	// once don't cost a call each; nil: not at all.
+	// BatchDelay returns how long to wait for more changes after a change, so that many
+	// concurrent changes don't cost a call each; nil: no wait.
 	BatchDelay func() time.Duration
-	// Relayed reports whether peers tell of all changes now, so that none is asked for; nil: never.
+	// Relayed reports whether peers currently relay all changes, so that the follower need not
+	// watch; nil: never.
 	Relayed func() bool
 	Logger  hclog.Logger
 }
 
-// Follower keeps mirrors up to date.
+// Follower keeps mirrors up to date with the key-value service.
 type Follower struct {
-	o         Options
+	opts      Options
 	mirrors   []*Mirror
 	connected atomic.Bool
-	watching  atomic.Bool // the service is asked for changes, and has answered last
+	watching  atomic.Bool // the follower watches, and its last watch succeeded
 	wake      chan struct{}
 
-	mu        sync.Mutex
-	returning bool      // the first listing after an outage runs
-	lapseEnds time.Time // after it, a removal is none of a lease that ran out in an outage
-	failing   time.Time // since when calls fail; zero: they don't
-	listing   time.Time // since when a listing runs; zero: none does
+	mu           sync.Mutex
+	recovering   bool      // an outage or a restore happened, and no listing has completed since
+	graceEnds    time.Time // until then, a removal may be an expiry in an outage
+	failingSince time.Time // time of the first failed call; zero: calls succeed
+	listingSince time.Time // start of the running listing; zero: none runs
 }
 
-// State tells how a follower stands with the service.
+// State describes a follower's connection to the service.
 type State struct {
 	Connected  bool  `json:"connected"`            // the last call succeeded
 	FailingFor int64 `json:"failing_ms,omitempty"` // milliseconds in which no call succeeded
-	ListingFor int64 `json:"listing_ms,omitempty"` // milliseconds since a listing began that is not complete
+	ListingFor int64 `json:"listing_ms,omitempty"` // milliseconds since the start of the running listing
 }
 
-// New returns a follower that has read nothing yet.
+// New returns a follower. It reads nothing before Run.
 func New(o Options) *Follower {
 	if o.WatchTimeout == nil {
-		o.WatchTimeout = func() time.Duration { return defaultWait }
+		o.WatchTimeout = func() time.Duration { return defaultWatchTimeout }
 	}
 	if o.BatchDelay == nil {
 		o.BatchDelay = func() time.Duration { return 0 }
@@ -88,33 +90,33 @@
 		o.Logger = hclog.NewNullLogger()
 	}
 	o.Logger = o.Logger.Named("mirror")
-	return &Follower{o: o, wake: make(chan struct{}, 1)}
+	return &Follower{opts: o, wake: make(chan struct{}, 1)}
 }
 
-// AddMirror adds a copy of the keys below a prefix, which no other mirror may share. apply is
-// called from one goroutine at a time. It must be called before Run. Mirrors are listed in the
-// order in which they were added: the first is in force first.
+// AddMirror adds a copy of the keys below a prefix. Prefixes of mirrors must not overlap. apply
+// is called from one goroutine at a time. AddMirror must be called before Run. Run lists and
+// applies mirrors in the order in which they were added.
 func (f *Follower) AddMirror(prefix string, apply func(Update)) *Mirror {
-	m := &Mirror{prefix: prefix, apply: apply, lapsing: f.lapsing, entries: map[string]platform.Entry{}}
+	m := &Mirror{prefix: prefix, apply: apply, afterOutage: f.afterOutage, entries: map[string]platform.Entry{}}
 	f.mirrors = append(f.mirrors, m)
 	return m
 }
 
-// Connected reports whether the last call succeeded, so that the copies are as new as the
-// service's answers.
+// Connected reports whether the last call succeeded, which means that the copies are as new as
+// the service's responses.
 func (f *Follower) Connected() bool { return f.connected.Load() }
 
-// Watching reports whether the service tells this process itself of changes.
+// Watching reports whether the follower receives changes from the service itself.
 func (f *Follower) Watching() bool { return f.watching.Load() }
 
-// State returns how the follower stands with the service.
+// State returns the state of the follower's connection to the service.
 func (f *Follower) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return State{Connected: f.Connected(), FailingFor: msSince(f.failing), ListingFor: msSince(f.listing)}
+	return State{Connected: f.Connected(), FailingFor: msSince(f.failingSince), ListingFor: msSince(f.listingSince)}
 }
 
-// msSince returns the milliseconds since a moment, zero for the zero moment.
+// msSince returns the milliseconds since t, or zero if t is the zero time.
 func msSince(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -122,8 +124,7 @@
 	return time.Since(t).Milliseconds()
 }
 
-// Refresh asks for a new listing, for a process that stood still and must not trust what
-// it knows.
+// Refresh requests a new listing. A process calls it after a stall, when its copies may be stale.
 func (f *Follower) Refresh() {
 	f.connected.Store(false)
 	select {
@@ -132,23 +133,24 @@
 	}
 }
 
-// ServiceRestored tells that the service has come back from a copy of some time ago. All is listed
-// anew, and what is missing may have been lost with its owner alive.
+// ServiceRestored notifies the follower that the service was restored from a backup. The
+// follower lists all keys again and treats missing entries as possibly lost while their owners
+// are alive.
 func (f *Follower) ServiceRestored() {
 	f.mu.Lock()
-	f.returning = true
+	f.recovering = true
 	f.mu.Unlock()
-	f.o.Logger.Warn("The key-value service has come back from a copy")
+	f.opts.Logger.Warn("The key-value service was restored from a backup")
 	f.Refresh()
 }
 
-// Run follows the service until ctx ends.
+// Run lists and watches the service until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		at, err := f.list(ctx)
 		for err == nil {
-			if f.o.Relayed() {
-				err = f.leaveToPeers(ctx)
+			if f.opts.Relayed() {
+				err = f.waitWhileRelayed(ctx)
 				continue
 			}
 			at, err = f.watch(ctx, at)
@@ -156,96 +158,97 @@
 		}
 		f.watching.Store(false)
 		if err != nil && ctx.Err() == nil {
-			f.o.Logger.Info("All is listed anew", "cause", err)
+			f.opts.Logger.Info("The follower lists all keys again", "cause", err)
 		}
 	}
 	return nil
 }
 
-var errRefresh = errors.New("mirror: a new listing is asked for")
+var errRefreshRequested = errors.New("mirror: a new listing was requested")
 
-// list reads all prefixes, one after the other in the order in which their mirrors were added,
-// and returns the revision from which a watch misses nothing. Each is in force when it was read:
-// with one listing of all, the desired state would wait for the pages of hundreds of replicas,
-// and be read anew when a call for the last page fails.
+// list reads the prefixes one by one, in the order in which their mirrors were added, and returns
+// the revision from which a watch misses no change. Each prefix is applied as soon as it was
+// read. In a single listing of all keys, the desired state would have to wait for the pages of
+// hundreds of replicas, and would be read again if the call for the last page failed.
 func (f *Follower) list(ctx context.Context) (platform.Revision, error) {
-	begun := time.Now()
-	f.setListing(begun)
-	defer f.setListing(time.Time{})
+	started := time.Now()
+	f.setListingSince(started)
+	defer f.setListingSince(time.Time{})
 	var from platform.Revision
-	total, tries := 0, 0
+	total, calls := 0, 0
 	for i, m := range f.mirrors {
 		var entries []platform.Entry
 		var at platform.Revision
-		err := f.retried(ctx, func() (err error) {
-			tries++
-			entries, at, err = f.o.KV.List(ctx, m.prefix)
+		err := f.retry(ctx, func() (err error) {
+			calls++
+			entries, at, err = f.opts.KV.List(ctx, m.prefix)
 			if err != nil {
-				f.o.Logger.Debug("A listing fails", "prefix", m.prefix, "after_ms", time.Since(begun).Milliseconds(), "error", err)
+				f.opts.Logger.Debug("A list call failed", "prefix", m.prefix, "after_ms", time.Since(started).Milliseconds(), "error", err)
 			}
 			return err
 		})
 		if err != nil {
 			return 0, err
 		}
-		m.takeAll(content{entries: entries, complete: at, lapsing: f.lapsing()})
+		m.applyListing(content{entries: entries, complete: at, afterOutage: f.afterOutage()})
 		if i == 0 || at < from {
 			from = at
 		}
 		total += len(entries)
 	}
-	f.returned()
-	f.o.Logger.Info("All was listed", "entries", total, "revision", from, "calls", tries, "after_ms", time.Since(begun).Milliseconds())
+	f.endRecovery()
+	f.opts.Logger.Info("The follower listed all keys", "entries", total, "revision", from, "calls", calls, "after_ms", time.Since(started).Milliseconds())
 	return from, nil
 }
 
-func (f *Follower) setListing(since time.Time) {
+func (f *Follower) setListingSince(since time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.listing = since
+	f.listingSince = since
 }
 
-// watch waits for changes once. After a failure all is listed anew: a list answers
-// at once, so that the end of an outage is known when it comes and not when the next watch
-// has waited its time.
+// watch waits for changes once. After an error the caller lists all keys again: a list call
+// returns at once and detects the end of an outage immediately, whereas a new watch would detect
+// it at its timeout.
 func (f *Follower) watch(ctx context.Context, at platform.Revision) (platform.Revision, error) {
-	cut, cancel := context.WithCancel(ctx)
+	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go f.cutOnRefresh(cut, cancel)
-	entries, next, err := f.o.KV.Watch(cut, f.o.Prefix, at, f.nextWait())
+	go f.cancelOnRefresh(watchCtx, cancel)
+	entries, next, err := f.opts.KV.Watch(watchCtx, f.opts.Prefix, at, f.nextWatchTimeout())
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return at, ctx.Err()
-	case err != nil && cut.Err() != nil:
-		return at, errRefresh
+	case err != nil && watchCtx.Err() != nil:
+		return at, errRefreshRequested
 	case err != nil:
 		f.connected.Store(false)
 		if !errors.Is(err, platform.ErrCompacted) {
-			f.failed(err)
+			f.recordFailure(err)
 		}
 		return at, err
 	}
 	f.connected.Store(true)
 	for _, m := range f.mirrors {
-		m.takeSome(m.below(entries), next, f.lapsing())
+		m.applyChanges(m.matching(entries), next, f.afterOutage())
 	}
 	if len(entries) > 0 {
-		_ = sleep.For(ctx, f.o.BatchDelay()) // the loop asks the context itself
+		_ = sleep.For(ctx, f.opts.BatchDelay()) // the loop checks ctx
 	}
 	return next, nil
 }
 
-// leaveToPeers asks for nothing while peers tell of all changes. What they told is known already
-// when a watch goes on from where this process left it.
-func (f *Follower) leaveToPeers(ctx context.Context) error {
+// waitWhileRelayed blocks without calls to the service while peers relay all changes. The next
+// watch continues from the revision of the last one; merging skips changes that peers delivered
+// in the meantime.
+func (f *Follower) waitWhileRelayed(ctx context.Context) error {
 	f.watching.Store(false)
-	tick := time.NewTicker(relayedEvery)
+	tick := time.NewTicker(relayCheckInterval)
 	defer tick.Stop()
-	for f.o.Relayed() {
+	for f.opts.Relayed() {
 		select {
 		case <-tick.C:
 		case <-f.wake:
-			return errRefresh
+			return errRefreshRequested
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -253,13 +256,13 @@
 	return nil
 }
 
-// nextWait returns how long the next watch may wait.
-func (f *Follower) nextWait() time.Duration {
-	longest := f.o.WatchTimeout()
-	return longest - time.Duration(spread*rand.Float64()*float64(longest))
+// nextWatchTimeout returns the timeout of the next watch.
+func (f *Follower) nextWatchTimeout() time.Duration {
+	longest := f.opts.WatchTimeout()
+	return longest - time.Duration(watchJitter*rand.Float64()*float64(longest))
 }
 
-func (f *Follower) cutOnRefresh(ctx context.Context, cancel context.CancelFunc) {
+func (f *Follower) cancelOnRefresh(ctx context.Context, cancel context.CancelFunc) {
 	select {
 	case <-f.wake:
 		cancel()
@@ -267,63 +270,64 @@
 	}
 }
 
-func (f *Follower) lapsing() bool {
+func (f *Follower) afterOutage() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.returning || time.Now().Before(f.lapseEnds)
+	return f.recovering || time.Now().Before(f.graceEnds)
 }
 
-// returned notes that a listing is complete. The time for lapses begins then: all prefixes were
-// read, so that owners of entries that are missing can be told from those that left.
-func (f *Follower) returned() {
+// endRecovery starts recoveryGrace when the first listing after an outage is complete. It starts
+// no earlier, because only then all prefixes were read and owners whose entries are missing can
+// be distinguished from those that left.
+func (f *Follower) endRecovery() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.returning {
-		f.returning = false
-		f.lapseEnds = time.Now().Add(returnGrace)
+	if f.recovering {
+		f.recovering = false
+		f.graceEnds = time.Now().Add(recoveryGrace)
 	}
 }
 
-// retried calls until it succeeds or ctx ends.
-func (f *Follower) retried(ctx context.Context, call func() error) error {
-	next := minPause
+// retry repeats call with backoff until it succeeds or ctx ends.
+func (f *Follower) retry(ctx context.Context, call func() error) error {
+	backoff := minBackoff
 	for {
 		err := call()
 		if err == nil {
-			f.succeeded()
+			f.recordSuccess()
 			return nil
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		f.connected.Store(false)
-		f.failed(err)
-		_ = sleep.For(ctx, next/2+rand.N(next/2)) // the loop asks the context itself
-		next = min(2*next, maxPause)
+		f.recordFailure(err)
+		_ = sleep.For(ctx, backoff/2+rand.N(backoff/2)) // the loop checks ctx
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (f *Follower) succeeded() {
+func (f *Follower) recordSuccess() {
 	f.connected.Store(true)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.failing.IsZero() {
+	if f.failingSince.IsZero() {
 		return
 	}
-	lasted := time.Since(f.failing)
-	f.failing = time.Time{}
-	if lasted >= outageAfter {
-		f.returning = true
+	outage := time.Since(f.failingSince)
+	f.failingSince = time.Time{}
+	if outage >= outageThreshold {
+		f.recovering = true
 	}
-	f.o.Logger.Info(loglines.KVRegained, "failed_for_ms", lasted.Milliseconds())
+	f.opts.Logger.Info(loglines.KVRegained, "failed_for_ms", outage.Milliseconds())
 }
 
-func (f *Follower) failed(err error) {
+func (f *Follower) recordFailure(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.failing.IsZero() {
+	if !f.failingSince.IsZero() {
 		return
 	}
-	f.failing = time.Now()
-	f.o.Logger.Warn(loglines.KVLost, "error", err)
+	f.failingSince = time.Now()
+	f.opts.Logger.Warn(loglines.KVLost, "error", err)
 }
--- a/internal/mirror/group.go
+++ b/internal/mirror/group.go
@@ -18,83 +18,84 @@
 )
 
 const (
-	// behindFor is how long a peer must know of a newer change before its copy is asked
-	// for: the watch of this daemon is mostly about to tell it.
-	behindFor = 250 * time.Millisecond
-	// forgetAfter is how long nobody must have told of a newer change for it to be forgotten.
-	// Daemons repeat what they know several times in it.
-	forgetAfter = time.Second
-	// maxAsks is how many peers are asked for one copy at once, and askAgainAfter how long the
-	// first has for it: a peer whose link is full must not hold back what others have.
-	maxAsks       = 2
-	askAgainAfter = time.Second
-	// readTimeout bounds the time until a peer's answer begins. How long it lasts depends on its
-	// size.
-	readTimeout = 500 * time.Millisecond
+	// fetchDelay is how long peers must report a newer change before a copy is fetched. The
+	// watch of this daemon usually delivers the change within this time.
+	fetchDelay = 250 * time.Millisecond
+	// lagExpiry is the time without a report of a newer change after which a lag is discarded.
+	// Daemons repeat their reports several times within it.
+	lagExpiry = time.Second
+	// maxFetches bounds the concurrent fetches of one prefix. A further fetch starts
+	// nextFetchDelay after the previous one, so that a peer with a saturated link does not delay
+	// a change that other peers have.
+	maxFetches     = 2
+	nextFetchDelay = time.Second
+	// headerTimeout bounds the time until a peer's response begins. The transfer time depends on
+	// the size of the copy.
+	headerTimeout = 500 * time.Millisecond
 )
 
 // GroupOptions are the options of NewGroup.
 type GroupOptions struct {
-	Client  *http.Client // to peers
-	Mirrors []*Mirror    // the same on all daemons, in the same order
+	Client  *http.Client // for calls to peers
+	Mirrors []*Mirror    // all daemons must have the same mirrors in the same order
 	Logger  hclog.Logger
 	Metrics tally.Scope
-	// Relayed reports whether peers tell of all changes now; nil: never. Their copies are then
-	// asked for at once.
+	// Relayed reports whether peers currently relay all changes; nil: never. While it does, copies
+	// are fetched without delay.
 	Relayed func() bool
 }
 
-// Group shares mirrors among daemons. It implements the service Copies.
+// Group exchanges the contents of mirrors with peers. It implements the service Copies.
 type Group struct {
-	client  *transfer.Client
-	log     hclog.Logger
-	metrics tally.Scope
-	order   []string // prefixes
-	by      map[string]*Mirror
-	relayed func() bool
+	client   *transfer.Client
+	log      hclog.Logger
+	metrics  tally.Scope
+	prefixes []string // of the mirrors, in the order of GroupOptions.Mirrors
+	byPrefix map[string]*Mirror
+	relayed  func() bool
 
 	mu   sync.Mutex
 	lags map[string]*lag // by prefix
 }
 
-// lag is what a daemon knows of changes that peers know and it does not.
+// lag tracks changes below a prefix that peers have and this daemon lacks.
 type lag struct {
-	told  platform.Revision // newest change that a peer told of
-	since time.Time         // when one was first told that is not known yet; zero: all are
-	heard time.Time         // when one was told last
-	asks  int               // peers that are being asked
-	asked time.Time         // when the last was
+	reported   platform.Revision // newest change that a peer reported
+	since      time.Time         // first report of a change that is still missing; zero: none is missing
+	lastReport time.Time         // last report of a missing change
+	fetches    int               // number of running fetches
+	lastFetch  time.Time         // start of the last fetch
 }
 
-// note takes that a peer knows of a change that this daemon does not, and reports whether to
-// ask for its copy: once that has lasted for some time.
-func (l *lag) note(now time.Time, revision platform.Revision, after time.Duration) bool {
-	if l.since.IsZero() || now.Sub(l.heard) > forgetAfter {
-		l.since, l.told = now, 0
+// recordReport records that a peer has a change that this daemon lacks, and reports whether to
+// fetch the peer's copy. The first fetch starts once the lag has lasted for delay.
+func (l *lag) recordReport(now time.Time, revision platform.Revision, delay time.Duration) bool {
+	if l.since.IsZero() || now.Sub(l.lastReport) > lagExpiry {
+		l.since, l.reported = now, 0
 	}
-	l.told, l.heard = max(l.told, revision), now
-	if now.Sub(l.since) < after {
+	l.reported, l.lastReport = max(l.reported, revision), now
+	if now.Sub(l.since) < delay {
 		return false
 	}
-	return l.asks == 0 || l.asks < maxAsks && now.Sub(l.asked) > askAgainAfter
+	return l.fetches == 0 || l.fetches < maxFetches && now.Sub(l.lastFetch) > nextFetchDelay
 }
 
-// lasts returns for how long some change has not been known here that is still told of.
-func (l *lag) lasts(now time.Time, m *Mirror) time.Duration {
-	if l.since.IsZero() || now.Sub(l.heard) > forgetAfter || m.knows(l.told) {
+// duration returns how long a change that peers still report has been missing.
+func (l *lag) duration(now time.Time, m *Mirror) time.Duration {
+	if l.since.IsZero() || now.Sub(l.lastReport) > lagExpiry || m.hasApplied(l.reported) {
 		return 0
 	}
 	return now.Sub(l.since)
 }
 
-// caughtUp ends the lag if all that was told is known by now.
-func (l *lag) caughtUp(m *Mirror) {
-	if m.knows(l.told) {
+// clearIfApplied ends the lag if all reported changes are applied.
+func (l *lag) clearIfApplied(m *Mirror) {
+	if m.hasApplied(l.reported) {
 		l.since = time.Time{}
 	}
 }
 
-// NewGroup returns a group of some mirrors.
+// NewGroup returns a group for the mirrors in o.
 func NewGroup(o GroupOptions) *Group {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
@@ -107,20 +108,20 @@
 	}
 	c := &Group{
 		relayed: o.Relayed,
-		client:  &transfer.Client{HTTP: o.Client, Head: readTimeout}, log: o.Logger.Named("copies"), metrics: o.Metrics,
-		by: map[string]*Mirror{}, lags: map[string]*lag{},
+		client:  &transfer.Client{HTTP: o.Client, Head: headerTimeout}, log: o.Logger.Named("copies"), metrics: o.Metrics,
+		byPrefix: map[string]*Mirror{}, lags: map[string]*lag{},
 	}
 	c.client.Done = c.countReceived
 	for _, m := range o.Mirrors {
-		c.order = append(c.order, m.prefix)
-		c.by[m.prefix] = m
+		c.prefixes = append(c.prefixes, m.prefix)
+		c.byPrefix[m.prefix] = m
 		c.lags[m.prefix] = &lag{}
 	}
 	return c
 }
 
-// Handler serves Copies. Copies are compressed: a desired state is text in which little is new,
-// and what goes over the links of the daemons that ask and are asked comes down to a tenth.
+// Handler returns the HTTP handler of the service Copies. It compresses responses: a desired
+// state is repetitive text, and compression reduces the traffic between daemons to a tenth.
 func (c *Group) Handler() (http.Handler, error) {
 	compressed, err := gzhttp.NewWrapper(gzhttp.CompressionLevel(gzip.BestSpeed))
 	if err != nil {
@@ -129,100 +130,101 @@
 	return compressed(NewCopiesServer(c)), nil
 }
 
-// Revisions returns the newest change of each mirror, to be told to peers.
+// Revisions returns the newest applied revision of each mirror. The daemon reports them to peers.
 func (c *Group) Revisions() []uint64 {
-	out := make([]uint64, len(c.order))
-	for i, prefix := range c.order {
-		out[i] = uint64(c.by[prefix].Newest())
+	out := make([]uint64, len(c.prefixes))
+	for i, prefix := range c.prefixes {
+		out[i] = uint64(c.byPrefix[prefix].Newest())
 	}
 	return out
 }
 
-// HandleRevisions is told the newest changes that a peer knows, in the order of Revisions. Where the
-// peer knows more for a while, its copy is asked for.
+// HandleRevisions processes a peer's Revisions. It fetches the peer's copy of each prefix for
+// which peers have been ahead for fetchDelay, or at once while peers relay changes.
 func (c *Group) HandleRevisions(ctx context.Context, peer string, revisions []uint64) {
-	if len(revisions) != len(c.order) {
-		return // a daemon of another release
+	if len(revisions) != len(c.prefixes) {
+		return // the peer runs another release
 	}
 	now := time.Now()
-	for i, prefix := range c.order {
-		if c.beginAsk(now, prefix, platform.Revision(revisions[i])) {
-			go c.ask(ctx, peer, prefix)
+	for i, prefix := range c.prefixes {
+		if c.beginFetch(now, prefix, platform.Revision(revisions[i])) {
+			go c.fetch(ctx, peer, prefix)
 		}
 	}
 }
 
-// Lag returns for how long peers have told of a change below a prefix that is not known here,
-// zero if none tells of one.
+// Lag returns how long peers have reported a change below a prefix that this daemon lacks, or
+// zero if no peer reports one.
 func (c *Group) Lag(prefix string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lags[prefix].lasts(time.Now(), c.by[prefix])
+	return c.lags[prefix].duration(time.Now(), c.byPrefix[prefix])
 }
 
-// beginAsk notes what a peer told of a prefix, and reports whether the peer is to be asked for its
-// copy. It is then counted as asked until ask ends.
-func (c *Group) beginAsk(now time.Time, prefix string, told platform.Revision) bool {
-	m := c.by[prefix]
-	known := m.knows(told)
+// beginFetch records the revision that a peer reported for a prefix, and reports whether to fetch
+// the peer's copy. If so, it counts the fetch as running until fetch returns.
+func (c *Group) beginFetch(now time.Time, prefix string, reported platform.Revision) bool {
+	m := c.byPrefix[prefix]
+	applied := m.hasApplied(reported)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := c.lags[prefix]
-	if known {
-		l.caughtUp(m)
+	if applied {
+		l.clearIfApplied(m)
 		return false
 	}
-	after := behindFor
+	delay := fetchDelay
 	if c.relayed() {
-		after = 0
+		delay = 0
 	}
-	if !l.note(now, told, after) {
+	if !l.recordReport(now, reported, delay) {
 		return false
 	}
-	l.asks++
-	l.asked = now
+	l.fetches++
+	l.lastFetch = now
 	return true
 }
 
-// ask takes a peer's copy. Only what changed since this daemon last knew all of it crosses the
-// link: named weights are a few bytes beside a desired state of a megabyte.
-func (c *Group) ask(ctx context.Context, peer, prefix string) {
-	m := c.by[prefix]
+// fetch requests a peer's copy and applies it. The peer sends only the changes after the revision
+// up to which this daemon is complete: a requested weight version takes a few bytes, the desired
+// state a megabyte.
+func (c *Group) fetch(ctx context.Context, peer, prefix string) {
+	m := c.byPrefix[prefix]
 	defer func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.lags[prefix].asks--
-		c.lags[prefix].caughtUp(m)
+		c.lags[prefix].fetches--
+		c.lags[prefix].clearIfApplied(m)
 	}()
-	known, begun := m.knownTo(), time.Now()
+	known, started := m.completeUpTo(), time.Now()
 	answer, err := NewCopiesProtobufClient("http://"+peer, c.client).Read(ctx, &ReadRequest{Prefix: prefix, NewerThan: uint64(known), Changes: true, Removals: true})
 	if err != nil {
-		c.countAsked("failed")
-		c.log.Info("A peer gives no copy", "peer", peer, "prefix", prefix, "known", known, "after_ms", time.Since(begun).Milliseconds(), "error", err)
+		c.countFetch("failed")
+		c.log.Info("Fetching a copy from a peer failed", "peer", peer, "prefix", prefix, "known", known, "after_ms", time.Since(started).Milliseconds(), "error", err)
 		return
 	}
-	if m.knows(platform.Revision(answer.Newest)) {
-		c.countAsked("nothing_new")
+	if m.hasApplied(platform.Revision(answer.Newest)) {
+		c.countFetch("nothing_new")
 		return
 	}
-	c.countAsked("taken")
-	c.log.Info("A peer's copy is taken", "peer", peer, "prefix", prefix, "revision", answer.Newest, "known", known, "entries", len(answer.Entries), "after_ms", time.Since(begun).Milliseconds())
-	if given := answer.content(); answer.ChangesOnly {
-		m.takeSome(given.entries, given.complete, given.lapsing)
+	c.countFetch("taken")
+	c.log.Info("Applying a copy fetched from a peer", "peer", peer, "prefix", prefix, "revision", answer.Newest, "known", known, "entries", len(answer.Entries), "after_ms", time.Since(started).Milliseconds())
+	if received := answer.content(); answer.ChangesOnly {
+		m.applyChanges(received.entries, received.complete, received.afterOutage)
 	} else {
-		m.takeAll(given)
+		m.applyListing(received)
 	}
 }
 
 func (r *ReadResponse) content() content {
-	c := content{unchanged: r.Unchanged, complete: platform.Revision(r.Complete), newest: platform.Revision(r.Newest), lapsing: r.Lapsing}
+	c := content{unchanged: r.Unchanged, complete: platform.Revision(r.Complete), newest: platform.Revision(r.Newest), afterOutage: r.Lapsing}
 	for _, e := range r.Entries {
 		c.entries = append(c.entries, platform.Entry{Key: e.Key, Value: e.Value, Revision: platform.Revision(e.Revision), Lease: platform.LeaseID(e.Lease), Deleted: e.Removed})
 	}
 	return c
 }
 
-func (c *Group) countAsked(outcome string) {
+func (c *Group) countFetch(outcome string) {
 	c.metrics.Tagged(map[string]string{"outcome": outcome}).Counter("copies_asked").Inc(1)
 }
 
@@ -232,26 +234,26 @@
 
 // Read implements Copies.
 func (c *Group) Read(_ context.Context, r *ReadRequest) (*ReadResponse, error) {
-	m := c.by[r.Prefix]
+	m := c.byPrefix[r.Prefix]
 	if m == nil {
 		return &ReadResponse{}, nil
 	}
 	known := platform.Revision(r.NewerThan)
 	if !r.Changes {
-		known = 0 // a daemon of an older release takes whole copies only
+		known = 0 // daemons of an older release accept complete copies only
 	}
-	given, changesOnly := content{}, false
+	copied, changesOnly := content{}, false
 	if r.Removals {
-		given, changesOnly = m.changesSince(known)
+		copied, changesOnly = m.changesSince(known)
 	}
 	if !changesOnly {
-		given = m.since(known)
+		copied = m.contentSince(known)
 	}
-	if uint64(given.newest) <= r.NewerThan {
-		return &ReadResponse{Newest: uint64(given.newest)}, nil
+	if uint64(copied.newest) <= r.NewerThan {
+		return &ReadResponse{Newest: uint64(copied.newest)}, nil
 	}
-	out := &ReadResponse{Newest: uint64(given.newest), Lapsing: given.lapsing, Complete: uint64(given.complete), Unchanged: given.unchanged, ChangesOnly: changesOnly}
-	for _, e := range given.entries {
+	out := &ReadResponse{Newest: uint64(copied.newest), Lapsing: copied.afterOutage, Complete: uint64(copied.complete), Unchanged: copied.unchanged, ChangesOnly: changesOnly}
+	for _, e := range copied.entries {
 		out.Entries = append(out.Entries, &CopiedEntry{Key: e.Key, Value: e.Value, Revision: uint64(e.Revision), Lease: string(e.Lease), Removed: e.Deleted})
 	}
 	c.metrics.Counter("copies_given").Inc(1)
--- a/internal/mirror/group_test.go
+++ b/internal/mirror/group_test.go
@@ -26,21 +26,21 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// filled returns a mirror that nobody keeps up, with some entries at revision at.
-func filled(at platform.Revision, values map[string]string) (*Mirror, *copyOf) {
+// filledMirror returns a mirror that no follower updates, with the given entries at revision at.
+func filledMirror(at platform.Revision, values map[string]string) (*Mirror, *recordedCopy) {
 	c := newCopy()
 	m := New(Options{KV: kv.NewFake(time.Now).Client("a")}).AddMirror("p/", c.apply)
 	var entries []platform.Entry
 	for key, value := range values {
 		entries = append(entries, platform.Entry{Key: key, Value: []byte(value), Revision: at})
 	}
-	m.takeAll(content{entries: entries, complete: at})
+	m.applyListing(content{entries: entries, complete: at})
 	return m, c
 }
 
-// tellUntil has a group hear of a newer change from some peers, as they tell it many times a
-// second, until a copy has a value.
-func tellUntil(t *testing.T, g *Group, c *copyOf, at uint64, key, want string, peers ...string) {
+// reportUntil reports revision at to a group on behalf of peers, many times a second, until the
+// copy has the wanted value.
+func reportUntil(t *testing.T, g *Group, c *recordedCopy, at uint64, key, want string, peers ...string) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); c.get(key) != want; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -52,13 +52,13 @@
 	}
 }
 
-// A daemon is behind and asks a peer, whose link is full: the copy trickles in. Another peer has
-// the change too, and must be asked before the first is given up, or the change comes late.
-func TestAnotherPeerIsAskedWhereTheFirstIsSlow(t *testing.T) {
-	knows, _ := filled(5, map[string]string{"p/1": "new"})
-	behind, c := filled(1, map[string]string{"p/1": "old"})
+// A daemon fetches a copy from a peer with a saturated link, and the transfer is slow. The daemon
+// must fetch from another peer before the first fetch times out, or the change is applied late.
+func TestSlowPeerDoesNotBlockFetchFromAnother(t *testing.T) {
+	ahead, _ := filledMirror(5, map[string]string{"p/1": "new"})
+	behind, c := filledMirror(1, map[string]string{"p/1": "old"})
 	slow := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		piece := make([]byte, 8<<10) // every tenth of a second: enough to count as progress
+		piece := make([]byte, 8<<10) // sent every 100 ms, which counts as progress
 		w.Header().Set("Content-Type", "application/protobuf")
 		for r.Context().Err() == nil {
 			if _, err := w.Write(piece); err != nil {
@@ -74,82 +74,82 @@
 	defer slow.CloseClientConnections()
 	g := newGroup(behind)
 	slowAddress := strings.TrimPrefix(slow.URL, "http://")
-	for deadline := time.Now().Add(5 * time.Second); !asking(g, "p/"); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); !isFetching(g, "p/"); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the first peer is not asked")
+			t.Fatal("no fetch from the first peer started")
 		}
 		g.HandleRevisions(context.Background(), slowAddress, []uint64{5})
 	}
-	begun := time.Now()
-	tellUntil(t, g, c, 5, "p/1", "new", servePeer(t, newGroup(knows)))
-	if took := time.Since(begun); took > askAgainAfter+time.Second {
-		t.Errorf("the change was known after %s", took)
+	started := time.Now()
+	reportUntil(t, g, c, 5, "p/1", "new", servePeer(t, newGroup(ahead)))
+	if took := time.Since(started); took > nextFetchDelay+time.Second {
+		t.Errorf("the change was applied after %s", took)
 	}
 }
 
-func asking(g *Group, prefix string) bool {
+func isFetching(g *Group, prefix string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lags[prefix].asks > 0
+	return g.lags[prefix].fetches > 0
 }
 
-// Peers tell of a newer change all the while, and the copy of the first that is asked takes
-// seconds. The time since which this daemon is behind must not begin anew meanwhile: no other
-// peer would ever be asked.
-func TestTimeBehindRunsOnWhileACopyComes(t *testing.T) {
+// Peers report a newer change continuously, and the first fetch takes seconds. The start of the
+// lag must not be reset meanwhile, or the daemon would never fetch from another peer.
+func TestLagContinuesDuringFetch(t *testing.T) {
 	var l lag
 	start := time.Now()
-	asked := time.Duration(0)
+	lastFetch := time.Duration(0)
 	for at := time.Duration(0); at < 3*time.Second; at += 60 * time.Millisecond {
-		ask := l.note(start.Add(at), 5, behindFor)
+		fetch := l.recordReport(start.Add(at), 5, fetchDelay)
 		if !l.since.Equal(start) {
-			t.Fatalf("after %s the time behind begins anew", at)
+			t.Fatalf("the start of the lag was reset after %s", at)
 		}
-		if !ask {
+		if !fetch {
 			continue
 		}
-		l.asks++
-		l.asked = start.Add(at)
-		if l.asks == 1 && (at < behindFor || at > 2*behindFor) {
-			t.Errorf("asked first after %s", at)
+		l.fetches++
+		l.lastFetch = start.Add(at)
+		if l.fetches == 1 && (at < fetchDelay || at > 2*fetchDelay) {
+			t.Errorf("the first fetch started after %s", at)
 		}
-		asked = at
+		lastFetch = at
 	}
-	if l.asks != maxAsks || asked > behindFor+askAgainAfter+200*time.Millisecond {
-		t.Errorf("%d peers asked, the last after %s", l.asks, asked)
+	if l.fetches != maxFetches || lastFetch > fetchDelay+nextFetchDelay+200*time.Millisecond {
+		t.Errorf("%d fetches started, the last after %s", l.fetches, lastFetch)
 	}
-	m, _ := filled(5, map[string]string{"p/1": "new"})
-	l.caughtUp(m)
-	if l.note(start.Add(4*time.Second), 6, behindFor); !l.since.Equal(start.Add(4 * time.Second)) {
-		t.Error("the time behind runs on from a change that is known by now")
+	m, _ := filledMirror(5, map[string]string{"p/1": "new"})
+	l.clearIfApplied(m)
+	if l.recordReport(start.Add(4*time.Second), 6, fetchDelay); !l.since.Equal(start.Add(4 * time.Second)) {
+		t.Error("the lag continues from a change that is applied")
 	}
 }
 
-// A peer knew of a change and was gone before it could give its copy. Another change comes much
-// later: the watch has its time to tell of it before peers are asked.
-func TestWhatNobodyTellsAnyMoreIsForgotten(t *testing.T) {
+// A peer reports a change and terminates before its copy can be fetched. Another change follows
+// much later. The watch must get fetchDelay to deliver it before the daemon fetches from peers.
+func TestUnreportedLagExpires(t *testing.T) {
 	var l lag
 	start := time.Now()
-	l.note(start, 5, behindFor)
-	if l.note(start.Add(forgetAfter+time.Millisecond), 6, behindFor) {
-		t.Error("a peer is asked at once")
+	l.recordReport(start, 5, fetchDelay)
+	if l.recordReport(start.Add(lagExpiry+time.Millisecond), 6, fetchDelay) {
+		t.Error("a fetch starts without fetchDelay")
 	}
 }
 
-// Operators write some thousand routes, and a VM with a small link gives its copy to many. What
-// goes over the link must be a small part of it, or their copies come late and callers wait.
+// Operators write thousands of routes, and a VM with a small link serves its copy to many daemons.
+// Compression must reduce the traffic to a small fraction, or the copies arrive late and callers
+// wait.
 func TestCopiesAreCompressed(t *testing.T) {
 	var routes strings.Builder
 	for i := range 4000 {
 		fmt.Fprintf(&routes, `{"name":"r-%x","host":"h%x.example","kind":"safe","timeout_ms":800,"target_latency_ms":300},`, i*7919, i*104729)
 	}
-	knows, _ := filled(5, map[string]string{"p/1": routes.String()})
-	r, err := http.NewRequest(http.MethodPost, "http://"+servePeer(t, newGroup(knows))+CopiesPathPrefix+"Read", strings.NewReader(`{"prefix":"p/"}`))
+	ahead, _ := filledMirror(5, map[string]string{"p/1": routes.String()})
+	r, err := http.NewRequest(http.MethodPost, "http://"+servePeer(t, newGroup(ahead))+CopiesPathPrefix+"Read", strings.NewReader(`{"prefix":"p/"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Header.Set("Content-Type", "application/json")
-	r.Header.Set("Accept-Encoding", "gzip") // as net/http does by itself, but then it hides the size
+	r.Header.Set("Accept-Encoding", "gzip") // net/http sets it by default, but then hides the compressed size
 	answer, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
@@ -160,69 +160,70 @@
 		t.Fatal(err)
 	}
 	if size == 0 || size > int64(routes.Len()/4) {
-		t.Errorf("%d bytes for a copy of %d", size, routes.Len())
+		t.Errorf("the response has %d bytes for a copy of %d bytes", size, routes.Len())
 	}
 }
 
-// A replica registers while a peer lists page by page: it has passed the replica's page, and
-// reads of a later change on another one. Its copy lacks the replica, and is newer all the same.
-// The replica must not be taken for gone by a daemon that knows it: no watch tells of it again.
-func TestCopyOfAPeerThatStillListsTakesNothingAway(t *testing.T) {
-	knows, _ := filled(0, nil)
-	knows.takeAll(content{entries: []platform.Entry{{Key: "p/9", Value: []byte("later"), Revision: 120}}, complete: 100})
-	behind, c := filled(0, nil)
-	behind.takeAll(content{entries: []platform.Entry{{Key: "p/1", Value: []byte("replica"), Revision: 110}}, complete: 110})
-	tellUntil(t, newGroup(behind), c, 120, "p/9", "later", servePeer(t, newGroup(knows)))
+// A replica registers while a peer lists page by page. The peer has passed the replica's page and
+// reads a later change on another page, so its copy is newer but lacks the replica. A daemon that
+// has the replica's entry must keep it, because no watch would deliver the entry again.
+func TestIncompletePeerCopyRemovesNoEntries(t *testing.T) {
+	ahead, _ := filledMirror(0, nil)
+	ahead.applyListing(content{entries: []platform.Entry{{Key: "p/9", Value: []byte("later"), Revision: 120}}, complete: 100})
+	behind, c := filledMirror(0, nil)
+	behind.applyListing(content{entries: []platform.Entry{{Key: "p/1", Value: []byte("replica"), Revision: 110}}, complete: 110})
+	reportUntil(t, newGroup(behind), c, 120, "p/9", "later", servePeer(t, newGroup(ahead)))
 	if got := c.get("p/1"); got != "replica" {
 		t.Errorf("the replica's entry is %q", got)
 	}
 }
 
-// One daemon notices by a listing that a key is gone, the others heard of the removal. The
-// first can't know its revision, takes that of the listing, and tells it to the others: a
-// change they know must not have them ask for copies for ever.
-func TestKnownRemovalIsNotAskedFor(t *testing.T) {
-	lister, _ := filled(1, map[string]string{"p/1": "one"})
-	lister.takeAll(content{complete: 50})
-	watcher, _ := filled(1, map[string]string{"p/1": "one"})
-	watcher.takeSome([]platform.Entry{{Key: "p/1", Revision: 40, Deleted: true}}, 50, false)
-	g, told := newGroup(watcher), newGroup(lister).Revisions()
+// One daemon detects by a listing that a key was removed; the others received the removal from
+// their watches. The first does not know the revision of the removal, uses that of the listing and
+// reports it to the others. They must not fetch copies forever for a change that they have.
+func TestKnownRemovalIsNotFetched(t *testing.T) {
+	lister, _ := filledMirror(1, map[string]string{"p/1": "one"})
+	lister.applyListing(content{complete: 50})
+	watcher, _ := filledMirror(1, map[string]string{"p/1": "one"})
+	watcher.applyChanges([]platform.Entry{{Key: "p/1", Revision: 40, Deleted: true}}, 50, false)
+	g, revisions := newGroup(watcher), newGroup(lister).Revisions()
 	peer := servePeer(t, newGroup(lister))
 	var first time.Time
 	for range 60 {
-		g.HandleRevisions(context.Background(), peer, told)
+		g.HandleRevisions(context.Background(), peer, revisions)
 		time.Sleep(10 * time.Millisecond)
 		g.mu.Lock()
-		asked := g.lags["p/"].asked
+		lastFetch := g.lags["p/"].lastFetch
 		g.mu.Unlock()
 		if first.IsZero() {
-			first = asked
+			first = lastFetch
 		}
-		if !asked.Equal(first) {
-			t.Fatal("a copy is asked for again")
+		if !lastFetch.Equal(first) {
+			t.Fatal("the copy is fetched again")
 		}
 	}
 	if g.Lag("p/") > 0 {
-		t.Error("the removal counts as unknown")
+		t.Error("the lag does not end although the removal is applied")
 	}
 }
 
-// Weights are named: a few bytes beside a desired state of a megabyte. A daemon that learns of it
-// from a peer must not wait for the megabyte that it has, and a key that went meanwhile must go.
-func TestOnlyWhatChangedCrossesTheLink(t *testing.T) {
+// A requested weight version takes a few bytes, the desired state a megabyte. A daemon that
+// fetches the version from a peer must not transfer the desired state that it already has, and it
+// must remove a key that was removed in the meantime.
+func TestOnlyChangesAreTransferred(t *testing.T) {
 	before := map[string]string{"p/state": "large", "p/weights": "1", "p/gone": "x"}
-	knows, _ := filled(5, before)
-	knows.takeSome([]platform.Entry{{Key: "p/weights", Value: []byte("2"), Revision: 7}, {Key: "p/gone", Revision: 8, Deleted: true}}, 9, false)
-	behind, c := filled(5, before)
-	g := newGroup(knows)
+	ahead, _ := filledMirror(5, before)
+	ahead.applyChanges([]platform.Entry{{Key: "p/weights", Value: []byte("2"), Revision: 7}, {Key: "p/gone", Revision: 8, Deleted: true}}, 9, false)
+	behind, c := filledMirror(5, before)
+	g := newGroup(ahead)
 	answer, err := g.Read(context.Background(), &ReadRequest{Prefix: "p/", NewerThan: 5, Changes: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(answer.Entries) != 1 || answer.Entries[0].Key != "p/weights" || len(answer.Unchanged) != 1 || answer.Complete != 9 {
-		t.Errorf("the answer is %v", answer)
+		t.Errorf("the response is %v", answer)
 	}
-	tellUntil(t, newGroup(behind), c, 8, "p/weights", "2", servePeer(t, g))
+	reportUntil(t, newGroup(behind), c, 8, "p/weights", "2", servePeer(t, g))
 	if c.get("p/state") != "large" || c.get("p/gone") != "" {
 		t.Errorf("the copy is %v", c.values)
 	}
@@ -232,9 +233,9 @@
 	}
 }
 
-// A large change is being applied, which takes a small VM a while. Requests ask meanwhile whether
-// peers know more, and peers are told what is known here: neither may wait for it.
-func TestNobodyWaitsForAChangeThatIsBeingApplied(t *testing.T) {
+// Applying a large change takes a small VM a while. Meanwhile requests check whether peers have
+// newer changes, and the daemon reports its revisions to peers. Neither may block.
+func TestApplyDoesNotBlockReaders(t *testing.T) {
 	applying, applied := make(chan struct{}), make(chan struct{})
 	m := New(Options{KV: kv.NewFake(time.Now).Client("a")}).AddMirror("p/", func(Update) {
 		close(applying)
@@ -245,38 +246,39 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		m.takeAll(content{entries: []platform.Entry{{Key: "p/1", Revision: 5}}, complete: 5})
+		m.applyListing(content{entries: []platform.Entry{{Key: "p/1", Revision: 5}}, complete: 5})
 	}()
 	<-applying
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
 		if g.Lag("p/") == 0 {
-			t.Error("the change counts as known before it is in force")
+			t.Error("the lag ended before the change was applied")
 		}
-		if told := g.Revisions(); told[0] != 0 {
-			t.Errorf("peers are told of revision %d before it is in force", told[0])
+		if revisions := g.Revisions(); revisions[0] != 0 {
+			t.Errorf("revision %d is reported to peers before it is applied", revisions[0])
 		}
 	}()
 	select {
 	case <-answered:
 	case <-time.After(5 * time.Second):
-		t.Error("a request waits")
+		t.Error("a reader blocks while a change is being applied")
 	}
 	close(applied)
 	<-done
 	<-answered
 	if g.Lag("p/") != 0 {
-		t.Error("the change is not known")
+		t.Error("the lag did not end after the change was applied")
 	}
 }
 
-// A watch heard nothing for a second while a key was taken away, and told that it was complete. A
-// daemon that believed it would serve the key's holder until the next change: its peers know more.
-func TestChangeThatAWatchSkippedIsLearntFromAPeer(t *testing.T) {
-	knows, _ := filled(5, map[string]string{"p/1": "old"})
-	knows.takeSome([]platform.Entry{{Key: "p/1", Value: []byte("new"), Revision: 40}}, 50, false)
-	skipped, c := filled(5, map[string]string{"p/1": "old"})
-	skipped.takeSome(nil, 50, false)
-	tellUntil(t, newGroup(skipped), c, uint64(knows.Newest()), "p/1", "new", servePeer(t, newGroup(knows)))
+// A watch misses the revocation of a key but claims to be complete. If the daemon relied on this
+// claim, it would serve the key's holder until the next change. It must fetch the change from its
+// peers.
+func TestChangeMissedByWatchIsFetchedFromPeer(t *testing.T) {
+	ahead, _ := filledMirror(5, map[string]string{"p/1": "old"})
+	ahead.applyChanges([]platform.Entry{{Key: "p/1", Value: []byte("new"), Revision: 40}}, 50, false)
+	skipped, c := filledMirror(5, map[string]string{"p/1": "old"})
+	skipped.applyChanges(nil, 50, false)
+	reportUntil(t, newGroup(skipped), c, uint64(ahead.Newest()), "p/1", "new", servePeer(t, newGroup(ahead)))
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,13 +1,13 @@
-// Package mirror keeps copies of the platform's key-value service.
+// Package mirror maintains local copies of keys in the platform's key-value service.
 //
-// A Follower lists once and then watches; each Mirror is the copy of the keys below one
-// prefix. One watch serves all of them, since each is a call to the service, and what must
-// be in force within seconds is asked for that often anyway.
+// A Follower lists the keys once and then watches for changes. Each Mirror is the copy of the
+// keys below one prefix. All mirrors share one watch, because each watch is a call to the
+// service, and changes that must be applied within seconds require frequent watches anyway.
 //
-// A Follower survives a service that is down, slow or refuses this process, and one that
-// has dropped the history that a watch would go on from. What was known stays until the
-// service says otherwise: an outage removes nothing. A daemon that the service does not
-// answer takes copies from its peers meanwhile (Copies).
+// A Follower tolerates a service that is down, slow or refuses this process, and one that has
+// compacted the history from which a watch would continue. Entries stay until the service
+// reports their removal, so an outage removes none. A daemon that cannot reach the service
+// fetches copies from its peers (service Copies).
 package mirror
 
 import (
@@ -18,48 +18,48 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// Update is a change of a copy.
+// Update is a change to a Mirror.
 type Update struct {
-	Entries []platform.Entry // changed; all there are, if Full
+	Entries []platform.Entry // changed entries; all existing entries if Full
 	Full    bool
-	// AfterOutage is set in the time after an outage in which a removed entry may be one
-	// that lapsed with its owner alive.
+	// AfterOutage is set shortly after an outage, when a removed entry may have expired while
+	// its owner was alive.
 	AfterOutage bool
 }
 
-// Mirror is the copy of the keys below one prefix. Follower.Mirror makes it.
+// Mirror is the copy of the keys below one prefix. Follower.AddMirror creates it.
 type Mirror struct {
-	prefix  string
-	apply   func(Update)
-	lapsing func() bool // whether a removal may be a lapse now
+	prefix      string
+	apply       func(Update)
+	afterOutage func() bool // reports whether a removal may be an expiry
 
 	mu      sync.Mutex
-	entries map[string]platform.Entry // as read; deleted ones are kept as such
-	newest  platform.Revision         // of all changes that are known
-	// removals is the revision after which all removed keys are known as such.
-	removals platform.Revision
-	// complete is the revision up to which all changes are known. It is mostly above newest, since
-	// other keys change too; below it while a listing's later pages tell of changes that its
-	// earlier ones lack.
+	entries map[string]platform.Entry // by key; deleted entries stay with Deleted set
+	newest  platform.Revision         // revision of the newest known change
+	// removalsKnownAfter is the revision after which all removals are recorded in entries.
+	removalsKnownAfter platform.Revision
+	// complete is the revision up to which all changes are known. It usually exceeds newest,
+	// because other keys change too. It is below newest while the later pages of a listing hold
+	// changes that the earlier pages lack.
 	complete platform.Revision
 
-	// inForce is newest as of the last update that was applied. It is read without the lock: applying
-	// a large desired state takes a small VM a fifth of a second, and each request asks whether
-	// peers know more.
-	inForce atomic.Uint64
+	// applied is the value of newest after the last applied update. It is read without mu, because
+	// a small VM needs 200 ms to apply a large desired state, and each request checks whether
+	// peers have newer changes.
+	applied atomic.Uint64
 }
 
-// content is what a source knows of the keys below a prefix.
+// content is a source's view of the keys below a prefix.
 type content struct {
-	entries   []platform.Entry
-	unchanged []string          // further keys, whose entries the mirror has
-	complete  platform.Revision // the source knows all changes up to it
-	newest    platform.Revision // newest change that the source knows
-	lapsing   bool              // entries may be missing that lapsed in an outage
+	entries     []platform.Entry
+	unchanged   []string          // keys whose entries the mirror already has
+	complete    platform.Revision // the source has all changes up to this revision
+	newest      platform.Revision // revision of the newest change that the source has
+	afterOutage bool              // missing entries may have expired in an outage
 }
 
-// below returns the entries that the mirror copies.
-func (m *Mirror) below(entries []platform.Entry) []platform.Entry {
+// matching returns the entries whose keys have the mirror's prefix.
+func (m *Mirror) matching(entries []platform.Entry) []platform.Entry {
 	var out []platform.Entry
 	for _, e := range entries {
 		if strings.HasPrefix(e.Key, m.prefix) {
@@ -69,9 +69,10 @@
 	return out
 }
 
-// takeAll takes all there is below the prefix. A key that the source lacks was removed if the
-// source is complete up to the key's last change; else the source may not have heard of it yet.
-func (m *Mirror) takeAll(c content) {
+// applyListing merges a source's complete listing of the prefix. A key that the source lacks was
+// removed if the source is complete up to the key's last change. Otherwise the source may not
+// have received that change yet.
+func (m *Mirror) applyListing(c content) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	present := make(map[string]bool, len(c.entries)+len(c.unchanged))
@@ -80,7 +81,7 @@
 	}
 	for _, e := range c.entries {
 		present[e.Key] = true
-		m.keep(e)
+		m.merge(e)
 	}
 	for key, e := range m.entries {
 		if !present[key] && !e.Deleted && e.Revision <= c.complete {
@@ -88,51 +89,51 @@
 			m.newest = max(m.newest, c.complete)
 		}
 	}
-	if m.removals == 0 {
-		m.removals = c.complete
+	if m.removalsKnownAfter == 0 {
+		m.removalsKnownAfter = c.complete
 	}
 	m.complete = max(m.complete, c.complete)
 	if c.newest <= c.complete {
-		m.newest = max(m.newest, c.newest) // also where it was a removal that had another revision here
+		m.newest = max(m.newest, c.newest) // a removal may have a different revision here
 	}
-	m.apply(Update{Entries: m.present(), Full: true, AfterOutage: c.lapsing})
-	m.publish()
+	m.apply(Update{Entries: m.existing(), Full: true, AfterOutage: c.afterOutage})
+	m.publishNewest()
 }
 
-// publish tells what is in force. Who applies an update calls it after.
-func (m *Mirror) publish() {
-	m.inForce.Store(uint64(m.newest))
+// publishNewest makes newest visible to Newest. Callers invoke it after they have applied an update.
+func (m *Mirror) publishNewest() {
+	m.applied.Store(uint64(m.newest))
 }
 
-// takeSome takes all changes up to a revision that came after those that are known, and leaves
-// out what is known already.
-func (m *Mirror) takeSome(entries []platform.Entry, complete platform.Revision, lapsing bool) {
+// applyChanges merges the changes that follow the known ones, up to revision complete, and skips
+// those that are known already.
+func (m *Mirror) applyChanges(entries []platform.Entry, complete platform.Revision, afterOutage bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.complete = max(m.complete, complete)
-	var news []platform.Entry
+	var changed []platform.Entry
 	for _, e := range entries {
-		if m.keep(e) {
-			news = append(news, e)
+		if m.merge(e) {
+			changed = append(changed, e)
 		}
 	}
-	if len(news) > 0 {
-		m.apply(Update{Entries: news, AfterOutage: lapsing})
+	if len(changed) > 0 {
+		m.apply(Update{Entries: changed, AfterOutage: afterOutage})
 	}
-	m.publish()
+	m.publishNewest()
 }
 
-// since returns what a mirror that knows all changes up to a revision needs to be like this
-// one, without entries if there is no newer change.
-func (m *Mirror) since(revision platform.Revision) content {
-	c := content{lapsing: m.lapsing()}
+// contentSince returns what a mirror that has all changes up to revision needs to match this one.
+// The result has no entries if there is no newer change.
+func (m *Mirror) contentSince(revision platform.Revision) content {
+	c := content{afterOutage: m.afterOutage()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c.complete, c.newest = m.complete, m.newest
 	if m.newest <= revision {
 		return c
 	}
-	for _, e := range m.present() {
+	for _, e := range m.existing() {
 		if e.Revision > revision {
 			c.entries = append(c.entries, e)
 		} else {
@@ -142,14 +143,14 @@
 	return c
 }
 
-// changesSince returns all changes after a revision, removals among them, and whether they are all:
-// what was removed before this mirror's first listing is not known here.
+// changesSince returns the changes after revision, removals included, and whether they are
+// complete. Removals before this mirror's first listing are unknown.
 func (m *Mirror) changesSince(revision platform.Revision) (c content, all bool) {
-	c = content{lapsing: m.lapsing()}
+	c = content{afterOutage: m.afterOutage()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c.complete, c.newest = m.complete, m.newest
-	if m.removals == 0 || revision < m.removals {
+	if m.removalsKnownAfter == 0 || revision < m.removalsKnownAfter {
 		return c, false
 	}
 	for _, e := range m.entries {
@@ -160,9 +161,9 @@
 	return c, true
 }
 
-// keep notes an entry and reports whether it is news. A copy of a peer may have told it
-// before.
-func (m *Mirror) keep(e platform.Entry) bool {
+// merge stores an entry and reports whether it is newer than the stored one. A peer's copy may
+// have delivered the entry before.
+func (m *Mirror) merge(e platform.Entry) bool {
 	if known, ok := m.entries[e.Key]; ok && known.Revision >= e.Revision {
 		return false
 	}
@@ -171,7 +172,7 @@
 	return true
 }
 
-func (m *Mirror) present() []platform.Entry {
+func (m *Mirror) existing() []platform.Entry {
 	out := make([]platform.Entry, 0, len(m.entries))
 	for _, e := range m.entries {
 		if !e.Deleted {
@@ -181,16 +182,17 @@
 	return out
 }
 
-// Newest returns the revision of the newest change that is in force.
-func (m *Mirror) Newest() platform.Revision { return platform.Revision(m.inForce.Load()) }
+// Newest returns the revision of the newest applied change.
+func (m *Mirror) Newest() platform.Revision { return platform.Revision(m.applied.Load()) }
 
-// knows reports whether a change of some revision is in force here. It goes by the changes that
-// were heard of and not by how far the service says it told all: peers are a check on that.
-func (m *Mirror) knows(revision platform.Revision) bool { return revision <= m.Newest() }
+// hasApplied reports whether the change with the given revision is applied here. It relies on the
+// received changes and not on the revision up to which the service claims completeness, because
+// reports of peers serve as a check on that claim.
+func (m *Mirror) hasApplied(revision platform.Revision) bool { return revision <= m.Newest() }
 
-// knownTo returns a revision up to which all changes are known, by the service's word and by
-// what was heard of.
-func (m *Mirror) knownTo() platform.Revision {
+// completeUpTo returns the revision up to which all changes are known, according to both the
+// service and the received changes.
+func (m *Mirror) completeUpTo() platform.Revision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return min(m.complete, m.newest)
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -13,19 +13,19 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
 )
 
-// copyOf is what a mirror's owner makes of its updates.
-type copyOf struct {
-	mu      sync.Mutex
-	values  map[string]string
-	lapsing bool
-	changed chan struct{}
+// recordedCopy applies a mirror's updates to a map, as the owner of a mirror does.
+type recordedCopy struct {
+	mu          sync.Mutex
+	values      map[string]string
+	afterOutage bool
+	changed     chan struct{}
 }
 
-func newCopy() *copyOf {
-	return &copyOf{values: map[string]string{}, changed: make(chan struct{}, 100)}
+func newCopy() *recordedCopy {
+	return &recordedCopy{values: map[string]string{}, changed: make(chan struct{}, 100)}
 }
 
-func (c *copyOf) apply(u Update) {
+func (c *recordedCopy) apply(u Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if u.Full {
@@ -38,18 +38,18 @@
 		}
 		c.values[e.Key] = string(e.Value)
 	}
-	c.lapsing = u.AfterOutage
+	c.afterOutage = u.AfterOutage
 	c.changed <- struct{}{}
 }
 
-func (c *copyOf) get(key string) string {
+func (c *recordedCopy) get(key string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.values[key]
 }
 
 // await waits until a key has a value.
-func (c *copyOf) await(t *testing.T, key, want string) {
+func (c *recordedCopy) await(t *testing.T, key, want string) {
 	t.Helper()
 	for deadline := time.After(5 * time.Second); c.get(key) != want; {
 		select {
@@ -60,22 +60,22 @@
 	}
 }
 
-// faulty is a key-value service that can be told to fail.
-type faulty struct {
+// faultyKV is a key-value service with injected faults.
+type faultyKV struct {
 	platform.KV
 	mu        sync.Mutex
-	err       error // of all calls
-	compacted bool  // the next watch finds its history gone
-	deaf      bool  // watches hear nothing and end with their wait
+	err       error // returned by all calls
+	compacted bool  // the next watch fails with ErrCompacted
+	silent    bool  // watches return no changes
 }
 
-func (f *faulty) set(change func(*faulty)) {
+func (f *faultyKV) set(change func(*faultyKV)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-func (f *faulty) List(ctx context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
+func (f *faultyKV) List(ctx context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
 	f.mu.Lock()
 	err := f.err
 	f.mu.Unlock()
@@ -85,9 +85,9 @@
 	return f.KV.List(ctx, prefix)
 }
 
-func (f *faulty) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]platform.Entry, platform.Revision, error) {
+func (f *faultyKV) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]platform.Entry, platform.Revision, error) {
 	f.mu.Lock()
-	err, compacted, deaf := f.err, f.compacted, f.deaf
+	err, compacted, silent := f.err, f.compacted, f.silent
 	f.compacted = false
 	f.mu.Unlock()
 	if err != nil {
@@ -96,7 +96,7 @@
 	if compacted {
 		return nil, 0, platform.ErrCompacted
 	}
-	if deaf {
+	if silent {
 		time.Sleep(5 * time.Millisecond)
 		return nil, after, nil
 	}
@@ -116,35 +116,35 @@
 	}
 }
 
-// followed is a follower with one mirror.
-type followed struct {
+// testFollower is a follower with one mirror.
+type testFollower struct {
 	*Follower
 	mirror *Mirror
 }
 
-func start(t *testing.T, store platform.KV) (followed, *copyOf) {
+func startFollower(t *testing.T, store platform.KV) (testFollower, *recordedCopy) {
 	t.Helper()
 	c := newCopy()
-	m := New(Options{KV: store, WatchTimeout: func() time.Duration { return 50 * time.Millisecond }})
-	mirror := m.AddMirror("p/", c.apply)
+	f := New(Options{KV: store, WatchTimeout: func() time.Duration { return 50 * time.Millisecond }})
+	mirror := f.AddMirror("p/", c.apply)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = m.Run(ctx) // ends with ctx
+		_ = f.Run(ctx) // ends with ctx
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-done
 	})
-	return followed{Follower: m, mirror: mirror}, c
+	return testFollower{Follower: f, mirror: mirror}, c
 }
 
 func TestMirrorFollows(t *testing.T) {
-	store := &faulty{KV: kv.NewFake(time.Now).Client("a")}
+	store := &faultyKV{KV: kv.NewFake(time.Now).Client("a")}
 	put(t, store, "p/1", "one")
 	put(t, store, "q/1", "elsewhere")
-	_, c := start(t, store)
+	_, c := startFollower(t, store)
 	c.await(t, "p/1", "one")
 	put(t, store, "p/2", "two")
 	c.await(t, "p/2", "two")
@@ -161,14 +161,14 @@
 	}
 }
 
-// The service drops its history while a key is removed and another written. A watch that
-// went on from its old revision would never hear of either.
-func TestMirrorListsAnewWhenHistoryIsGone(t *testing.T) {
-	store := &faulty{KV: kv.NewFake(time.Now).Client("a")}
+// The service compacts its history while one key is removed and another written. A watch that
+// continued from its old revision would miss both changes.
+func TestMirrorRelistsAfterCompaction(t *testing.T) {
+	store := &faultyKV{KV: kv.NewFake(time.Now).Client("a")}
 	put(t, store, "p/1", "one")
-	_, c := start(t, store)
+	_, c := startFollower(t, store)
 	c.await(t, "p/1", "one")
-	store.set(func(f *faulty) { f.deaf = true })
+	store.set(func(f *faultyKV) { f.silent = true })
 	e, err := store.KV.Get(context.Background(), "p/1")
 	if err != nil {
 		t.Fatal(err)
@@ -177,36 +177,36 @@
 		t.Fatal(err)
 	}
 	put(t, store, "p/2", "two")
-	store.set(func(f *faulty) { f.compacted, f.deaf = true, false })
+	store.set(func(f *faultyKV) { f.compacted, f.silent = true, false })
 	c.await(t, "p/2", "two")
 	c.await(t, "p/1", "")
 }
 
-// An outage takes nothing away, and what is missing just after it may have lapsed with its
-// owner alive.
-func TestOutageRemovesNothing(t *testing.T) {
-	store := &faulty{KV: kv.NewFake(time.Now).Client("a")}
+// An outage removes no entries, and entries that are missing just after it may have expired while
+// their owners were alive.
+func TestOutageRemovesNoEntries(t *testing.T) {
+	store := &faultyKV{KV: kv.NewFake(time.Now).Client("a")}
 	put(t, store, "p/1", "one")
-	m, c := start(t, store)
+	m, c := startFollower(t, store)
 	c.await(t, "p/1", "one")
-	store.set(func(f *faulty) { f.err = platform.ErrUnavailable })
+	store.set(func(f *faultyKV) { f.err = platform.ErrUnavailable })
 	for deadline := time.Now().Add(5 * time.Second); m.Connected(); {
 		if time.Now().After(deadline) {
-			t.Fatal("the outage is not noticed")
+			t.Fatal("the follower did not detect the outage")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(outageAfter + 100*time.Millisecond)
+	time.Sleep(outageThreshold + 100*time.Millisecond)
 	if c.get("p/1") != "one" {
 		t.Error("the outage removed a key")
 	}
 	put(t, store, "p/2", "two")
-	store.set(func(f *faulty) { f.err = nil })
+	store.set(func(f *faultyKV) { f.err = nil })
 	c.await(t, "p/2", "two")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.lapsing {
-		t.Error("an update just after the outage does not say that entries may have lapsed")
+	if !c.afterOutage {
+		t.Error("an update just after the outage does not have AfterOutage set")
 	}
 }
 
@@ -214,80 +214,80 @@
 	return NewGroup(GroupOptions{Client: http.DefaultClient, Mirrors: mirrors})
 }
 
-// The service serves all daemons but one. A key is taken away from a caller, and this
-// daemon goes on serving it for as long as the service refuses to tell. It must learn of
-// the change from a peer that knows more.
-func TestDaemonThatTheServiceRefusesLearnsFromAPeer(t *testing.T) {
+// The service refuses one daemon and serves the others. If an operator revokes a caller's key,
+// this daemon would accept the key for as long as the service refuses the daemon. It must fetch
+// the change from a peer that has it.
+func TestDaemonRefusedByServiceFetchesFromPeer(t *testing.T) {
 	fake := kv.NewFake(time.Now)
-	fine, refused := &faulty{KV: fake.Client("a")}, &faulty{KV: fake.Client("b")}
-	put(t, fine, "p/1", "old")
-	known, _ := start(t, fine)
-	behind, c := start(t, refused)
+	serving, refused := &faultyKV{KV: fake.Client("a")}, &faultyKV{KV: fake.Client("b")}
+	put(t, serving, "p/1", "old")
+	ahead, _ := startFollower(t, serving)
+	behind, c := startFollower(t, refused)
 	c.await(t, "p/1", "old")
-	refused.set(func(f *faulty) { f.err = platform.ErrUnavailable })
+	refused.set(func(f *faultyKV) { f.err = platform.ErrUnavailable })
 	for deadline := time.Now().Add(5 * time.Second); behind.Connected(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the refusal is not noticed")
+			t.Fatal("the follower did not detect the refusal")
 		}
 	}
-	put(t, fine, "p/1", "new")
+	put(t, serving, "p/1", "new")
 
-	peer := httptest.NewServer(NewCopiesServer(newGroup(known.mirror)))
+	peer := httptest.NewServer(NewCopiesServer(newGroup(ahead.mirror)))
 	defer peer.Close()
 	group := newGroup(behind.mirror)
-	told := newGroup(known.mirror)
+	source := newGroup(ahead.mirror)
 	for deadline := time.Now().Add(5 * time.Second); c.get("p/1") != "new"; {
 		if time.Now().After(deadline) {
-			t.Fatal("the peer's copy was not taken")
+			t.Fatal("the peer's copy was not applied within 5 s")
 		}
-		group.HandleRevisions(context.Background(), strings.TrimPrefix(peer.URL, "http://"), told.Revisions())
+		group.HandleRevisions(context.Background(), strings.TrimPrefix(peer.URL, "http://"), source.Revisions())
 		time.Sleep(20 * time.Millisecond)
 	}
 
-	// What the service tells late is older than the copy, and changes nothing.
-	behind.mirror.takeSome([]platform.Entry{{Key: "p/1", Value: []byte("old"), Revision: 1}}, 1, false)
+	// A delayed change from the service is older than the fetched copy and has no effect.
+	behind.mirror.applyChanges([]platform.Entry{{Key: "p/1", Value: []byte("old"), Revision: 1}}, 1, false)
 	if got := c.get("p/1"); got != "new" {
-		t.Errorf("the copy went back to %q", got)
+		t.Errorf("the copy reverted to %q", got)
 	}
 }
 
-// slowWatch waits as long as it may, as the service does while nothing changes.
-type slowWatch struct{ *faulty }
+// blockingWatch blocks in Watch until a change or the timeout, as the service does.
+type blockingWatch struct{ *faultyKV }
 
-func (s slowWatch) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]platform.Entry, platform.Revision, error) {
+func (s blockingWatch) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]platform.Entry, platform.Revision, error) {
 	for deadline := time.Now().Add(wait); ; time.Sleep(5 * time.Millisecond) {
-		entries, next, err := s.faulty.Watch(ctx, prefix, after, 0)
+		entries, next, err := s.faultyKV.Watch(ctx, prefix, after, 0)
 		if err != nil || len(entries) > 0 || time.Now().After(deadline) || ctx.Err() != nil {
 			return entries, next, err
 		}
 	}
 }
 
-// The service refuses one daemon for a while. Some seconds after it serves that daemon
-// again a replica leaves without a word: its entry is removed. The daemon's first watch
-// after the refusal is still waiting then, and taken for the end of the outage the entry
-// would count as lapsed, and the replica be used for longer than it may.
-func TestRemovalLongAfterAnOutageIsNoLapse(t *testing.T) {
-	store := &faulty{KV: kv.NewFake(time.Now).Client("a")}
+// The service refuses one daemon for a while. Some seconds after it accepts the daemon again, a
+// replica terminates and its entry is removed, while the daemon's first watch after the outage is
+// still blocked. If the end of that watch counted as the end of the outage, the removal would
+// count as an expiry, and the daemon would use the replica for too long.
+func TestRemovalLongAfterOutageIsNotExpiry(t *testing.T) {
+	store := &faultyKV{KV: kv.NewFake(time.Now).Client("a")}
 	put(t, store, "p/1", "one")
 	c := newCopy()
-	m := New(Options{KV: slowWatch{store}, WatchTimeout: func() time.Duration { return 6 * time.Second }})
-	m.AddMirror("p/", c.apply)
+	follower := New(Options{KV: blockingWatch{store}, WatchTimeout: func() time.Duration { return 6 * time.Second }})
+	follower.AddMirror("p/", c.apply)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = m.Run(ctx) // ends with ctx
+		_ = follower.Run(ctx) // ends with ctx
 	}()
 	defer func() {
 		cancel()
 		<-done
 	}()
 	c.await(t, "p/1", "one")
-	store.set(func(f *faulty) { f.err = platform.ErrUnavailable })
-	time.Sleep(outageAfter + 300*time.Millisecond)
-	store.set(func(f *faulty) { f.err = nil })
-	time.Sleep(maxPause + returnGrace + 200*time.Millisecond) // it was tried again, and the time for lapses is over
+	store.set(func(f *faultyKV) { f.err = platform.ErrUnavailable })
+	time.Sleep(outageThreshold + 300*time.Millisecond)
+	store.set(func(f *faultyKV) { f.err = nil })
+	time.Sleep(maxBackoff + recoveryGrace + 200*time.Millisecond) // the follower has retried, and recoveryGrace is over
 	e, err := store.Get(ctx, "p/1")
 	if err != nil {
 		t.Fatal(err)
@@ -298,15 +298,15 @@
 	c.await(t, "p/1", "")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lapsing {
-		t.Error("the removal counts as lapsed")
+	if c.afterOutage {
+		t.Error("the removal counts as an expiry")
 	}
 }
 
-// slowPages is a service whose listings fail wherever they hold entries of replicas.
-type slowPages struct{ platform.KV }
+// failingReplicaPages is a service whose listings fail if they contain entries of replicas.
+type failingReplicaPages struct{ platform.KV }
 
-func (s slowPages) List(ctx context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
+func (s failingReplicaPages) List(ctx context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
 	entries, at, err := s.KV.List(ctx, prefix)
 	for _, e := range entries {
 		if strings.HasPrefix(e.Key, "replicas/") {
@@ -316,14 +316,14 @@
 	return entries, at, err
 }
 
-// A daemon lists anew while the service is slow, and a page of the hundreds of replicas fails each
-// time. The desired state is one key, which it reads at once, and must be in force; it waited
-// for the replicas' pages, as all was one listing.
+// A daemon lists again while the service is slow, and a page of the hundreds of replicas fails
+// each time. The desired state is a single key and must be applied at once. In a single listing
+// of all keys, it would wait for the replicas' pages.
 func TestDesiredStateDoesNotWaitForReplicas(t *testing.T) {
 	store := kv.NewFake(time.Now).Client("a")
 	put(t, store, "op/state", "new")
 	put(t, store, "replicas/1", "ready")
-	f := New(Options{KV: slowPages{store}})
+	f := New(Options{KV: failingReplicaPages{store}})
 	operators, replicas := newCopy(), newCopy()
 	f.AddMirror("op/", operators.apply)
 	f.AddMirror("replicas/", replicas.apply)
--- a/internal/mirror/relays.go
+++ b/internal/mirror/relays.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// relayFresh is how long a peer's word counts that the service tells it of changes. Daemons repeat
-// it more than twice in it.
-const relayFresh = time.Second
+// watcherTTL is how long a peer's report that it watches the service stays valid. Daemons repeat
+// the report more than twice within it.
+const watcherTTL = time.Second
 
-// RelayTracker decides whether a daemon watches the service itself.
+// RelayTracker tracks whether a peer watches the service, which lets a daemon do without a watch.
 //
-// Each change costs a call for each daemon that watches, so a few of a group do, and tell the
-// others what is new. The failure: those few die, stand still, or are cut off from the service or
-// from their peers, and a change passes the others by. Why the guard holds: a daemon leaves the
-// watch to peers only while one of them has said within relayFresh that it watches and is
-// answered; else it watches, whatever its rank. It is safe for concurrent use.
+// Each change costs one call for each watching daemon. Therefore only a few daemons of a group
+// watch and relay changes to the others. These few may die, stall, or be partitioned from the
+// service or from their peers, and the others would then miss changes. A daemon relies on its
+// peers only while one of them has reported within watcherTTL that it watches and that its last
+// watch succeeded. Otherwise the daemon watches, whatever its rank. RelayTracker is safe for
+// concurrent use.
 type RelayTracker struct {
-	mu    sync.Mutex
-	heard time.Time // when a peer said so last
+	mu         sync.Mutex
+	lastReport time.Time // last report of a watching peer
 }
 
-// RecordWatcher notes that a peer watches and is answered.
+// RecordWatcher records a peer's report that it watches the service successfully.
 func (r *RelayTracker) RecordWatcher(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard = now
+	r.lastReport = now
 }
 
-// PeerWatching reports whether some peer watches.
+// PeerWatching reports whether a peer's report is valid at time now.
 func (r *RelayTracker) PeerWatching(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.heard.IsZero() && now.Sub(r.heard) < relayFresh
+	return !r.lastReport.IsZero() && now.Sub(r.lastReport) < watcherTTL
 }
--- a/internal/mirror/relays_test.go
+++ b/internal/mirror/relays_test.go
@@ -11,22 +11,22 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// The peers that watch die: a daemon that left the watch to them watches again within a second.
-func TestDaemonWatchesAgainWhenItsPeersFallSilent(t *testing.T) {
+// When all watching peers die, a daemon that relied on them must watch again within a second.
+func TestDaemonResumesWatchWhenPeersFallSilent(t *testing.T) {
 	var r RelayTracker
 	now := time.Unix(1000, 0)
 	if r.PeerWatching(now) {
-		t.Fatal("covered by nobody")
+		t.Fatal("a peer counts as watching although none reported it")
 	}
 	r.RecordWatcher(now)
-	if !r.PeerWatching(now.Add(relayFresh-time.Millisecond)) || r.PeerWatching(now.Add(relayFresh)) {
-		t.Error("covered for another time than a peer's word is fresh")
+	if !r.PeerWatching(now.Add(watcherTTL-time.Millisecond)) || r.PeerWatching(now.Add(watcherTTL)) {
+		t.Error("a peer's report is not valid for exactly watcherTTL")
 	}
 }
 
-// While peers watch, a daemon asks the service for nothing, and goes on from where it was once
-// they fall silent.
-func TestRelayedDaemonAsksForNothing(t *testing.T) {
+// While peers watch, a daemon sends no calls to the service. When they fall silent, it continues
+// from its last revision.
+func TestRelayedDaemonSendsNoCalls(t *testing.T) {
 	kv := newModelService()
 	counted := &countedWatches{faultlessKV{kv}, sync.Mutex{}, 0}
 	relayed := make(chan bool, 1)
@@ -39,15 +39,15 @@
 	var done sync.WaitGroup
 	done.Go(func() { _ = f.Run(ctx) })
 	defer func() { cancel(); done.Wait() }()
-	<-applied // the listing
+	<-applied // from the first listing
 	kv.put("a/1", nil)
 	select {
 	case u := <-applied:
-		t.Fatalf("told of %+v", u)
-	case <-time.After(3 * relayedEvery):
+		t.Fatalf("the follower applied %+v while changes are relayed", u)
+	case <-time.After(3 * relayCheckInterval):
 	}
 	if counted.count() > 0 || f.Watching() {
-		t.Error("it watches")
+		t.Error("the follower watches while changes are relayed")
 	}
 	<-relayed
 	relayed <- false
@@ -56,7 +56,7 @@
 	}
 }
 
-// faultlessKV is the model's service without faults.
+// faultlessKV serves the model's service without faults.
 type faultlessKV struct{ s *modelService }
 
 func (f faultlessKV) list(prefix string) ([]platform.Entry, platform.Revision, error) {
@@ -120,12 +120,12 @@
 	return platform.ErrNotFound
 }
 
-// A peer's copy carries removals and no key that did not change.
-func TestCopyCarriesRemovals(t *testing.T) {
+// A peer's copy includes removals and omits unchanged keys.
+func TestCopyIncludesRemovals(t *testing.T) {
 	source, target := testMirror(), testMirror()
-	source.takeAll(content{entries: []platform.Entry{{Key: "a/1", Revision: 1}, {Key: "a/2", Revision: 2}}, complete: 2, newest: 2})
-	target.takeAll(content{entries: []platform.Entry{{Key: "a/1", Revision: 1}, {Key: "a/2", Revision: 2}}, complete: 2, newest: 2})
-	source.takeSome([]platform.Entry{{Key: "a/1", Revision: 5, Deleted: true}, {Key: "a/3", Revision: 6}}, 6, false)
+	source.applyListing(content{entries: []platform.Entry{{Key: "a/1", Revision: 1}, {Key: "a/2", Revision: 2}}, complete: 2, newest: 2})
+	target.applyListing(content{entries: []platform.Entry{{Key: "a/1", Revision: 1}, {Key: "a/2", Revision: 2}}, complete: 2, newest: 2})
+	source.applyChanges([]platform.Entry{{Key: "a/1", Revision: 5, Deleted: true}, {Key: "a/3", Revision: 6}}, 6, false)
 	group := NewGroup(GroupOptions{Client: http.DefaultClient, Mirrors: []*Mirror{source}})
 	handler, err := group.Handler()
 	if err != nil {
@@ -133,41 +133,42 @@
 	}
 	server := httptest.NewServer(handler)
 	defer server.Close()
-	asking := NewGroup(GroupOptions{Client: http.DefaultClient, Mirrors: []*Mirror{target}})
-	asking.ask(context.Background(), server.Listener.Addr().String(), "a/")
-	if len(target.present()) != 2 || target.Newest() != 6 || !target.entries["a/1"].Deleted {
+	requester := NewGroup(GroupOptions{Client: http.DefaultClient, Mirrors: []*Mirror{target}})
+	requester.fetch(context.Background(), server.Listener.Addr().String(), "a/")
+	if len(target.existing()) != 2 || target.Newest() != 6 || !target.entries["a/1"].Deleted {
 		t.Errorf("got %+v at %d", target.entries, target.Newest())
 	}
 	c, all := source.changesSince(2)
 	if !all || len(c.entries) != 2 {
-		t.Errorf("carried %+v, all %t", c.entries, all)
+		t.Errorf("got changes %+v, complete %t", c.entries, all)
 	}
 	if _, all := source.changesSince(1); all {
-		t.Error("what was removed before the first listing counts as known")
+		t.Error("removals before the first listing count as known")
 	}
 }
 
 func testMirror() *Mirror {
-	return &Mirror{prefix: "a/", apply: func(Update) {}, lapsing: func() bool { return false }, entries: map[string]platform.Entry{}}
+	return &Mirror{prefix: "a/", apply: func(Update) {}, afterOutage: func() bool { return false }, entries: map[string]platform.Entry{}}
 }
 
-// A peer that has not heard of the service's return tells of a higher number of the era before, and
-// gives what it knows of that: neither must count as newer. A peer that has heard is believed.
-func TestCopiesOfAnEraBeforeAreNotTaken(t *testing.T) {
+// After a restore of the service, a peer that has not detected it still reports and serves
+// revisions of the previous era with higher sequence numbers. Neither may count as newer. Reports
+// of the current era must be accepted.
+func TestCopiesOfEarlierEraAreRejected(t *testing.T) {
 	m := testMirror()
 	before, after := platform.NewRevision(1, 900), platform.NewRevision(2, 480)
-	m.takeAll(content{entries: []platform.Entry{{Key: "a/1", Value: []byte("new"), Revision: after}}, complete: after, newest: after})
+	m.applyListing(content{entries: []platform.Entry{{Key: "a/1", Value: []byte("new"), Revision: after}}, complete: after, newest: after})
 	group := NewGroup(GroupOptions{Client: http.DefaultClient, Mirrors: []*Mirror{m}, Relayed: func() bool { return true }})
 	now := time.Unix(1000, 0)
-	if group.beginAsk(now, "a/", before) {
-		t.Error("a peer of the era before is asked")
+	if group.beginFetch(now, "a/", before) {
+		t.Error("a fetch starts from a peer in the previous era")
 	}
-	m.takeAll(content{entries: []platform.Entry{{Key: "a/1", Value: []byte("old"), Revision: before}}, complete: before, newest: before})
-	m.takeSome([]platform.Entry{{Key: "a/1", Revision: before, Deleted: true}}, before, false)
-	if got := m.present(); len(got) != 1 || string(got[0].Value) != "new" || m.Newest() != after {
+	m.applyListing(content{entries: []platform.Entry{{Key: "a/1", Value: []byte("old"), Revision: before}}, complete: before, newest: before})
+	m.applyChanges([]platform.Entry{{Key: "a/1", Revision: before, Deleted: true}}, before, false)
+	if got := m.existing(); len(got) != 1 || string(got[0].Value) != "new" || m.Newest() != after {
 		t.Errorf("got %+v at %d", got, m.Newest())
 	}
-	if !group.beginAsk(now, "a/", platform.NewRevision(3, 1)) {
-		t.Error("a peer of the era after is not asked")
+	if !group.beginFetch(now, "a/", platform.NewRevision(3, 1)) {
+		t.Error("no fetch starts from a peer in the next era")
 	}
 }
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -18,7 +18,7 @@
 // Instant is a settable point in time. The zero value is unset and counts as past. It is safe
 // for concurrent use.
 type Instant struct {
-	offset atomic.Int64 // nanoseconds after began, never zero once set
+	offset atomic.Int64 // nanoseconds after processStart; zero only while unset
 }
 
 func sinceStart(t time.Time) int64 {
