--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// told is a naive holder: it acts until it is told that its lease has ended.
-func told(l *lease.Lease) bool {
+// notNotified models a naive holder, which acts until Done is closed.
+func notNotified(l *lease.Lease) bool {
 	select {
 	case <-l.Done():
 		return false
@@ -47,10 +47,10 @@
 	}
 }
 
-// Story: a daemon that orders weight loads is frozen past its lease. Another takes the
-// duty over. The first wakes and, before it reads any message, is about to send the
-// next order; two daemons would drive one target. Done has not been closed yet.
-func TestFrozenHolderFindsOut(t *testing.T) {
+// A daemon that orders weight loads is paused past its lease, and another daemon takes over. The
+// first resumes and, before Done is closed, is about to send its next order. Two daemons would
+// then control one target.
+func TestPausedHolderDetectsExpiry(t *testing.T) {
 	ctx := context.Background()
 	c := &clock{now: time.Unix(1_700_000_000, 0)}
 	f := kv.NewFake(c.Now)
@@ -64,43 +64,43 @@
 		t.Fatalf("second holder: %v", err)
 	}
 	if !first.MayAct(7*time.Second) || first.MayAct(8*time.Second) {
-		t.Error("an order must end a margin before the lease does")
+		t.Error("MayAct does not require that an order ends a margin before the lease")
 	}
 	c.now = c.now.Add(ttl)
 	second, err := b.Acquire(ctx, "duty")
 	if err != nil || second.Epoch() <= first.Epoch() {
 		t.Fatalf("takeover: %v", err)
 	}
-	if !told(first) {
-		t.Error("the naive holder should still believe that it holds the duty")
+	if !notNotified(first) {
+		t.Error("Done is closed before the paused holder's next heartbeat")
 	}
 	if first.Valid() || first.MayAct(0) {
-		t.Error("the frozen holder may act")
+		t.Error("the paused holder may act")
 	}
 	if second.MayAct(0) || !second.Valid() {
-		t.Error("orders of the first holder may still be on their way")
+		t.Error("the new holder may act while orders of the first may still be in flight, or its lease is invalid")
 	}
 	if first.ExpiredHolder() != "" || second.ExpiredHolder() != "a" {
-		t.Errorf("lapsed before: %q, %q", first.ExpiredHolder(), second.ExpiredHolder())
+		t.Errorf("expired holders: %q, %q", first.ExpiredHolder(), second.ExpiredHolder())
 	}
 	c.now = c.now.Add(wait)
 	if !second.MayAct(0) {
-		t.Error("the new holder may not act after the wait")
+		t.Error("the new holder may not act after WaitAfterTakeover")
 	}
-	if err := a.Heartbeat(ctx); err != nil || told(first) {
-		t.Errorf("after the next beat: told=%v, %v", told(first), err)
+	if err := a.Heartbeat(ctx); err != nil || notNotified(first) {
+		t.Errorf("after the next heartbeat: not notified=%v, %v", notNotified(first), err)
 	}
 	if err := b.Close(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if third, err := a.Acquire(ctx, "duty"); err != nil || third.Epoch() <= second.Epoch() {
-		t.Errorf("after a planned stop: %v", err)
+		t.Errorf("after Close by the previous holder: %v", err)
 	}
 }
 
-// Story: a claim's answer is lost and its caller loses interest. The record names a
-// session that stays alive, so without repair nobody could ever take the name.
-func TestLostClaimIsFreed(t *testing.T) {
+// The response to a claim is lost and the caller does not retry. The record refers to a session
+// that stays alive, so without a repair no process could ever acquire the name.
+func TestUnansweredClaimIsFreed(t *testing.T) {
 	ctx := context.Background()
 	c := &clock{now: time.Unix(1_700_000_000, 0)}
 	f := kv.NewFake(c.Now)
@@ -110,7 +110,7 @@
 	}
 	f.LoseWrites(1)
 	if _, err := a.Acquire(ctx, "duty"); !errors.Is(err, lease.ErrUnavailable) {
-		t.Fatalf("lost claim: %v", err)
+		t.Fatalf("claim without response: %v", err)
 	}
 	if _, err := b.Acquire(ctx, "duty"); !errors.Is(err, lease.ErrHeld) {
 		t.Fatalf("before the repair: %v", err)
@@ -123,11 +123,12 @@
 	}
 }
 
-// Story: a claim of b gets no answer. a takes the name, and b's repair writes the record
-// again, as it was, to stop its own claim from landing late. a's release then meets
-// another revision. Taken as "not mine any more", the record names a for good, and as a
-// goes on living, nobody can ever take the name. Seed 1001716 of the schedules found it.
-func TestRepairLeavesOtherHoldersAlone(t *testing.T) {
+// A claim of b gets no response. a acquires the name, and b's repair writes the record again,
+// unchanged, to prevent its own claim from succeeding late. a's release then finds another
+// revision. If a concluded that the record is not its own any more, the record would refer to a
+// permanently, and no process could acquire the name while a is alive. Found by seed 1001716 of
+// the schedules.
+func TestRepairDoesNotAffectOtherHolders(t *testing.T) {
 	ctx := context.Background()
 	c := &clock{now: time.Unix(1_700_000_000, 0)}
 	f := kv.NewFake(c.Now)
@@ -145,7 +146,7 @@
 			return kv.FaultNone
 		})
 		if _, err := b.Acquire(ctx, "duty"); !errors.Is(err, lease.ErrUnavailable) {
-			t.Fatalf("claim without answer: %v", err)
+			t.Fatalf("claim without response: %v", err)
 		}
 		held, err := a.Acquire(ctx, "duty")
 		if err != nil {
@@ -165,7 +166,7 @@
 	}
 }
 
-// Calls grow with holders, not with names.
+// The number of calls to the service grows with holders, not with names.
 func TestCallsDoNotGrowWithNames(t *testing.T) {
 	ctx := context.Background()
 	c := &clock{now: time.Unix(1_700_000_000, 0)}
@@ -190,9 +191,9 @@
 	}
 }
 
-// Story: each daemon that gave an order or held a partition once renews its session
-// for ever, and the service's writes grow with the fleet. A session under which nothing
-// is held must end by itself, and one that is in use must not.
+// If each daemon that once sent an order or held a partition renewed its session forever, the
+// service's writes would grow with the fleet. A session without held names must end by itself,
+// and a session in use must not.
 func TestIdleSessionEnds(t *testing.T) {
 	f := kv.NewFake(time.Now)
 	m := lease.NewManager(lease.Options{
@@ -215,13 +216,13 @@
 	}
 	again, err := m.Acquire(ctx, "fleet")
 	if err != nil || again.Epoch() <= l.Epoch() {
-		t.Fatalf("after the rest: %+v, %v", again, err)
+		t.Fatalf("after the idle session ended: %+v, %v", again, err)
 	}
 }
 
-// In real time the manager keeps its session, and ends its leases when the service
-// goes away.
-func TestRunKeepsAndLoses(t *testing.T) {
+// In real time, the manager renews its session, and ends its leases when the service becomes
+// unreachable.
+func TestRunRenewsUntilServiceFails(t *testing.T) {
 	f := kv.NewFake(nil)
 	m := lease.NewManager(lease.Options{KV: f.Client("a"), Self: "a", TTL: 600 * time.Millisecond, Margin: 100 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -240,28 +241,28 @@
 	f.SetDown(true)
 	<-l.Done()
 	if l.Valid() {
-		t.Error("valid after it ended")
+		t.Error("the lease is valid after it ended")
 	}
 }
 
-// duty is the naive reference of one name: a plain variable.
-type duty struct {
+// reference is the reference model of one name.
+type reference struct {
 	epoch uint64
 	lease *lease.Lease
 	by    int
 }
 
-// leaseMachine drives three processes with true clocks over one service.
+// leaseMachine runs three processes with correct clocks against one service.
 type leaseMachine struct {
-	clock    *clock
-	fake     *kv.Fake
-	managers []*lease.Manager
-	duties   map[string]*duty
-	fault    kv.Fault // of the next write
+	clock      *clock
+	fake       *kv.Fake
+	managers   []*lease.Manager
+	references map[string]*reference
+	fault      kv.Fault // of the next write; FaultUnavailable affects reads until then
 }
 
 func newLeaseMachine() *leaseMachine {
-	m := &leaseMachine{clock: &clock{now: time.Unix(1_700_000_000, 0)}, duties: map[string]*duty{"x": {}, "y": {}}}
+	m := &leaseMachine{clock: &clock{now: time.Unix(1_700_000_000, 0)}, references: map[string]*reference{"x": {}, "y": {}}}
 	m.fake = kv.NewFake(m.clock.Now)
 	m.fake.SetHook(func(_ string, write bool, _ string) kv.Fault {
 		fault := m.fault
@@ -279,17 +280,17 @@
 	return m
 }
 
-func (m *leaseMachine) who(t *rapid.T) int { return rapid.IntRange(0, 2).Draw(t, "process") }
+func (m *leaseMachine) draw(t *rapid.T) int { return rapid.IntRange(0, 2).Draw(t, "process") }
 
 func (m *leaseMachine) acquire(t *rapid.T) {
-	i := m.who(t)
+	i := m.draw(t)
 	name := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name")
-	d := m.duties[name]
+	d := m.references[name]
 	l, err := m.managers[i].Acquire(context.Background(), name)
 	if err != nil {
 		var held *lease.HeldError
 		if errors.As(err, &held) && held.Holder.Epoch < d.epoch {
-			t.Fatalf("%s: held under old epoch %d", name, held.Holder.Epoch)
+			t.Fatalf("%s: held under outdated epoch %d", name, held.Holder.Epoch)
 		}
 		return
 	}
@@ -297,59 +298,59 @@
 		return
 	}
 	if l.Epoch() <= d.epoch {
-		t.Fatalf("%s: epoch %d after %d", name, l.Epoch(), d.epoch)
+		t.Fatalf("%s: epoch %d follows epoch %d", name, l.Epoch(), d.epoch)
 	}
 	if d.lease != nil && d.lease.Valid() {
-		t.Fatalf("%s: held by %d and %d", name, d.by, i)
+		t.Fatalf("%s: held by processes %d and %d", name, d.by, i)
 	}
-	*d = duty{epoch: l.Epoch(), lease: l, by: i}
+	*d = reference{epoch: l.Epoch(), lease: l, by: i}
 }
 
 func (m *leaseMachine) release(t *rapid.T) {
-	d := m.duties[rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name")]
+	d := m.references[rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name")]
 	if d.lease != nil {
 		_ = d.lease.Release(context.Background())
 	}
 }
 
-func (m *leaseMachine) beat(t *rapid.T) { _ = m.managers[m.who(t)].Heartbeat(context.Background()) }
+func (m *leaseMachine) renew(t *rapid.T) { _ = m.managers[m.draw(t)].Heartbeat(context.Background()) }
 
-func (m *leaseMachine) close(t *rapid.T) { _ = m.managers[m.who(t)].Close(context.Background()) }
+func (m *leaseMachine) close(t *rapid.T) { _ = m.managers[m.draw(t)].Close(context.Background()) }
 
-func (m *leaseMachine) pass(t *rapid.T) {
+func (m *leaseMachine) advanceClock(t *rapid.T) {
 	m.clock.now = m.clock.now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 }
 
-func (m *leaseMachine) breakNext(t *rapid.T) {
+func (m *leaseMachine) failNextWrite(t *rapid.T) {
 	m.fault = rapid.SampledFrom([]kv.Fault{kv.FaultUnavailable, kv.FaultLostAnswer, kv.FaultDelayed}).Draw(t, "fault")
 }
 
 func (m *leaseMachine) deliver(*rapid.T) { m.fake.Deliver(0) }
 
-// free checks that nothing is stuck: without faults and with the others gone, every
-// process gets every name within a lease time.
-func (m *leaseMachine) free(t *rapid.T) {
+// checkNotStuck checks that a process can acquire every name within one TTL if there are no
+// faults and the other processes are inactive.
+func (m *leaseMachine) checkNotStuck(t *rapid.T) {
 	m.fault = kv.FaultNone
 	for m.fake.Deliver(0) {
 	}
 	ctx := context.Background()
-	i := m.who(t)
+	i := m.draw(t)
 	m.clock.now = m.clock.now.Add(ttl)
 	if err := m.managers[i].Heartbeat(ctx); err != nil {
 		t.Fatal(err)
 	}
-	for name, d := range m.duties {
+	for name, d := range m.references {
 		l, err := m.managers[i].Acquire(ctx, name)
 		if err != nil || !l.Valid() || l.Epoch() < d.epoch {
 			t.Fatalf("%s: not acquired: %v", name, err)
 		}
-		*d = duty{epoch: l.Epoch(), lease: l, by: i}
+		*d = reference{epoch: l.Epoch(), lease: l, by: i}
 	}
 }
 
-// handover checks that a name that no process holds can be taken while the sessions of
-// all processes live on; a session whose end could not be told needs its time to lapse.
-func (m *leaseMachine) handover(t *rapid.T) {
+// checkHandover checks that a name that no process holds can be acquired while the sessions of
+// all processes stay alive. It waits until sessions whose revocation failed have expired.
+func (m *leaseMachine) checkHandover(t *rapid.T) {
 	m.fault = kv.FaultNone
 	for m.fake.Deliver(0) {
 	}
@@ -368,36 +369,36 @@
 			held[l.Name] = true
 		}
 	}
-	i := m.who(t)
+	i := m.draw(t)
 	for _, name := range []string{"x", "y"} {
 		if held[name] {
 			continue
 		}
 		l, err := m.managers[i].Acquire(ctx, name)
-		if err != nil || l.Epoch() <= m.duties[name].epoch {
-			t.Fatalf("%s: held by nobody, not acquired: %v", name, err)
+		if err != nil || l.Epoch() <= m.references[name].epoch {
+			t.Fatalf("%s: free but not acquired: %v", name, err)
 		}
-		*m.duties[name] = duty{epoch: l.Epoch(), lease: l, by: i}
+		*m.references[name] = reference{epoch: l.Epoch(), lease: l, by: i}
 	}
 }
 
-// One holder at a time under rising epochs, with lost, delayed and failed writes.
+// Checks exclusive possession under rising epochs with lost, delayed and failed writes.
 func TestLeaseAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newLeaseMachine()
 		t.Repeat(map[string]func(*rapid.T){
 			"acquire": m.acquire, "acquire2": m.acquire, "acquire3": m.acquire, "release": m.release,
-			"beat": m.beat, "beat2": m.beat, "close": m.close, "pass": m.pass, "pass2": m.pass,
-			"break": m.breakNext, "deliver": m.deliver, "free": m.free,
-			"handover": m.handover,
+			"beat": m.renew, "beat2": m.renew, "close": m.close, "pass": m.advanceClock, "pass2": m.advanceClock,
+			"break": m.failNextWrite, "deliver": m.deliver, "free": m.checkNotStuck,
+			"handover": m.checkHandover,
 		})
 	})
 }
 
-// All daemons lose power with their leases still to run. One that is back, at the address
-// that it listened at before, knows that its own earlier process has ended: waiting for
-// that lease to lapse would leave its work undone for seconds. Nobody else may know.
-func TestProcessTakesBackWhatItsEarlierOneHeld(t *testing.T) {
+// All daemons lose power while their leases are valid. A daemon that restarts at its previous
+// address can conclude that its earlier process has ended, and must not wait seconds for that
+// lease to expire. Other processes must not draw this conclusion.
+func TestRestartedProcessReclaimsItsLeases(t *testing.T) {
 	ctx := context.Background()
 	c := &clock{now: time.Unix(1_700_000_000, 0)}
 	f := kv.NewFake(c.Now)
@@ -413,7 +414,7 @@
 	}
 	for _, other := range []*lease.Manager{process("b", "b:1"), process("a", "a:2"), process("b", "a:1")} {
 		if _, err := other.Acquire(ctx, "duty"); !errors.Is(err, lease.ErrHeld) {
-			t.Errorf("another process took it: %v", err)
+			t.Errorf("another process acquired the name: %v", err)
 		}
 	}
 	again, err := process("a", "a:1").Acquire(ctx, "duty")
@@ -421,6 +422,6 @@
 		t.Fatal(err)
 	}
 	if again.Epoch() != first.Epoch()+1 || again.ExpiredHolder() != "a" || again.MayAct(time.Millisecond) {
-		t.Errorf("epoch %d after %d, lapsed %q; an order of the earlier process may still act", again.Epoch(), first.Epoch(), again.ExpiredHolder())
+		t.Errorf("epoch %d after %d, expired holder %q; an order of the earlier process may still take effect", again.Epoch(), first.Epoch(), again.ExpiredHolder())
 	}
 }
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -15,49 +15,50 @@
 )
 
 const (
-	defaultTTL    = 10 * time.Second
-	defaultMargin = 2 * time.Second
-	beatsPerTTL   = 3
-	checksPerTTL  = 20
+	defaultTTL       = 10 * time.Second
+	defaultMargin    = 2 * time.Second
+	heartbeatsPerTTL = 3
+	checksPerTTL     = 20
 )
 
 // Options of NewManager.
 type Options struct {
 	KV      platform.KV
 	Self    request.DaemonID
-	Address string        // peer address of this process, told to others
+	Address string        // peer address of this process, published in its records
 	TTL     time.Duration // of the session; zero: 10 s
-	Margin  time.Duration // for clock rates and delays, taken off the TTL; zero: 2 s
-	// OwnsAddress is set by a process that listens at Address: another one with this Self
-	// and Address has ended, or it would listen there still. What it held is free at once.
+	Margin  time.Duration // subtracted from TTL to cover clock drift and delays; zero: 2 s
+	// OwnsAddress is set by a process that listens at Address. An earlier process with the same
+	// Self and Address must have ended, because it would still occupy the address. The names it
+	// held are free at once.
 	OwnsAddress bool
-	// WaitAfterTakeover is how long the new holder of a name that was not released
-	// waits before MayAct allows an order: at least the longest order timeout.
+	// WaitAfterTakeover is how long MayAct returns false for the new holder of a name that was
+	// not released. It must be at least the longest order timeout.
 	WaitAfterTakeover time.Duration
-	// Restored returns when this process learnt that the service had come back from a copy that
-	// may lack what was written last, and whether it did; nil: it never does.
+	// Restored returns when this process detected that the service was restored from a backup,
+	// which may lack the last writes, and whether a restore happened; nil: never.
 	Restored func() (at time.Time, ok bool)
-	Now      func() time.Time // nil: time.Now, which carries the monotonic clock
+	Now      func() time.Time // nil: time.Now, whose times include a monotonic reading
 	Logger   hclog.Logger
 	Metrics  tally.Scope
 }
 
-// Manager holds names for one process. It is safe for concurrent use.
+// Manager holds the leases of one process. It is safe for concurrent use.
 type Manager struct {
 	opts Options
 
-	acquiring sync.Mutex // serialises Acquire: one claim of a name at a time; taken before beating
-	beating   sync.Mutex // serialises renewals
+	acquireMu sync.Mutex // serialises Acquire, so that only one claim runs; locked before renewMu
+	renewMu   sync.Mutex // serialises renewals of the session
 
-	mu        sync.Mutex
-	session   *session // nil: none
-	held      map[string]*Lease
-	unsettled map[string]platform.Revision  // names whose record may wrongly name this session, with the revision that the write in question expected
-	former    map[platform.LeaseID]struct{} // sessions of this process that it gave up
-	idle      int                           // beats in a row at which nothing was held
+	mu             sync.Mutex
+	session        *session // nil: none
+	held           map[string]*Lease
+	unsettled      map[string]platform.Revision  // names whose record may wrongly refer to this session, with the revision that the unanswered write expected
+	formerSessions map[platform.LeaseID]struct{} // earlier sessions of this process that have ended
+	idleHeartbeats int                           // consecutive heartbeats without a held name
 }
 
-// NewManager returns a manager without a session; the first Beat or Acquire starts one.
+// NewManager returns a manager without a session. The first Heartbeat or Acquire starts one.
 func NewManager(opts Options) *Manager {
 	if opts.TTL <= 0 {
 		opts.TTL = defaultTTL
@@ -80,39 +81,39 @@
 	opts.Logger = opts.Logger.Named("lease")
 	opts.Metrics = opts.Metrics.SubScope("lease")
 	return &Manager{
-		opts:      opts,
-		held:      map[string]*Lease{},
-		unsettled: map[string]platform.Revision{},
-		former:    map[platform.LeaseID]struct{}{},
+		opts:           opts,
+		held:           map[string]*Lease{},
+		unsettled:      map[string]platform.Revision{},
+		formerSessions: map[platform.LeaseID]struct{}{},
 	}
 }
 
-// Run renews the session until ctx ends. Another goroutine watches the deadline, so
-// that a renewal stuck in the service does not hide that the time is up.
+// Run renews the session until ctx ends. A separate goroutine checks the deadline, so that a
+// blocked renewal does not delay the end of the leases.
 func (m *Manager) Run(ctx context.Context) error {
-	watched := make(chan struct{})
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(watched)
-		every(ctx, m.opts.TTL/checksPerTTL, m.CheckDeadline)
+		defer close(watcherDone)
+		runEvery(ctx, m.opts.TTL/checksPerTTL, m.CheckDeadline)
 	}()
-	m.beatOnce(ctx)
-	every(ctx, m.opts.TTL/beatsPerTTL, func() { m.beatOnce(ctx) })
-	<-watched
+	m.heartbeatOnce(ctx)
+	runEvery(ctx, m.opts.TTL/heartbeatsPerTTL, func() { m.heartbeatOnce(ctx) })
+	<-watcherDone
 	return nil
 }
 
-func (m *Manager) beatOnce(ctx context.Context) {
+func (m *Manager) heartbeatOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, m.opts.TTL)
 	defer cancel()
-	if m.rest(ctx) {
+	if m.closeIfIdle(ctx) {
 		return
 	}
 	if err := m.Heartbeat(ctx); err != nil {
-		m.opts.Logger.Warn("Session not renewed", "error", err)
+		m.opts.Logger.Warn("Failed to renew the session", "error", err)
 	}
 }
 
-func every(ctx context.Context, d time.Duration, do func()) {
+func runEvery(ctx context.Context, d time.Duration, do func()) {
 	tick := time.NewTicker(d)
 	defer tick.Stop()
 	for {
@@ -125,23 +126,24 @@
 	}
 }
 
-// Close ends the session and with it all leases: others can take them at once.
+// Close ends the session and all its leases. Other processes can acquire the names at once.
 func (m *Manager) Close(ctx context.Context) error {
 	s := m.current()
 	if s == nil {
 		return nil
 	}
-	if m.drop(s) {
-		m.opts.Logger.Info("Session closed", "session", s.id)
+	if m.endSession(s) {
+		m.opts.Logger.Info("The manager closed the session", "session", s.id)
 	}
 	return errors.Wrap(m.opts.KV.RevokeLease(ctx, s.id), "revoke session")
 }
 
-// Acquire takes a name, or reports ErrHeld with the holder, or ErrUnavailable. A name
-// that this process holds already is returned as it is.
+// Acquire acquires a name. It returns a HeldError if another process holds the name, and
+// ErrUnavailable if the service did not settle the call. For a name that this process holds,
+// it returns the existing lease.
 func (m *Manager) Acquire(ctx context.Context, name string) (*Lease, error) {
-	m.acquiring.Lock()
-	defer m.acquiring.Unlock()
+	m.acquireMu.Lock()
+	defer m.acquireMu.Unlock()
 	s, err := m.ensureSession(ctx)
 	if err != nil {
 		return nil, err
@@ -149,7 +151,7 @@
 	if l := m.lookup(name); l != nil {
 		return l, nil
 	}
-	if err := m.checkSettled(); err != nil {
+	if err := m.checkRestoreWait(); err != nil {
 		return nil, err
 	}
 	current, revision, err := m.read(ctx, name)
@@ -163,13 +165,13 @@
 	return m.claim(ctx, name, s, current, revision, takeover)
 }
 
-// checkSettled refuses claims for one TTL after the service came back from a copy. A lease of
-// before may be missing there while its holder, which has not heard of the return, relies on it
-// still; it was renewed last before the return.
-func (m *Manager) checkSettled() error {
+// checkRestoreWait refuses claims for one TTL after a restore of the service. The backup may lack
+// a lease whose holder has not detected the restore and still relies on the lease. The holder's
+// last renewal was before the restore.
+func (m *Manager) checkRestoreWait() error {
 	at, ok := m.opts.Restored()
-	if left := m.opts.TTL - m.opts.Now().Sub(at); ok && left > 0 {
-		return errors.Mark(errors.Newf("lease: the service has come back from a copy; claims wait for %s", left), ErrUnavailable)
+	if wait := m.opts.TTL - m.opts.Now().Sub(at); ok && wait > 0 {
+		return errors.Mark(errors.Newf("lease: the service was restored from a backup; claims must wait for %s", wait), ErrUnavailable)
 	}
 	return nil
 }
@@ -206,14 +208,14 @@
 	return r, e.Revision, err
 }
 
-// checkFree reports whether a name may be claimed, and whether that takes it over
-// from a holder that did not release it. A session key that is gone never comes back,
-// so what is read here stays true until the claim is written.
+// checkFree returns an error unless the name of record r may be claimed. takeover reports whether
+// the previous holder did not release the name. A removed session key is never created again, so
+// the result remains true until the claim is written.
 func (m *Manager) checkFree(ctx context.Context, r record, s *session) (takeover bool, err error) {
 	if r.Session == "" || r.Session == s.id {
 		return false, nil
 	}
-	if m.wasMine(r.Session) || m.opts.OwnsAddress && r.Holder == m.opts.Self && r.Address == m.opts.Address {
+	if m.isFormerSession(r.Session) || m.opts.OwnsAddress && r.Holder == m.opts.Self && r.Address == m.opts.Address {
 		return true, nil
 	}
 	_, err = m.opts.KV.Get(ctx, sessionPrefix+string(r.Session))
@@ -226,16 +228,16 @@
 	return false, &HeldError{Holder: r.holder()}
 }
 
-func (m *Manager) wasMine(id platform.LeaseID) bool {
+func (m *Manager) isFormerSession(id platform.LeaseID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, ok := m.former[id]
+	_, ok := m.formerSessions[id]
 	return ok
 }
 
 func (m *Manager) claim(ctx context.Context, name string, s *session, current record, revision platform.Revision, takeover bool) (*Lease, error) {
 	next := current.next(m.self(), s.id)
-	next.Epoch = max(next.Epoch, s.leastEpoch())
+	next.Epoch = max(next.Epoch, s.minEpoch())
 	got, err := m.opts.KV.CompareAndSwap(ctx, recordPrefix+name, revision, next.encode(), "")
 	var conflict *platform.ConflictError
 	if errors.As(err, &conflict) {
@@ -246,31 +248,31 @@
 		return nil, errors.Mark(err, ErrUnavailable)
 	}
 	if got.Era() != s.revision.Era() {
-		// The service has come back from a copy, and knows nothing of the session.
-		return nil, errors.Mark(errors.New("lease: claimed in an era after its session's"), ErrUnavailable)
+		// The service was restored from a backup that lacks the session.
+		return nil, errors.Mark(errors.New("lease: the service was restored between the start of the session and the claim"), ErrUnavailable)
 	}
 	l := &Lease{manager: m, name: name, epoch: next.Epoch, session: s, revision: got, done: make(chan struct{})}
-	forgotten := m.mayHaveForgotten(s, current)
-	if takeover || forgotten {
+	recordLost := m.mayHaveLostRecord(s, current)
+	if takeover || recordLost {
 		l.actAfter = m.opts.Now().Add(m.opts.WaitAfterTakeover)
-		l.lapsed = current.Holder
+		l.expiredHolder = current.Holder
 	}
-	if forgotten {
-		l.lapsed = UnknownHolder
+	if recordLost {
+		l.expiredHolder = UnknownHolder
 	}
-	return l, m.keep(l)
+	return l, m.addLease(l)
 }
 
-// mayHaveForgotten reports whether the service may have lost the record of a later holder: it has
-// come back from a copy, and nobody has claimed the name since. The record's epoch tells its era;
-// its revision does not, since a copy's entries have those of the new era.
-func (m *Manager) mayHaveForgotten(s *session, r record) bool {
-	_, returned := m.opts.Restored()
-	return returned && r.Epoch < s.leastEpoch()
+// mayHaveLostRecord reports whether the service may have lost the record of a later holder. This
+// is the case if the service was restored and no process has claimed the name since. The era of
+// the record is derived from its epoch, because restored entries have revisions of the new era.
+func (m *Manager) mayHaveLostRecord(s *session, r record) bool {
+	_, restored := m.opts.Restored()
+	return restored && r.Epoch < s.minEpoch()
 }
 
-// keep notes a lease unless its session ended while it was claimed.
-func (m *Manager) keep(l *Lease) error {
+// addLease adds a lease to the held ones, unless its session ended during the claim.
+func (m *Manager) addLease(l *Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.session != l.session {
@@ -280,7 +282,7 @@
 	m.held[l.name] = l
 	delete(m.unsettled, l.name)
 	m.opts.Metrics.Counter("acquired").Inc(1)
-	m.opts.Logger.Info("Lease acquired", "name", l.name, "epoch", l.epoch)
+	m.opts.Logger.Info("The manager acquired a lease", "name", l.name, "epoch", l.epoch)
 	return nil
 }
 
@@ -309,8 +311,8 @@
 	switch {
 	case err == nil:
 	case errors.As(err, &conflict):
-		if names(conflict.Current, l.session.id) {
-			return nil // still unsettled: the next beat frees it
+		if isHeldBy(conflict.Current, l.session.id) {
+			return nil // still unsettled: the next heartbeat frees it
 		}
 	default:
 		return errors.Mark(err, ErrUnavailable)
@@ -319,8 +321,8 @@
 	return nil
 }
 
-// names reports whether an entry is a record of this session.
-func names(e platform.Entry, session platform.LeaseID) bool {
+// isHeldBy reports whether an entry is a record that refers to the session.
+func isHeldBy(e platform.Entry, session platform.LeaseID) bool {
 	r, err := decodeRecord(e.Value)
 	return err == nil && r.Session == session
 }
@@ -337,29 +339,29 @@
 	delete(m.unsettled, name)
 }
 
-// cleanUp frees names whose record may still name this session after a write with
-// unknown outcome: the session stays alive, so nobody else could ever take them.
-func (m *Manager) cleanUp(ctx context.Context) {
-	m.acquiring.Lock()
-	defer m.acquiring.Unlock()
+// repairUnsettled frees names whose records may still refer to this session after a write with
+// unknown outcome. No other process could ever acquire them, because the session stays alive.
+func (m *Manager) repairUnsettled(ctx context.Context) {
+	m.acquireMu.Lock()
+	defer m.acquireMu.Unlock()
 	s := m.current()
 	for _, u := range m.unsettledNames() {
-		if s == nil || m.free(ctx, s, u) != nil {
+		if s == nil || m.repair(ctx, s, u) != nil {
 			return
 		}
 	}
 }
 
-// unsettledName is a name with the revision that its unsettled write expected.
+// unsettledName is a name and the revision that its unsettled write expected.
 type unsettledName struct {
 	name     string
 	expected platform.Revision
 }
 
-// free settles one name. A record at the expected revision is written again although
-// it looks free, so that the delayed write can't land later. A record that moved on and
-// names another session is left alone: a write would take the holder's revision away.
-func (m *Manager) free(ctx context.Context, s *session, u unsettledName) error {
+// repair settles one name. A record at the expected revision is written again even if it is free,
+// so that a delayed write can't succeed later. A record at another revision that refers to another
+// session is not written, because a write would change the revision that its holder expects.
+func (m *Manager) repair(ctx context.Context, s *session, u unsettledName) error {
 	r, revision, err := m.read(ctx, u.name)
 	if err != nil {
 		return err
@@ -389,8 +391,8 @@
 	return out
 }
 
-// Holders returns the holders of all held names below prefix. It costs two calls,
-// however many names there are.
+// Holders returns the holders of all held names below prefix. It makes two calls, irrespective of
+// the number of names.
 func (m *Manager) Holders(ctx context.Context, prefix string) (map[string]Holder, error) {
 	records, _, err := m.opts.KV.List(ctx, recordPrefix+prefix)
 	if err != nil {
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -1,26 +1,25 @@
-// Package lease gives names to one holder at a time, each time under a higher epoch
-// (fencing number), by records in the platform's key-value service.
+// Package lease implements exclusive leases on names, based on records in the platform's
+// key-value service. Each holder of a name gets a higher epoch (fencing number) than all before.
 //
-// A process keeps one platform lease alive, its session, which all its names share,
-// so that the cost of holding grows with processes and not with names. The record of
-// a name stays for good; it tells the epoch, the holder and the holder's session. A
-// new holder raises the epoch by compare-and-swap once that session has lapsed.
+// A process keeps one platform lease alive, its session, which all its names share. The cost of
+// holding names therefore grows with the number of processes and not of names. The record of a
+// name is permanent and contains the epoch, the holder and the holder's session. Once that
+// session has expired, a new holder raises the epoch by compare-and-swap.
 //
-// What can't be excluded: a holder may be paused between its last check of Valid and
-// the effect of what it does next. So each effect must be conditional on the epoch
-// where the other side can check it. Where it can't, Lease.MayAct makes harm
-// unlikely: the holder stops an order's timeout and a margin before its own lease
-// ends, and the next holder waits Options.WaitAfterTakeover before its first order.
-// An order that is delayed by more than all of these, in a network or in a paused
-// process, still arrives late.
+// A holder may be paused between its last check of Valid and the effect of its next action.
+// Effects must therefore be conditional on the epoch wherever the receiver can check it. For
+// other receivers, Lease.MayAct makes conflicts unlikely: the holder sends no order unless the
+// order's timeout and a margin end before the lease does, and the next holder waits
+// Options.WaitAfterTakeover before its first order. An order that the network or a paused
+// process delays by more than the sum of these times can still take effect too late.
 //
-// The service may come back from a copy of some seconds ago, and have lost records and sessions.
-// All leases of before are then void: a session renews in its own era only, claims wait until the
-// last holder of before can't rely on its lease any more, count as takeovers, and take epochs
-// above all that the era before can have given.
+// The service may be restored from a backup that is some seconds old and lacks records and
+// sessions. All earlier leases are then void. A session can be renewed in its own era only.
+// Claims wait until the last earlier holder can't rely on its lease any more, count as takeovers,
+// and get epochs above all that the previous era can have assigned.
 //
-// In a long outage of the service the leases lapse by the holder's own clock, and
-// nobody holds anything until it is over.
+// In a long outage of the service, leases expire by their holders' own clocks, and no name is
+// held until the outage is over.
 package lease
 
 import (
@@ -40,10 +39,11 @@
 
 // Errors of this package.
 var (
-	// ErrHeld reports a name that another process holds; errors.As to *HeldError
-	// tells which.
+	// ErrHeld reports that another process holds the name. errors.As with *HeldError returns
+	// the holder.
 	ErrHeld = errors.New("lease: held by another process")
-	// ErrUnavailable reports that the key-value service did not settle the call.
+	// ErrUnavailable reports that the key-value service did not settle the call, whose outcome
+	// may be unknown.
 	ErrUnavailable = errors.New("lease: key-value service unavailable")
 )
 
@@ -54,7 +54,7 @@
 	Epoch   uint64
 }
 
-// HeldError carries the holder that Acquire met.
+// HeldError is returned by Acquire and contains the current holder.
 type HeldError struct {
 	Holder Holder
 }
@@ -65,7 +65,7 @@
 // Is makes a HeldError match ErrHeld.
 func (e *HeldError) Is(target error) bool { return target == ErrHeld }
 
-// record is the lasting state of a name. An empty session means released.
+// record is the persistent state of a name. An empty session means that the name was released.
 type record struct {
 	Epoch   uint64           `json:"epoch"`
 	Holder  request.DaemonID `json:"holder,omitempty"`
@@ -84,11 +84,11 @@
 	return r, errors.Wrap(err, "decode lease record")
 }
 
-// RecordPrefix begins the keys of the records of names.
+// RecordPrefix is the prefix of the keys of records.
 const RecordPrefix = recordPrefix
 
-// HolderIn reads the holder from the entry of a name's record; the zero Holder if it was
-// released. The holder's session may have lapsed since.
+// HolderIn returns the holder in the entry of a name's record, or the zero Holder if the name was
+// released. The holder's session may have expired since.
 func HolderIn(e platform.Entry) (Holder, error) {
 	r, err := decodeRecord(e.Value)
 	if err != nil || r.Session == "" {
@@ -103,25 +103,25 @@
 
 func (r record) released() record { return record{Epoch: r.Epoch} }
 
-// next is the record of a new holder. Every claim raises the epoch, also that of a
-// process that finds its own session in the record: its former write may have been
-// delayed and could otherwise land later at the same revision.
+// next returns the record of a new holder. Every claim raises the epoch, even if the record
+// already refers to the claiming process's session: an earlier write of the process may have
+// been delayed and could otherwise succeed later at the same revision.
 func (r record) next(self Holder, session platform.LeaseID) record {
 	return record{Epoch: r.Epoch + 1, Holder: self.ID, Address: self.Address, Session: session}
 }
 
-// validity tells until when a session may be relied on. It starts at the time at
-// which the last answered call was sent: the service counts from no earlier.
+// validity determines until when a session is valid. It counts from the time at which the last
+// successful call was sent, because the service counts from that time or later.
 type validity struct {
 	sent   time.Time
 	ttl    time.Duration
 	margin time.Duration
 }
 
-// left is the time for which the holder may still act. The monotonic clock decides;
-// the wall clock is asked too, because the monotonic one stands still while a VM is
-// suspended. A jump of the wall clock can only shorten the time.
-func (v validity) left(now time.Time) time.Duration {
+// remaining returns the time for which the holder may still act. It uses the larger of the
+// monotonic and the wall clock's elapsed time, because the monotonic clock stops while a VM is
+// suspended. A jump of the wall clock can only shorten the result.
+func (v validity) remaining(now time.Time) time.Duration {
 	elapsed := max(now.Sub(v.sent), now.Round(0).Sub(v.sent.Round(0)))
 	return v.ttl - v.margin - elapsed
 }
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -20,19 +20,19 @@
 	validity validity
 }
 
-func (s *session) left(now time.Time) time.Duration {
+func (s *session) remaining(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.validity.left(now)
+	return s.validity.remaining(now)
 }
 
-// leastEpoch is the least epoch of a lease under the session. A record that the service lost may
-// have had any epoch of an earlier era; those of an era begin above all of them, whatever the
-// copy tells.
-func (s *session) leastEpoch() uint64 { return uint64(platform.NewRevision(s.revision.Era(), 0)) }
+// minEpoch returns the lowest epoch of a lease under the session. A record that the service lost
+// may have had any epoch of an earlier era. The epochs of an era begin above all of these,
+// whatever the restored record contains.
+func (s *session) minEpoch() uint64 { return uint64(platform.NewRevision(s.revision.Era(), 0)) }
 
-// renewed notes a keep-alive that was sent at a time and answered.
-func (s *session) renewed(sent time.Time) {
+// recordRenewal records a successful keep-alive and the time at which it was sent.
+func (s *session) recordRenewal(sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if sent.After(s.validity.sent) {
@@ -40,41 +40,41 @@
 	}
 }
 
-// Heartbeat renews the session, or starts one if there is none, and finishes releases
-// that could not be written before. Run calls it; tests call it themselves.
+// Heartbeat renews the session, or starts one if there is none, and completes releases that
+// could not be written before. Run calls it; tests call it directly.
 func (m *Manager) Heartbeat(ctx context.Context) error {
 	if err := m.renew(ctx); err != nil {
 		return err
 	}
-	m.cleanUp(ctx)
+	m.repairUnsettled(ctx)
 	return nil
 }
 
 func (m *Manager) renew(ctx context.Context) error {
-	m.beating.Lock()
-	defer m.beating.Unlock()
+	m.renewMu.Lock()
+	defer m.renewMu.Unlock()
 	s := m.current()
 	if s == nil {
-		return m.start(ctx)
+		return m.startSession(ctx)
 	}
 	sent := m.opts.Now()
 	err := m.opts.KV.KeepAlive(ctx, s.id)
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
-		m.lose(s, "Session lapsed")
-		return m.start(ctx)
+		m.loseSession(s, "The session expired")
+		return m.startSession(ctx)
 	case err != nil:
 		m.CheckDeadline()
 		return errors.Mark(err, ErrUnavailable)
 	}
-	s.renewed(sent)
+	s.recordRenewal(sent)
 	return nil
 }
 
-// start grants a platform lease and attaches the session key to it. The key must
-// exist before any record names the session: its absence is what others read as the
+// startSession obtains a platform lease and attaches the session key to it. The key must exist
+// before any record refers to the session, because other processes interpret its absence as the
 // end of the session.
-func (m *Manager) start(ctx context.Context) error {
+func (m *Manager) startSession(ctx context.Context) error {
 	sent := m.opts.Now()
 	id, err := m.opts.KV.GrantLease(ctx, m.opts.TTL)
 	if err != nil {
@@ -89,17 +89,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.session = s
-	m.opts.Logger.Info("Session started", "session", id)
+	m.opts.Logger.Info("The session started", "session", id)
 	return nil
 }
 
-// CheckDeadline ends the leases if the session was not renewed in time. The session
-// is then given up even if the service still knows it: a holder that was late once
-// acquires again, under a higher epoch.
+// CheckDeadline ends the session and its leases if the session was not renewed in time, even if
+// the service still has it. A holder that missed the deadline must acquire its names again, under
+// higher epochs.
 func (m *Manager) CheckDeadline() {
 	s := m.current()
-	if s != nil && s.left(m.opts.Now()) <= 0 {
-		m.lose(s, "Session was not renewed in time")
+	if s != nil && s.remaining(m.opts.Now()) <= 0 {
+		m.loseSession(s, "The session was not renewed in time")
 	}
 }
 
@@ -110,55 +110,55 @@
 	return m.session
 }
 
-// idleBeats is how many beats in a row a session is kept although nothing is held.
-const idleBeats = 2 * beatsPerTTL
+// maxIdleHeartbeats is how many consecutive heartbeats a session is kept without a held name.
+const maxIdleHeartbeats = 2 * heartbeatsPerTTL
 
-// rest ends a session under which nothing has been held for a while, and reports that
-// there is none to renew. The service's calls so grow with the holders of names, not
-// with the processes; the next Acquire starts a session.
+// closeIfIdle ends a session under which no name has been held for maxIdleHeartbeats, and reports
+// whether there is no session to renew. The number of calls to the service therefore grows with
+// the holders of names and not with all processes. The next Acquire starts a new session.
 //
-// It does not wait for a claim under way: with a slow service that would hold up the
-// renewal, and leases that are held would lapse.
-func (m *Manager) rest(ctx context.Context) bool {
-	if !m.acquiring.TryLock() {
+// closeIfIdle does not wait for a running claim. With a slow service, waiting would delay the
+// renewal until the held leases expire.
+func (m *Manager) closeIfIdle(ctx context.Context) bool {
+	if !m.acquireMu.TryLock() {
 		return false
 	}
-	defer m.acquiring.Unlock()
+	defer m.acquireMu.Unlock()
 	m.mu.Lock()
 	used := len(m.held)+len(m.unsettled) > 0
 	none := m.session == nil
-	m.idle++
+	m.idleHeartbeats++
 	if used {
-		m.idle = 0
+		m.idleHeartbeats = 0
 	}
-	idle := m.idle
+	idle := m.idleHeartbeats
 	m.mu.Unlock()
-	if used || none || idle < idleBeats {
+	if used || none || idle < maxIdleHeartbeats {
 		return none && !used
 	}
 	if err := m.Close(ctx); err != nil {
-		m.opts.Logger.Warn("Idle session not closed; it lapses", "error", err)
+		m.opts.Logger.Warn("Failed to close the idle session; it will expire", "error", err)
 	}
 	return true
 }
 
-// lose drops a session that ended before it was given up.
-func (m *Manager) lose(s *session, why string) {
-	if m.drop(s) {
+// loseSession ends a session that expired or missed its deadline, and records the loss.
+func (m *Manager) loseSession(s *session, reason string) {
+	if m.endSession(s) {
 		m.opts.Metrics.Counter("sessions_lost").Inc(1)
-		m.opts.Logger.Warn(why, "session", s.id)
+		m.opts.Logger.Warn(reason, "session", s.id)
 	}
 }
 
-// drop ends a session and all its leases. It reports false if that was done before.
-func (m *Manager) drop(s *session) bool {
+// endSession ends a session and all its leases. It returns false if the session had ended before.
+func (m *Manager) endSession(s *session) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.session != s {
 		return false
 	}
 	m.session = nil
-	m.former[s.id] = struct{}{}
+	m.formerSessions[s.id] = struct{}{}
 	clear(m.unsettled)
 	for name, l := range m.held {
 		l.end()
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// State is a dump of a manager.
+// State is the state of a manager for diagnostics.
 type State struct {
 	Session   string       `json:"session,omitempty"`
 	Remaining string       `json:"left,omitempty"` // time until the session must be renewed
@@ -13,20 +13,20 @@
 	Unsettled []string     `json:"unsettled,omitempty"`
 }
 
-// LeaseState is the dump of one lease.
+// LeaseState is the state of one lease.
 type LeaseState struct {
 	Name  string `json:"name"`
 	Epoch uint64 `json:"epoch"`
 }
 
-// State returns a dump that can be encoded as JSON.
+// State returns the manager's state. The result can be encoded as JSON.
 func (m *Manager) State() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := State{Unsettled: sortedKeys(m.unsettled)}
 	if m.session != nil {
 		out.Session = string(m.session.id)
-		out.Remaining = m.session.left(m.opts.Now()).Round(time.Millisecond).String()
+		out.Remaining = m.session.remaining(m.opts.Now()).Round(time.Millisecond).String()
 	}
 	for _, name := range sortedKeys(m.held) {
 		out.Held = append(out.Held, LeaseState{Name: name, Epoch: m.held[name].epoch})
