--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,9 +1,9 @@
-// Package roster tells daemons of one another through the platform's key-value service.
+// Package roster maintains the list of live daemons in the platform's key-value service.
 //
-// Each daemon holds one entry under a lease of its own. An entry that goes while the
-// service answers is a daemon that has gone. Entries that lapse in an outage are kept for
-// the time their owners need to write them again, so that a service that comes back empty
-// does not leave callers without addresses.
+// Each daemon has one entry under its own lease. If an entry is removed while the service is
+// available, its daemon has terminated. Entries that expired in an outage are kept for as long as
+// their owners need to write them again, so that callers still get addresses after the service
+// recovers without entries.
 package roster
 
 import (
@@ -26,14 +26,14 @@
 )
 
 const (
-	// leaseTTL is how long a daemon that died is still listed. Callers that meet it try
-	// another address, so it need not be shorter.
-	leaseTTL  = 4 * time.Second
-	beatEvery = time.Second
-	callLimit = 2 * time.Second
+	// leaseTTL is how long a daemon that died is still listed. It need not be shorter, because
+	// callers that cannot reach the daemon try another address.
+	leaseTTL      = 4 * time.Second
+	renewInterval = time.Second
+	callTimeout   = 2 * time.Second
 )
 
-// Daemon is what a daemon tells of itself.
+// Daemon is a daemon's entry in the roster.
 type Daemon struct {
 	ID            request.DaemonID `json:"id"`
 	Incarnation   int64            `json:"incarnation"`
@@ -46,83 +46,83 @@
 // Options of New.
 type Options struct {
 	KV       platform.KV
-	Follower *mirror.Follower // of the service; its owner runs it
-	Prefix   string           // of the entries
+	Follower *mirror.Follower // of the service; the caller of New runs it
+	Prefix   string           // of the entries' keys
 	Self     Daemon
 	Logger   hclog.Logger
 }
 
-// Roster is the list of daemons. It is safe for concurrent use.
+// Roster is the list of daemons, and keeps this daemon's own entry. It is safe for concurrent use.
 type Roster struct {
-	o      Options
-	mirror *mirror.Mirror
-	live   atomic.Pointer[[]Daemon] // sorted by id, with this daemon
-	beatMu sync.Mutex
-	lease  platform.LeaseID
-	self   Daemon // guarded by beatMu
+	opts    Options
+	mirror  *mirror.Mirror
+	live    atomic.Pointer[[]Daemon] // sorted by ID; includes this daemon unless it leaves
+	renewMu sync.Mutex
+	lease   platform.LeaseID
+	self    Daemon // guarded by renewMu
 
 	leaving atomic.Bool
 
-	mu      sync.Mutex
-	known   map[string]Daemon
-	lapsing map[string]time.Time // removed in an outage; kept until then
+	mu       sync.Mutex
+	known    map[string]Daemon
+	expiring map[string]time.Time // when entries removed after an outage are dropped from known
 }
 
-// New returns a roster that knows this daemon only.
+// New returns a roster that contains this daemon only.
 func New(o Options) *Roster {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
 	o.Logger = o.Logger.Named("roster")
-	r := &Roster{o: o, self: o.Self, known: map[string]Daemon{}, lapsing: map[string]time.Time{}}
+	r := &Roster{opts: o, self: o.Self, known: map[string]Daemon{}, expiring: map[string]time.Time{}}
 	r.mirror = o.Follower.AddMirror(o.Prefix, r.apply)
 	r.publish()
 	return r
 }
 
-// Live returns the daemons that serve, this one among them unless it leaves. The list is
-// another one only after a change.
+// Live returns the daemons that accept callers, including this one unless it leaves. The list is
+// replaced only when it changes.
 func (r *Roster) Live() []Daemon { return *r.live.Load() }
 
-// Mirror returns the mirror of the entries, whose copies peers may ask for.
+// Mirror returns the mirror of the entries, for the exchange of copies with peers.
 func (r *Roster) Mirror() *mirror.Mirror { return r.mirror }
 
 // Run keeps this daemon listed until ctx ends.
 func (r *Roster) Run(ctx context.Context) error {
-	tick := time.NewTicker(beatEvery)
+	tick := time.NewTicker(renewInterval)
 	defer tick.Stop()
 	for {
-		if err := r.beat(ctx); err != nil && ctx.Err() == nil {
-			r.o.Logger.Warn("This daemon could not renew its entry", "error", err)
+		if err := r.renew(ctx); err != nil && ctx.Err() == nil {
+			r.opts.Logger.Warn("The daemon failed to renew its roster entry", "error", err)
 		}
 		select {
 		case <-tick.C:
-			r.forgetLapsed()
+			r.removeExpired()
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// beat renews the lease of the entry, or writes it anew.
-func (r *Roster) beat(ctx context.Context) error {
-	r.beatMu.Lock()
-	defer r.beatMu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// renew renews the lease of this daemon's entry, or writes the entry under a new lease.
+func (r *Roster) renew(ctx context.Context) error {
+	r.renewMu.Lock()
+	defer r.renewMu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if r.lease != "" {
-		err := r.o.KV.KeepAlive(ctx, r.lease)
+		err := r.opts.KV.KeepAlive(ctx, r.lease)
 		if !errors.Is(err, platform.ErrNotFound) {
 			return err
 		}
 		r.lease = ""
 	}
-	return r.write(ctx)
+	return r.writeEntry(ctx)
 }
 
-func (r *Roster) write(ctx context.Context) error {
+func (r *Roster) writeEntry(ctx context.Context) error {
 	if r.lease == "" {
-		lease, err := r.o.KV.GrantLease(ctx, leaseTTL)
+		lease, err := r.opts.KV.GrantLease(ctx, leaseTTL)
 		if err != nil {
 			return errors.Wrap(err, "roster: lease")
 		}
@@ -132,40 +132,40 @@
 	if err != nil {
 		return errors.Wrap(err, "roster: encode")
 	}
-	key := r.o.Prefix + string(r.self.ID)
-	current, err := r.o.KV.Get(ctx, key)
+	key := r.opts.Prefix + string(r.self.ID)
+	current, err := r.opts.KV.Get(ctx, key)
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		r.lease = ""
 		return errors.Wrap(err, "roster: read")
 	}
-	if _, err := r.o.KV.CompareAndSwap(ctx, key, current.Revision, value, r.lease); err != nil {
+	if _, err := r.opts.KV.CompareAndSwap(ctx, key, current.Revision, value, r.lease); err != nil {
 		r.lease = ""
 		return errors.Wrap(err, "roster: write")
 	}
-	r.o.Logger.Info("This daemon is listed", "leaving", r.self.Leaving)
+	r.opts.Logger.Info("The daemon wrote its roster entry", "leaving", r.self.Leaving)
 	return nil
 }
 
-// Leave tells the others that this daemon takes no new callers.
+// Leave marks this daemon as leaving, so that the other daemons direct no new callers to it.
 func (r *Roster) Leave(ctx context.Context) error {
-	r.beatMu.Lock()
-	defer r.beatMu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	r.renewMu.Lock()
+	defer r.renewMu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	r.self.Leaving = true
 	r.leaving.Store(true)
 	r.publish()
-	return r.write(ctx)
+	return r.writeEntry(ctx)
 }
 
-// Withdraw removes the entry of a daemon that is about to end.
+// Withdraw removes this daemon's entry. The daemon calls it just before it terminates.
 func (r *Roster) Withdraw(ctx context.Context) error {
-	r.beatMu.Lock()
-	defer r.beatMu.Unlock()
+	r.renewMu.Lock()
+	defer r.renewMu.Unlock()
 	if r.lease == "" {
 		return nil
 	}
-	return r.o.KV.RevokeLease(ctx, r.lease)
+	return r.opts.KV.RevokeLease(ctx, r.lease)
 }
 
 func (r *Roster) apply(u mirror.Update) {
@@ -173,7 +173,7 @@
 	defer r.mu.Unlock()
 	seen := map[string]bool{}
 	for _, e := range u.Entries {
-		id := strings.TrimPrefix(e.Key, r.o.Prefix)
+		id := strings.TrimPrefix(e.Key, r.opts.Prefix)
 		if e.Deleted {
 			r.remove(id, u.AfterOutage)
 			continue
@@ -181,11 +181,11 @@
 		seen[id] = true
 		d, err := decode(id, e.Value)
 		if err != nil {
-			r.o.Logger.Warn("An entry names no daemon", "key", e.Key, "error", err)
+			r.opts.Logger.Warn("Ignoring an invalid roster entry", "key", e.Key, "error", err)
 			continue
 		}
 		r.known[id] = d
-		delete(r.lapsing, id)
+		delete(r.expiring, id)
 	}
 	if u.Full {
 		for id := range r.known {
@@ -197,8 +197,8 @@
 	r.publishLocked()
 }
 
-// decode reads a daemon's entry. One that lacks what callers and peers need would send them
-// nowhere.
+// decode decodes and validates a daemon's entry. An entry without valid addresses would direct
+// callers and peers to an unusable address.
 func decode(id string, value []byte) (Daemon, error) {
 	var d Daemon
 	if err := json.Unmarshal(value, &d); err != nil {
@@ -216,23 +216,23 @@
 	return d, nil
 }
 
-func (r *Roster) remove(id string, lapsing bool) {
-	if !lapsing {
+func (r *Roster) remove(id string, afterOutage bool) {
+	if !afterOutage {
 		delete(r.known, id)
 		return
 	}
-	if _, ok := r.lapsing[id]; !ok {
-		r.lapsing[id] = time.Now().Add(leaseTTL)
+	if _, ok := r.expiring[id]; !ok {
+		r.expiring[id] = time.Now().Add(leaseTTL)
 	}
 }
 
-func (r *Roster) forgetLapsed() {
+func (r *Roster) removeExpired() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	for id, until := range r.lapsing {
+	for id, until := range r.expiring {
 		if now.After(until) {
-			delete(r.lapsing, id)
+			delete(r.expiring, id)
 			delete(r.known, id)
 		}
 	}
@@ -248,12 +248,12 @@
 func (r *Roster) publishLocked() {
 	var live []Daemon
 	for id, d := range r.known {
-		if id != string(r.o.Self.ID) && !d.Leaving {
+		if id != string(r.opts.Self.ID) && !d.Leaving {
 			live = append(live, d)
 		}
 	}
 	if !r.leaving.Load() {
-		live = append(live, r.o.Self)
+		live = append(live, r.opts.Self)
 	}
 	slices.SortFunc(live, func(a, b Daemon) int { return cmp.Compare(a.ID, b.ID) })
 	if old := r.live.Load(); old == nil || !slices.Equal(*old, live) {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -27,9 +27,9 @@
 	return New(Options{KV: store, Follower: mirror.New(mirror.Options{KV: store}), Prefix: "d/", Self: Daemon{ID: request.DaemonID(id)}})
 }
 
-// All leases run out while the service is away, and it comes back empty. Callers that ask
-// the directory then must not be left with one address, or none.
-func TestLapsedEntriesAreKeptForAWhile(t *testing.T) {
+// All leases expire during an outage, and the service recovers without entries. Callers that query
+// the directory then must not get only one address, or none.
+func TestExpiredEntriesAreKeptAfterOutage(t *testing.T) {
 	r := newRoster(kv.NewFake(time.Now).Client("a"), "a")
 	r.apply(mirror.Update{Full: true, Entries: []platform.Entry{entry("b"), entry("c")}})
 	if got := ids(r); got != "abc" {
@@ -41,18 +41,18 @@
 	}
 	r.apply(mirror.Update{AfterOutage: true, Entries: []platform.Entry{entry("b")}})
 	r.mu.Lock()
-	for id := range r.lapsing {
-		r.lapsing[id] = time.Now().Add(-time.Second)
+	for id := range r.expiring {
+		r.expiring[id] = time.Now().Add(-time.Second)
 	}
 	r.mu.Unlock()
-	r.forgetLapsed()
+	r.removeExpired()
 	if got := ids(r); got != "ab" {
-		t.Errorf("after their time: %s", got)
+		t.Errorf("after the grace period: %s", got)
 	}
 }
 
-// A daemon that goes while the service answers is out at once.
-func TestDeadDaemonIsOutAtOnce(t *testing.T) {
+// A daemon whose entry is removed while the service is available is unlisted at once.
+func TestTerminatedDaemonIsUnlistedAtOnce(t *testing.T) {
 	r := newRoster(kv.NewFake(time.Now).Client("a"), "a")
 	r.apply(mirror.Update{Full: true, Entries: []platform.Entry{entry("b")}})
 	r.apply(mirror.Update{Entries: []platform.Entry{{Key: "d/b", Deleted: true, Revision: 2}}})
@@ -61,33 +61,33 @@
 	}
 }
 
-// A daemon starts anew on its VM while the entry of its last start has not run out. The
-// entry must be the new one's, and not go with the old lease.
+// A daemon restarts on its VM before the entry of its previous process has expired. The new
+// process must own the entry, which must not be removed with the old lease.
 func TestRestartedDaemonKeepsItsEntry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	fake := kv.NewFake(func() time.Time { return now })
 	store := fake.Client("a")
 	ctx := context.Background()
 	first := newRoster(store, "a")
-	if err := first.beat(ctx); err != nil {
+	if err := first.renew(ctx); err != nil {
 		t.Fatal(err)
 	}
 	now = now.Add(leaseTTL / 2)
 	second := newRoster(store, "a")
-	if err := second.beat(ctx); err != nil {
+	if err := second.renew(ctx); err != nil {
 		t.Fatal(err)
 	}
-	now = now.Add(leaseTTL * 3 / 4) // the first lease is over
+	now = now.Add(leaseTTL * 3 / 4) // the first lease has expired
 	fake.Expire()
-	if err := second.beat(ctx); err != nil {
+	if err := second.renew(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := store.Get(ctx, "d/a"); err != nil {
-		t.Errorf("the entry is gone: %v", err)
+		t.Errorf("reading the restarted daemon's entry: %v", err)
 	}
 }
 
-// A daemon that leaves names itself to nobody, and says so to the others.
+// A leaving daemon does not list itself, and other daemons do not list it either.
 func TestLeavingDaemonIsNotListed(t *testing.T) {
 	store := kv.NewFake(time.Now).Client("a")
 	r := newRoster(store, "a")
@@ -108,9 +108,9 @@
 	}
 }
 
-// Another writer puts something below the daemons' keys, or over a daemon's entry. Callers
-// would be sent to no address, or a daemon that serves would be taken for gone.
-func TestEntryThatNamesNoDaemonChangesNothing(t *testing.T) {
+// Another writer stores an invalid value below the daemons' prefix, or overwrites a daemon's entry.
+// Callers must not be directed to an invalid address, and a live daemon must not be unlisted.
+func TestInvalidEntryIsIgnored(t *testing.T) {
 	r := newRoster(kv.NewFake(time.Now).Client("a"), "a")
 	r.apply(mirror.Update{Full: true, Entries: []platform.Entry{entry("b")}})
 	for _, bad := range []string{
