--- a/internal/contextstore/client.go
+++ b/internal/contextstore/client.go
@@ -69,7 +69,7 @@
 	o.Logger = o.Logger.Named("contextstore")
 	c := &Client{opts: o, owners: map[string]Keeper{}, unreachableUntil: map[string]time.Time{}, fullReportedAt: map[string]time.Time{}, disownedAt: map[string]time.Time{}}
 	c.holders.Store(&map[string]lease.Holder{})
-	c.mirror = o.Follower.Mirror(lease.RecordPrefix+LeasePrefix, c.apply)
+	c.mirror = o.Follower.AddMirror(lease.RecordPrefix+LeasePrefix, c.apply)
 	return c
 }
 
--- a/internal/contextstore/ownedstore.go
+++ b/internal/contextstore/ownedstore.go
@@ -13,9 +13,9 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/bluebellscale/bluebellscale/internal/lease"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/policy/storecache"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 // Event is a change of a store's content.
@@ -103,11 +103,11 @@
 	for ctx.Err() == nil && s.serves(time.Now()) {
 		if err := s.follow(ctx); err != nil && ctx.Err() == nil {
 			s.log.Info("A context store did not answer", "store", s.id, "error", err)
-			_ = pause.For(ctx, retryInterval) // the loop checks ctx itself
+			_ = sleep.For(ctx, retryInterval) // the loop checks ctx itself
 			continue
 		}
 		s.inheritIfDue(ctx)
-		_ = pause.For(ctx, followInterval) // the loop checks ctx itself
+		_ = sleep.For(ctx, followInterval) // the loop checks ctx itself
 	}
 	s.log.Info("No longer owner of a context store", "store", s.id)
 }
@@ -217,7 +217,7 @@
 func (s *ownedStore) runMaintenance(ctx context.Context) {
 	loggedAt := time.Now()
 	for ctx.Err() == nil {
-		_ = pause.For(ctx, maintainInterval) // the loop checks ctx itself
+		_ = sleep.For(ctx, maintainInterval) // the loop checks ctx itself
 		s.free(ctx)
 		if time.Since(loggedAt) >= logInterval {
 			loggedAt = time.Now()
--- a/internal/contextstore/owner.go
+++ b/internal/contextstore/owner.go
@@ -19,11 +19,11 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/bluebellscale/bluebellscale/internal/lease"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 	"github.com/bluebellscale/bluebellscale/internal/policy/storecache"
 	"github.com/bluebellscale/bluebellscale/internal/request"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 const (
@@ -122,7 +122,7 @@
 		for _, store := range o.opts.Stores() {
 			o.acquireIfDue(ctx, store)
 		}
-		_ = pause.For(ctx, maintainInterval) // the loop checks ctx itself
+		_ = sleep.For(ctx, maintainInterval) // the loop checks ctx itself
 	}
 	return nil
 }
@@ -228,10 +228,10 @@
 		cache: storecache.New(time.Now(), storecache.Params{
 			CapacityTokens: store.Store.Tokens, FirstByte: store.Store.FirstByte,
 			TokensPerSec:         store.Store.LinkMbps * bitsPerMegabit / bitsPerByte / float64(tokenBytes),
-			PreviousLeaseExpired: l.Lapsed() != "" && l.Lapsed() != o.opts.Self,
+			PreviousLeaseExpired: l.ExpiredHolder() != "" && l.ExpiredHolder() != o.opts.Self,
 		}),
 	}
-	if l.Lapsed() == o.opts.Self {
+	if l.ExpiredHolder() == o.opts.Self {
 		owned.permitFrom = o.started.Add(freeTimeout)
 	}
 	o.mu.Lock()
--- a/internal/relay/accept.go
+++ b/internal/relay/accept.go
@@ -108,5 +108,5 @@
 
 // refusedByDrain reports whether the draining daemon refuses the request.
 func (s *Server) refusedByDrain(j *Job) bool {
-	return j.Route.Kind == routing.KindStream && s.draining.Load() && !s.streamCutoff.IsAhead(time.Now())
+	return j.Route.Kind == routing.KindStream && s.draining.Load() && !s.streamCutoff.After(time.Now())
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -11,10 +11,10 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/bluebellscale/bluebellscale/internal/metrics"
+	"github.com/bluebellscale/bluebellscale/internal/monotime"
 	"github.com/bluebellscale/bluebellscale/internal/policy/retry"
 	"github.com/bluebellscale/bluebellscale/internal/request"
 	"github.com/bluebellscale/bluebellscale/internal/routing"
-	"github.com/bluebellscale/bluebellscale/internal/steady"
 )
 
 const (
@@ -68,7 +68,7 @@
 type Server struct {
 	o            Options
 	draining     atomic.Bool
-	streamCutoff steady.Moment // while draining, the time from which new streams are refused
+	streamCutoff monotime.Instant // while draining, the time from which new streams are refused
 	inFlight     atomic.Int64
 
 	timeToFirst    map[routing.Kind]tally.Histogram // latency of the first event, or of the complete response
--- a/internal/pause/pause.go
+++ b/internal/sleep/sleep.go
@@ -1,12 +1,13 @@
-// Package pause waits for a time that a context may cut short.
-package pause
+// Package sleep provides a sleep that a context can interrupt.
+package sleep
 
 import (
 	"context"
 	"time"
 )
 
-// For waits for d, or until ctx ends and returns its error. A d of zero or less is no wait.
+// For sleeps for d. If ctx ends first, For returns its error. If d is not positive, For returns
+// ctx.Err() at once.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/weights/duty.go
+++ b/internal/weights/duty.go
@@ -15,12 +15,12 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/bluebellscale/bluebellscale/internal/lease"
-	"github.com/bluebellscale/bluebellscale/internal/pause"
+	"github.com/bluebellscale/bluebellscale/internal/monotime"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 	"github.com/bluebellscale/bluebellscale/internal/policy/rollout"
 	"github.com/bluebellscale/bluebellscale/internal/replicas"
 	"github.com/bluebellscale/bluebellscale/internal/request"
-	"github.com/bluebellscale/bluebellscale/internal/steady"
+	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
 const (
@@ -142,8 +142,8 @@
 	foreign map[request.TargetID]time.Time // until when the holder before may count as a replica's
 
 	leaving  atomic.Bool
-	left     chan struct{} // closed once the duty is given back
-	lastSent steady.Moment // when the last order was sent
+	left     chan struct{}    // closed once the duty is given back
+	lastSent monotime.Instant // when the last order was sent
 }
 
 // ordered is an order under way.
@@ -174,7 +174,7 @@
 		if d.step(ctx) {
 			next = stepEvery
 		}
-		_ = pause.For(ctx, next) // the loop asks the context itself
+		_ = sleep.For(ctx, next) // the loop asks the context itself
 	}
 	return nil
 }
@@ -194,7 +194,7 @@
 		return
 	}
 	if sent, any := d.lastSent.Time(); any {
-		_ = pause.For(ctx, time.Until(sent.Add(d.o.OrderLease))) // released in any case
+		_ = sleep.For(ctx, time.Until(sent.Add(d.o.OrderLease))) // released in any case
 	}
 	if err := d.lease.Release(ctx); err != nil {
 		d.o.Logger.Warn("The duty could not be given back; it lapses", "error", err)
@@ -315,7 +315,7 @@
 	for _, id := range p.Ordered {
 		d.foreign[id] = now.Add(d.o.OrderLease)
 	}
-	if l.Lapsed() == lease.UnknownHolder {
+	if l.ExpiredHolder() == lease.UnknownHolder {
 		// What its holder before wrote down may be lost: any replica may have its orders.
 		for _, r := range d.o.Set.All() {
 			d.foreign[r.Info().ID] = now.Add(d.o.OrderLease)
