--- a/internal/contextstore/asker.go
+++ b/internal/contextstore/asker.go
@@ -103,9 +103,9 @@
 	stores  []*routing.Service
 }
 
-// Ask implements placer.Stores.
-func (a *Asker) Ask(ctx context.Context, salt string, parts []relay.Part, resident []bool) ([]placer.Stored, int64) {
-	out := make([]placer.Stored, len(parts))
+// Claim implements placer.Stores.
+func (a *Asker) Claim(ctx context.Context, salt string, parts []relay.Part, resident []bool) ([]placer.StoredPart, int64) {
+	out := make([]placer.StoredPart, len(parts))
 	questions := a.questions(salt, parts, resident)
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -120,7 +120,7 @@
 	}
 	wg.Wait()
 	until := int64(0)
-	unused := make([]placer.Stored, len(parts))
+	unused := make([]placer.StoredPart, len(parts))
 	for i, q := range questions {
 		if answers[i] == nil || len(answers[i].Parts) != len(q.at) {
 			continue
@@ -136,7 +136,7 @@
 
 // merge notes what a keeper answered, part by part, and what is not used of it. A part may be
 // asked for at two stores; what can be fetched goes before what can be saved.
-func (a *Asker) merge(out, unused []placer.Stored, q *question, r *ClaimResponse) {
+func (a *Asker) merge(out, unused []placer.StoredPart, q *question, r *ClaimResponse) {
 	for i, answer := range r.Parts {
 		store := q.stores[i]
 		a.note(string(store.ID), answer)
@@ -144,11 +144,11 @@
 			continue
 		}
 		at := q.at[i]
-		got := placer.Stored{
+		got := placer.StoredPart{
 			Store: store.ID, Address: store.Store.Address, FailureDomain: store.Store.FailureDomain,
 			Fetch: answer.Fetch, Save: answer.Save && !answer.Fetch,
-			Takes: time.Duration(answer.TakesUs) * time.Microsecond,
-			Queue: time.Duration(answer.QueueUs) * time.Microsecond, Claim: answer.Claim,
+			FetchTime: time.Duration(answer.TakesUs) * time.Microsecond,
+			Queue:     time.Duration(answer.QueueUs) * time.Microsecond, Claim: answer.Claim,
 		}
 		if out[at].Fetch || out[at].Save && !got.Fetch {
 			unused[at] = got
@@ -237,24 +237,24 @@
 
 // alike reports whether two stores have the same speed and room.
 func alike(a, b *routing.Service) bool {
-	return a.Store.LinkMbps == b.Store.LinkMbps && a.Store.Tokens == b.Store.Tokens
+	return a.Store.LinkMbps == b.Store.LinkMbps && a.Store.CapacityTokens == b.Store.CapacityTokens
 }
 
 func better(a, b *routing.Service, p relay.Part) bool {
-	smallA := float64(p.Tokens) <= smallShare*float64(a.Store.Tokens)
-	smallB := float64(p.Tokens) <= smallShare*float64(b.Store.Tokens)
+	smallA := float64(p.Tokens) <= smallShare*float64(a.Store.CapacityTokens)
+	smallB := float64(p.Tokens) <= smallShare*float64(b.Store.CapacityTokens)
 	if smallA != smallB {
 		return smallA
 	}
 	if smallA && a.Store.LinkMbps != b.Store.LinkMbps {
 		return a.Store.LinkMbps > b.Store.LinkMbps
 	}
-	return a.Store.Tokens > b.Store.Tokens
+	return a.Store.CapacityTokens > b.Store.CapacityTokens
 }
 
-// Fetched implements placer.Stores. The keeper hears of it at once: told with the next question,
+// ReportFetch implements placer.Stores. The keeper hears of it at once: told with the next question,
 // it heard of a slow link two seconds late.
-func (a *Asker) Fetched(store routing.ServiceID, f storeroom.Fetched) {
+func (a *Asker) ReportFetch(store routing.ServiceID, f storeroom.Fetched) {
 	h, listens := a.holder(store)
 	if !listens {
 		return
@@ -300,7 +300,7 @@
 }
 
 // Release implements placer.Stores. Nothing waits for the keepers to hear of it.
-func (a *Asker) Release(salt string, parts []relay.Part, unused []placer.Stored) {
+func (a *Asker) Release(salt string, parts []relay.Part, unused []placer.StoredPart) {
 	requests := map[lease.Holder]*ReleaseRequest{}
 	for i, u := range unused {
 		if u.Claim == 0 {
--- a/internal/contextstore/contextstore_test.go
+++ b/internal/contextstore/contextstore_test.go
@@ -112,7 +112,7 @@
 
 func service(id string, tokens int, mbps float64) *routing.Service {
 	return &routing.Service{ID: routing.ServiceID(id), Store: &routing.ContextStore{
-		Address: id + ":1", Tokens: tokens, LinkMbps: mbps, Managed: true, FailureDomain: "d",
+		Address: id + ":1", CapacityTokens: tokens, LinkMbps: mbps, Managed: true, FailureDomain: "d",
 	}}
 }
 
@@ -162,7 +162,7 @@
 	t.Helper()
 	parts := []relay.Part{{ID: id, Tokens: 100}, {ID: "own", Tokens: 10}}
 	for deadline := time.Now().Add(8 * time.Second); ; {
-		got, _ := a.Ask(context.Background(), "w1", parts, []bool{false, false})
+		got, _ := a.Claim(context.Background(), "w1", parts, []bool{false, false})
 		if got[0].Fetch == fetch && got[0].Save == save {
 			return
 		}
@@ -182,7 +182,7 @@
 	askFor(t, a, "p", false, false) // it is being written
 	store.save("w1", "p", 100)
 	askFor(t, a, "p", true, false)
-	got, until := a.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}}, []bool{false})
+	got, until := a.Claim(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}}, []bool{false})
 	if got[0].Address != "s:1" || got[0].FailureDomain != "d" {
 		t.Errorf("got %+v", got[0])
 	}
@@ -208,7 +208,7 @@
 	store.save("w1", "q", 100)
 	fake.SetDown(true)
 	for began := time.Now(); time.Since(began) < 3*ttl; time.Sleep(20 * time.Millisecond) {
-		got, _ := a.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own", Tokens: 10}}, []bool{false, false})
+		got, _ := a.Claim(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own", Tokens: 10}}, []bool{false, false})
 		if !got[0].Fetch {
 			t.Fatalf("not fetched %s into the outage", time.Since(began))
 		}
@@ -237,7 +237,7 @@
 	store.mu.Unlock()
 	a.o.Own.Stalled(distrustAfter)
 	for range 50 {
-		if got, _ := a.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own"}}, []bool{false, false}); got[0].Fetch {
+		if got, _ := a.Claim(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own"}}, []bool{false, false}); got[0].Fetch {
 			t.Fatal("leave to fetch what is gone")
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -264,7 +264,7 @@
 	askFor(t, a, "old1", true, false)
 	for deadline := time.Now().Add(storeroom.ReadOnFor); ; time.Sleep(50 * time.Millisecond) {
 		// New weights: what is of the old ones may go.
-		_, _ = a.Ask(context.Background(), "w2", []relay.Part{{ID: "n", Tokens: 100}, {ID: "own"}}, []bool{false, false})
+		_, _ = a.Claim(context.Background(), "w2", []relay.Part{{ID: "n", Tokens: 100}, {ID: "own"}}, []bool{false, false})
 		store.mu.Lock()
 		freed := len(store.freed)
 		store.mu.Unlock()
@@ -314,7 +314,7 @@
 	a.holders.Store(&map[string]lease.Holder{"s": {ID: "b", Address: "127.0.0.1:1"}})
 	for range 20 {
 		began := time.Now()
-		got, _ := a.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 10}}, []bool{false})
+		got, _ := a.Claim(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 10}}, []bool{false})
 		if got[0].Fetch || time.Since(began) > 3*askTimeout {
 			t.Fatalf("%+v after %s", got[0], time.Since(began))
 		}
@@ -409,7 +409,7 @@
 	a := keep(t, newFakeStore(), service("shelf", 10_000, 1000))
 	parts := []relay.Part{{ID: "x", Tokens: 100}, {ID: "own", Tokens: 10}}
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		_, until := a.Ask(context.Background(), "w1", parts, []bool{false, false})
+		_, until := a.Claim(context.Background(), "w1", parts, []bool{false, false})
 		if until == 0 {
 			continue // nothing is known yet
 		}
@@ -468,9 +468,9 @@
 	writeRecord(t, fake, "shelf", record{Epoch: 1, Seen: now - 60_000, Readers: now + 8000})
 	a := keepUnder(t, fake, 10*time.Second, store, service("shelf", 1000, 1000))
 	parts := []relay.Part{{ID: "new", Tokens: 16}, {ID: "own", Tokens: 16}}
-	a.Ask(context.Background(), "w2", parts, []bool{false, false}) // all others are of old weights
+	a.Claim(context.Background(), "w2", parts, []bool{false, false}) // all others are of old weights
 	time.Sleep(storeroom.LeaveFor + time.Second)
-	a.Ask(context.Background(), "w2", parts, []bool{false, false})
+	a.Claim(context.Background(), "w2", parts, []bool{false, false})
 	if n := store.freedByNow(); n > 0 {
 		t.Errorf("%d parts were freed while a keeper may give leave for them", n)
 	}
@@ -535,7 +535,7 @@
 	a.mu.Unlock()
 	const tokens = 160
 	parts := []relay.Part{{ID: "p", Tokens: tokens}, {ID: "last", Tokens: 16}}
-	got, _ := a.Ask(context.Background(), "w1", parts, []bool{false, false})
+	got, _ := a.Claim(context.Background(), "w1", parts, []bool{false, false})
 	if !got[0].Save {
 		t.Fatalf("got %+v", got[0])
 	}
--- a/internal/contextstore/keeper.go
+++ b/internal/contextstore/keeper.go
@@ -223,9 +223,9 @@
 func (s *StoreKeeper) keep(ctx context.Context, store *routing.Service, l *lease.Lease, tokenBytes int) {
 	const bitsPerByte = 8
 	k := &kept{
-		id: store.ID, address: store.Store.Address, tokens: store.Store.Tokens, lease: l, heldAt: time.Now(), calls: s.o.Calls, log: s.o.Logger, metrics: s.o.Metrics, records: records{kv: s.o.KV}, reasons: map[storeroom.Reason]int{},
+		id: store.ID, address: store.Store.Address, tokens: store.Store.CapacityTokens, lease: l, heldAt: time.Now(), calls: s.o.Calls, log: s.o.Logger, metrics: s.o.Metrics, records: records{kv: s.o.KV}, reasons: map[storeroom.Reason]int{},
 		room: storeroom.New(time.Now(), storeroom.Params{
-			Tokens: store.Store.Tokens, FirstByte: store.Store.FirstByte,
+			Tokens: store.Store.CapacityTokens, FirstByte: store.Store.FirstByte,
 			TokensPerSec: store.Store.LinkMbps * bitsPerMegabit / bitsPerByte / float64(tokenBytes),
 			Lapsed:       l.Lapsed() != "" && l.Lapsed() != s.o.Self,
 		}),
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -54,19 +54,19 @@
 	Set    *replicas.Set
 	// Revisions returns the newest changes of the key-value service that are known here,
 	// and Heard is told those of a peer.
-	Revisions func() []uint64
-	Heard     func(peer string, revisions []uint64)
+	Revisions   func() []uint64
+	OnRevisions func(peer string, revisions []uint64)
 	// Watches reports whether the service tells this daemon itself of changes, and HeardWatcher is
 	// called at the word of a peer that it tells that one; nil: nobody watches, or is told.
-	Watches      func() bool
-	HeardWatcher func()
-	// HeardDeath is told of a replica that died while it ran a peer's request; nil: nobody.
-	HeardDeath func(quarantine.Sighting)
-	Logger     hclog.Logger
+	Watches   func() bool
+	OnWatcher func()
+	// OnDeath is told of a replica that died while it ran a peer's request; nil: nobody.
+	OnDeath func(quarantine.Sighting)
+	Logger  hclog.Logger
 }
 
-// Share is one daemon's part. It is safe for concurrent use.
-type Share struct {
+// Reporter is one daemon's part. It is safe for concurrent use.
+type Reporter struct {
 	o      Options
 	conn   *net.UDPConn
 	Engine *placer.Engine // learns what peers placed; set before Run
@@ -89,19 +89,19 @@
 }
 
 // New listens and returns a share.
-func New(o Options) (*Share, error) {
+func New(o Options) (*Reporter, error) {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
 	o.Logger = o.Logger.Named("loadshare")
-	if o.HeardDeath == nil {
-		o.HeardDeath = func(quarantine.Sighting) {}
+	if o.OnDeath == nil {
+		o.OnDeath = func(quarantine.Sighting) {}
 	}
 	if o.Watches == nil {
 		o.Watches = func() bool { return false }
 	}
-	if o.HeardWatcher == nil {
-		o.HeardWatcher = func() {}
+	if o.OnWatcher == nil {
+		o.OnWatcher = func() {}
 	}
 	address, err := net.ResolveUDPAddr("udp", o.Address)
 	if err != nil {
@@ -111,11 +111,11 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "loadshare: listen")
 	}
-	return &Share{o: o, conn: conn, told: map[request.DaemonID]map[uint64]bool{}}, nil
+	return &Reporter{o: o, conn: conn, told: map[request.DaemonID]map[uint64]bool{}}, nil
 }
 
-// Placed notes a prompt for the next datagram.
-func (s *Share) Placed(r *replicas.Replica, parts []placer.PlacedPart, other int) {
+// ReportPlaced notes a prompt for the next datagram.
+func (s *Reporter) ReportPlaced(r *replicas.Replica, parts []placer.PlacedPart, other int) {
 	p := &Placed{Replica: r.Hash(), Other: int32(other)}
 	for _, part := range parts {
 		p.Parts = append(p.Parts, uint64(part.Key))
@@ -126,8 +126,8 @@
 	s.placed = append(s.placed, p)
 }
 
-// Announce tells all daemons of a replica's state, within one tick.
-func (s *Share) Announce(a weights.State) {
+// AnnounceState tells all daemons of a replica's state, within one tick.
+func (s *Reporter) AnnounceState(a weights.State) {
 	r := s.o.Set.Get(a.Replica)
 	if r == nil {
 		return // it has left, and daemons learn that from the registry
@@ -141,20 +141,20 @@
 	s.mu.Unlock()
 }
 
-// Unreachable tells peers, within one tick, that no connection to a replica can be opened.
-func (s *Share) Unreachable(r *replicas.Replica) { tellOnce(s, &s.down, r.Hash()) }
+// ReportUnreachable tells peers, within one tick, that no connection to a replica can be opened.
+func (s *Reporter) ReportUnreachable(r *replicas.Replica) { tellOnce(s, &s.down, r.Hash()) }
 
-// Refusing tells peers, within one tick, that a replica would not run a request.
-func (s *Share) Refusing(r *replicas.Replica) { tellOnce(s, &s.refusing, r.Hash()) }
+// ReportRefusing tells peers, within one tick, that a replica would not run a request.
+func (s *Reporter) ReportRefusing(r *replicas.Replica) { tellOnce(s, &s.refusing, r.Hash()) }
 
-// Leaving tells peers, within one tick, that a replica said that it takes no new requests.
-func (s *Share) Leaving(r *replicas.Replica) { tellOnce(s, &s.leaving, r.Hash()) }
+// ReportLeaving tells peers, within one tick, that a replica said that it takes no new requests.
+func (s *Reporter) ReportLeaving(r *replicas.Replica) { tellOnce(s, &s.leaving, r.Hash()) }
 
-// Limited tells peers, within one tick, the rate limit that a replica named.
-func (s *Share) Limited(r *replicas.Replica) { tellOnce(s, &s.limits, r) }
+// ReportLimit tells peers, within one tick, the rate limit that a replica named.
+func (s *Reporter) ReportLimit(r *replicas.Replica) { tellOnce(s, &s.limits, r) }
 
 // tellOnce adds a value to some that are to be told, unless it is among them.
-func tellOnce[T comparable](s *Share, to *[]T, value T) {
+func tellOnce[T comparable](s *Reporter, to *[]T, value T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !slices.Contains(*to, value) {
@@ -162,8 +162,8 @@
 	}
 }
 
-// Died tells all daemons, within one tick, that a replica died while it ran a request.
-func (s *Share) Died(sighting quarantine.Sighting) {
+// ReportDeath tells all daemons, within one tick, that a replica died while it ran a request.
+func (s *Reporter) ReportDeath(sighting quarantine.Sighting) {
 	fingerprint, err := hex.DecodeString(string(sighting.Fingerprint))
 	if err != nil {
 		s.o.Logger.Error("A fingerprint can not be told", "fingerprint", sighting.Fingerprint, "error", err)
@@ -175,7 +175,7 @@
 }
 
 // Run tells peers until ctx ends.
-func (s *Share) Run(ctx context.Context) error {
+func (s *Reporter) Run(ctx context.Context) error {
 	go s.read(ctx)
 	defer s.conn.Close()
 	tick := time.NewTicker(tellEvery)
@@ -190,7 +190,7 @@
 	}
 }
 
-func (s *Share) tell(now time.Time) {
+func (s *Reporter) tell(now time.Time) {
 	r := s.next(now)
 	if r == nil {
 		return
@@ -211,7 +211,7 @@
 	}, others)
 }
 
-func (s *Share) send(r *Report, to []netip.AddrPort) {
+func (s *Reporter) send(r *Report, to []netip.AddrPort) {
 	raw, err := proto.Marshal(r)
 	if err != nil {
 		s.o.Logger.Error("A report can not be encoded", "error", err)
@@ -225,7 +225,7 @@
 }
 
 // next returns the next datagram, nil if there is nothing to tell.
-func (s *Share) next(now time.Time) *Report {
+func (s *Reporter) next(now time.Time) *Report {
 	work := s.work()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,7 +249,7 @@
 }
 
 // takeLimits returns the limits that one datagram tells, and leaves the others for the next.
-func (s *Share) takeLimits(now time.Time) []*Limit {
+func (s *Reporter) takeLimits(now time.Time) []*Limit {
 	n := min(len(s.limits), maxLimits)
 	out := make([]*Limit, n)
 	for i, r := range s.limits[:n] {
@@ -261,7 +261,7 @@
 }
 
 // tellWork adds to a report what changed in the work here, or all of it if that is due.
-func (s *Share) tellWork(now time.Time, r *Report, work map[uint64]*Work) {
+func (s *Reporter) tellWork(now time.Time, r *Report, work map[uint64]*Work) {
 	before := s.last
 	s.last = work
 	if now.Sub(s.allTold) >= repeatEvery && len(work) > 0 {
@@ -285,7 +285,7 @@
 }
 
 // work returns what this daemon has in flight, by replica.
-func (s *Share) work() map[uint64]*Work {
+func (s *Reporter) work() map[uint64]*Work {
 	out := map[uint64]*Work{}
 	for _, r := range s.o.Set.All() {
 		w := r.Load.Own()
@@ -293,7 +293,7 @@
 			continue
 		}
 		out[r.Hash()] = &Work{
-			Replica: r.Hash(), Requests: int32(w.Requests), Tokens: int32(w.Tokens), Prefill: int32(w.Prefill), Long: int32(w.Long),
+			Replica: r.Hash(), Requests: int32(w.Requests), Tokens: int32(w.Tokens), Prefill: int32(w.Prefill), Long: int32(w.LongTokens),
 		}
 	}
 	return out
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -15,7 +15,7 @@
 )
 
 type node struct {
-	*Share
+	*Reporter
 	set   *replicas.Set
 	heard chan []uint64
 	died  chan quarantine.Sighting
@@ -29,15 +29,15 @@
 	share, err := New(Options{
 		Self: id, Address: "127.0.0.1:0", Set: n.set,
 		Peers: func() []netip.AddrPort { return n.peers }, Others: func() []netip.AddrPort { return nil },
-		Revisions:  func() []uint64 { return []uint64{7} },
-		Heard:      func(_ string, r []uint64) { n.heard <- r },
-		HeardDeath: func(s quarantine.Sighting) { n.died <- s },
+		Revisions:   func() []uint64 { return []uint64{7} },
+		OnRevisions: func(_ string, r []uint64) { n.heard <- r },
+		OnDeath:     func(s quarantine.Sighting) { n.died <- s },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Share = share
-	share.Engine = &placer.Engine{Eligibility: placer.Eligibility{Set: n.set}, Mine: func(routing.ServiceID) []*replicas.Replica { return nil }}
+	n.Reporter = share
+	share.Engine = &placer.Engine{Eligibility: placer.Eligibility{Set: n.set}, Assigned: func(routing.ServiceID) []*replicas.Replica { return nil }}
 	return n
 }
 
@@ -68,32 +68,32 @@
 			}
 		}
 	}
-	flight := a.set.Get("r").Load.BeginLong(100, 60)
-	await("the work shows", func() bool { return seen() == replicas.Work{Requests: 1, Tokens: 100, Prefill: 60, Long: 100} })
+	flight := a.set.Get("r").Load.BeginLongOutput(100, 60)
+	await("the work shows", func() bool { return seen() == replicas.Work{Requests: 1, Tokens: 100, Prefill: 60, LongTokens: 100} })
 	flight.End()
 	await("its end shows", func() bool { return seen() == replicas.Work{} })
 
-	a.Announce(weights.State{Replica: "r", Busy: time.Minute, Model: "m", Weights: 3})
+	a.AnnounceState(weights.State{Replica: "r", Busy: time.Minute, Model: "m", Weights: 3})
 	await("the replica is busy", func() bool { return b.set.Get("r").Busy(time.Now()) && b.set.Get("r").Weights("m") == 3 })
-	a.Announce(weights.State{Replica: "r"})
+	a.AnnounceState(weights.State{Replica: "r"})
 	await("the replica takes requests", func() bool { return !b.set.Get("r").Busy(time.Now()) })
-	a.set.Get("r").HeardLimit(time.Now(), 2.5)
-	a.Limited(a.set.Get("r"))
+	a.set.Get("r").UpdateLimit(time.Now(), 2.5)
+	a.ReportLimit(a.set.Get("r"))
 	await("the limit", func() bool { limit, _ := b.set.Get("r").Limit(); return limit == 2.5 })
-	a.set.Get("r").HeardLimit(time.Now(), 0)
-	a.Limited(a.set.Get("r"))
+	a.set.Get("r").UpdateLimit(time.Now(), 0)
+	a.ReportLimit(a.set.Get("r"))
 	await("its end", func() bool { limit, _ := b.set.Get("r").Limit(); return limit == 0 })
-	a.Leaving(a.set.Get("r"))
+	a.ReportLeaving(a.set.Get("r"))
 	await("that the replica leaves", b.set.Get("r").Leaving)
-	a.Refusing(a.set.Get("r"))
+	a.ReportRefusing(a.set.Get("r"))
 	await("one that refused the peer gets none", func() bool { return b.set.Get("r").Busy(time.Now()) })
 	death := quarantine.Sighting{Fingerprint: quarantine.Of("org", []byte("body")), Target: "r", Incarnation: 1}
-	a.Died(death)
+	a.ReportDeath(death)
 	if got := <-b.died; got != death {
 		t.Errorf("heard of %+v", got)
 	}
-	a.Unreachable(a.set.Get("r")) // nobody listens at its address
-	await("the peer leaves it alone", func() bool { return b.set.Get("r").Health.Resting(time.Now()) })
+	a.ReportUnreachable(a.set.Get("r")) // nobody listens at its address
+	await("the peer leaves it alone", func() bool { return b.set.Get("r").Health.BackingOff(time.Now()) })
 	if r := <-b.heard; len(r) != 1 || r[0] != 7 {
 		t.Errorf("heard %v", r)
 	}
@@ -122,7 +122,7 @@
 		Work: []*Work{{Replica: old, Requests: 5}}, States: []*State{{Replica: old, BusyMs: 9000, Model: "m", Weights: 4}},
 	})
 	r, now := n.set.Get("r"), time.Now()
-	if r.Load.Total(now) != (replicas.Work{}) || r.Busy(now) || r.Health.Resting(now) || r.Weights("m") != 0 {
+	if r.Load.Total(now) != (replicas.Work{}) || r.Busy(now) || r.Health.BackingOff(now) || r.Weights("m") != 0 {
 		t.Errorf("believed of the new start: load %+v, busy %t, weights %d", r.Load.Total(now), r.Busy(now), r.Weights("m"))
 	}
 }
--- a/internal/loadshare/take.go
+++ b/internal/loadshare/take.go
@@ -16,7 +16,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-func (s *Share) read(ctx context.Context) {
+func (s *Reporter) read(ctx context.Context) {
 	buffer := make([]byte, readBuffer)
 	for {
 		n, _, err := s.conn.ReadFromUDP(buffer)
@@ -36,12 +36,12 @@
 }
 
 // take notes what a peer told.
-func (s *Share) take(ctx context.Context, now time.Time, r *Report) {
+func (s *Reporter) take(ctx context.Context, now time.Time, r *Report) {
 	if len(r.Revisions) > 0 {
-		s.o.Heard(r.Address, r.Revisions)
+		s.o.OnRevisions(r.Address, r.Revisions)
 	}
 	if r.Watches {
-		s.o.HeardWatcher()
+		s.o.OnWatcher()
 	}
 	byHash := s.o.Set.View().ByHash
 	if len(r.Work) > 0 {
@@ -56,26 +56,26 @@
 		for i := range p.Parts {
 			parts[i] = placer.PlacedPart{Key: residency.Key(p.Parts[i]), Tokens: int(p.Tokens[i])}
 		}
-		s.Engine.Learn(replica, parts, int(p.Other))
+		s.Engine.RecordPlacement(replica, parts, int(p.Other))
 	}
 	for _, d := range r.Deaths {
-		s.o.HeardDeath(quarantine.Sighting{
+		s.o.OnDeath(quarantine.Sighting{
 			Fingerprint: quarantine.Fingerprint(hex.EncodeToString(d.Fingerprint)), Target: request.TargetID(d.Replica), Incarnation: d.Started,
 		})
 	}
 	eachKnown(byHash, r.Unreachable, func(known *replicas.Replica) { known.Suspect(ctx) })
 	eachKnown(byHash, r.Refusing, func(known *replicas.Replica) { known.AvoidFor(now, refusedFor) })
-	eachKnown(byHash, r.Leaving, func(known *replicas.Replica) { known.HeardLeaving() })
+	eachKnown(byHash, r.Leaving, func(known *replicas.Replica) { known.MarkLeaving() })
 	for _, l := range r.Limits {
 		if replica := byHash[l.Replica]; replica != nil && l.PerSecond >= 0 {
-			replica.HeardLimit(now.Add(-time.Duration(l.AgeMs)*time.Millisecond), l.PerSecond)
+			replica.UpdateLimit(now.Add(-time.Duration(l.AgeMs)*time.Millisecond), l.PerSecond)
 		}
 	}
 	for _, state := range r.States {
 		if replica := byHash[state.Replica]; replica != nil {
 			replica.SetBusy(now.Add(time.Duration(state.BusyMs) * time.Millisecond))
 			if state.Weights > 0 {
-				replica.SawWeights(request.Model(state.Model), state.Weights)
+				replica.ObserveWeights(request.Model(state.Model), state.Weights)
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 // takeWork notes a peer's work. Where it tells all, a replica that it names no more has none of it.
-func (s *Share) takeWork(now time.Time, r *Report, byHash map[uint64]*replicas.Replica) {
+func (s *Reporter) takeWork(now time.Time, r *Report, byHash map[uint64]*replicas.Replica) {
 	peer := request.DaemonID(r.From)
 	s.mu.Lock()
 	told := s.told[peer]
@@ -107,8 +107,8 @@
 			continue
 		}
 		told[w.Replica] = true
-		replica.Load.Tell(now, peer, replicas.Work{
-			Requests: int(w.Requests), Tokens: int(w.Tokens), Prefill: int(w.Prefill), Long: int(w.Long),
+		replica.Load.SetPeer(now, peer, replicas.Work{
+			Requests: int(w.Requests), Tokens: int(w.Tokens), Prefill: int(w.Prefill), LongTokens: int(w.Long),
 		})
 	}
 	if r.ChangesOnly {
@@ -116,7 +116,7 @@
 	}
 	for h := range before {
 		if replica := byHash[h]; replica != nil && !told[h] {
-			replica.Load.Tell(now, peer, replicas.Work{})
+			replica.Load.SetPeer(now, peer, replicas.Work{})
 		}
 	}
 }
--- a/internal/placer/candidates.go
+++ b/internal/placer/candidates.go
@@ -16,7 +16,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
-func (e *Engine) candidates(j *relay.Job, usable []*replicas.Replica, salt string, stored []Stored) []pick.Candidate {
+func (e *Engine) candidates(j *relay.Job, usable []*replicas.Replica, salt string, stored []StoredPart) []pick.Candidate {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -37,7 +37,7 @@
 	return out
 }
 
-func (e *Engine) partsAt(j *relay.Job, r *replicas.Replica, salt string, sameSalt bool, stored []Stored) []pick.Part {
+func (e *Engine) partsAt(j *relay.Job, r *replicas.Replica, salt string, sameSalt bool, stored []StoredPart) []pick.Part {
 	info := r.Info()
 	m := e.models[r]
 	parts := make([]pick.Part, len(j.Parts))
@@ -48,7 +48,7 @@
 		}
 		parts[i].Resident = m != nil && m.Has(partKey(salt, p.ID))
 		if stored[i].Fetch {
-			parts[i].Link = stored[i].Takes - stored[i].Queue
+			parts[i].Link = stored[i].FetchTime - stored[i].Queue
 			if stored[i].FailureDomain != info.FailureDomain {
 				parts[i].Link *= crossFactor
 			}
@@ -61,10 +61,10 @@
 // forLong returns the replicas of a service that are set apart for long answers: the first
 // ones in an order that all daemons know.
 func (e *Engine) forLong(service *routing.Service, now time.Time) map[request.TargetID]bool {
-	all := slices.Clone(e.Mine(service.ID))
+	all := slices.Clone(e.Assigned(service.ID))
 	long := 0
 	for _, r := range all {
-		long += r.Load.Total(now).Long
+		long += r.Load.Total(now).LongTokens
 	}
 	n := pick.LongReplicas(len(all), long, service.Engine.MemoryTokens)
 	slices.SortFunc(all, func(a, b *replicas.Replica) int {
@@ -84,7 +84,7 @@
 	for _, r := range of {
 		version := r.Weights(m)
 		since, outdated := e.Outdated(m, version)
-		if version == 0 || outdated && e.OldFrom > 0 && time.Since(since) > e.OldFrom {
+		if version == 0 || outdated && e.OldWeightsUsableFor > 0 && time.Since(since) > e.OldWeightsUsableFor {
 			continue
 		}
 		fit = append(fit, r)
@@ -112,10 +112,10 @@
 // beginBy returns when an answer on a version of the weights must have begun.
 func (e *Engine) beginBy(m request.Model, version uint64) time.Time {
 	since, outdated := e.Outdated(m, version)
-	if !outdated || e.OldBegin <= 0 {
+	if !outdated || e.OldWeightsBeginWithin <= 0 {
 		return time.Time{}
 	}
-	return since.Add(e.OldBegin)
+	return since.Add(e.OldWeightsBeginWithin)
 }
 
 // cacheSalt keeps KV cache of other weights, and of organisations that share with nobody,
--- a/internal/placer/eligible.go
+++ b/internal/placer/eligible.go
@@ -31,7 +31,7 @@
 	if fit := e.among(now, j, mine, tried); len(fit) > 0 {
 		return fit
 	}
-	all := e.Set.Of(j.Service.ID)
+	all := e.Set.OfService(j.Service.ID)
 	if len(all) == len(mine) || e.anyAllowed(j, mine) {
 		return nil
 	}
@@ -43,7 +43,7 @@
 	for _, r := range of {
 		switch {
 		case slices.Contains(tried, r.Info().ID) || !e.allowed(j, r) || !e.mayNow(now, r):
-		case r.Health.Resting(now) || r.Busy(now) || e.Quotas.Unsure(now, r):
+		case r.Health.BackingOff(now) || r.Busy(now) || e.Quotas.Unconfirmed(now, r):
 			resting = append(resting, r)
 		default:
 			fit = append(fit, r)
--- a/internal/placer/eligible_test.go
+++ b/internal/placer/eligible_test.go
@@ -71,11 +71,11 @@
 // context, or is the last that is there, or was not tried for a request that failed elsewhere.
 func TestReplicaThatLeavesGetsNothing(t *testing.T) {
 	w := spread("eu-1", "eu-2")
-	w.set.Get("eu-1").SawLeaving()
+	w.set.Get("eu-1").ObserveLeaving()
 	w.set.Get("eu-2").SetBusy(time.Now().Add(time.Minute))
 	getsNothing(t, w, "eu-2")
 	plain := &Plain{Eligibility: w.engine.Eligibility, Domain: "a"}
-	w.set.Get("eu-2").SawLeaving()
+	w.set.Get("eu-2").ObserveLeaving()
 	if _, err := plain.Place(context.Background(), job("s"), nil); err == nil {
 		t.Error("the last replica gets a call while it leaves")
 	}
@@ -104,7 +104,7 @@
 // The group of a daemon has no replica left that may be used: those of other groups serve.
 func TestOtherGroupsServeWhereAllOfTheOwnAreEvacuated(t *testing.T) {
 	w := spread("eu-1", "eu-2")
-	w.engine.Mine = func(routing.ServiceID) []*replicas.Replica { return []*replicas.Replica{w.set.Get("eu-1")} }
+	w.engine.Assigned = func(routing.ServiceID) []*replicas.Replica { return []*replicas.Replica{w.set.Get("eu-1")} }
 	w.set.ApplyEvacuations(time.Now(), replicas.EvacuationChange{Begun: []string{"eu-1"}})
 	if got := where(t, w, job("s")); got != "eu-2" {
 		t.Errorf("went to %q", got)
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -53,42 +53,42 @@
 // named, and whether that is so.
 type Outdated func(m request.Model, version uint64) (since time.Time, outdated bool)
 
-// Stored is one part of a prompt that a context store can give or take.
-type Stored struct {
+// StoredPart is one part of a prompt that a context store can give or take.
+type StoredPart struct {
 	Store         routing.ServiceID
 	Address       string // of the store; empty: none
 	FailureDomain string
 	Fetch         bool          // the part may be fetched from there
 	Save          bool          // it should be saved there
-	Takes         time.Duration // to a replica in the store's failure domain, its queue included
+	FetchTime     time.Duration // to a replica in the store's failure domain, its queue included
 	Queue         time.Duration // of the store's link, before the fetch
 	Claim         int64         // names the transfer over the store's link; zero: none is counted
 }
 
 // Stores tells what the context stores can give of a prompt.
 type Stores interface {
-	// Ask returns an entry for each part, and until when fetches may run, on the
+	// Claim returns an entry for each part, and until when fetches may run, on the
 	// replicas' clock.
-	Ask(ctx context.Context, salt string, parts []relay.Part, expectResident []bool) (stored []Stored, until int64)
+	Claim(ctx context.Context, salt string, parts []relay.Part, expectResident []bool) (stored []StoredPart, until int64)
 	// Release says that some of what Ask allowed under a salt is not used. It does not wait.
-	Release(salt string, parts []relay.Part, unused []Stored)
-	// Fetched says how a fetch from a store went. It does not wait.
-	Fetched(store routing.ServiceID, f storeroom.Fetched)
+	Release(salt string, parts []relay.Part, unused []StoredPart)
+	// ReportFetch says how a fetch from a store went. It does not wait.
+	ReportFetch(store routing.ServiceID, f storeroom.Fetched)
 }
 
 // Engine places prompts on model replicas.
 type Engine struct {
 	Eligibility
-	// Mine returns the replicas of a service that this daemon uses.
-	Mine     func(routing.ServiceID) []*replicas.Replica
+	// Assigned returns the replicas of a service that this daemon uses.
+	Assigned func(routing.ServiceID) []*replicas.Replica
 	Domain   string // of this daemon
 	Outdated Outdated
 	Stores   Stores
-	Placed   func(replica *replicas.Replica, parts []PlacedPart, other int) // for peers; nil: nobody
-	// OldFrom is from when on replaced weights get no requests, and OldBegin until when
+	OnPlaced func(replica *replicas.Replica, parts []PlacedPart, other int) // for peers; nil: nobody
+	// OldWeightsUsableFor is from when on replaced weights get no requests, and OldBegin until when
 	// an answer on them must have begun; both count from their successor's naming. Zero:
 	// there is no bound.
-	OldFrom, OldBegin time.Duration
+	OldWeightsUsableFor, OldWeightsBeginWithin time.Duration
 
 	mu     sync.Mutex
 	memory int // tokens of one replica
@@ -104,7 +104,7 @@
 
 // Place implements relay.Placer.
 func (e *Engine) Place(ctx context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
-	usable := e.of(j, e.Mine(j.Service.ID), tried)
+	usable := e.of(j, e.Assigned(j.Service.ID), tried)
 	usable = e.onNamedWeights(usable, j.Model)
 	if len(usable) == 0 {
 		return nil, noReplica()
@@ -139,7 +139,7 @@
 
 // choose returns the cheapest replica that may get the request now, or why none may. Leave to send
 // to one with a bound may have been taken by another request meanwhile.
-func (e *Engine) choose(j *relay.Job, need pick.Request, usable []*replicas.Replica, salt string, stored []Stored) (*replicas.Replica, *pick.Candidate, error) {
+func (e *Engine) choose(j *relay.Job, need pick.Request, usable []*replicas.Replica, salt string, stored []StoredPart) (*replicas.Replica, *pick.Candidate, error) {
 	longest := e.longestWait(j)
 	for len(usable) > 0 {
 		candidates := e.candidates(j, usable, salt, stored)
@@ -158,7 +158,7 @@
 // ended returns what follows a try. One that did not run makes none of the transfers that it
 // was allowed; one that ended before its first token, as its replica crashed or its caller left,
 // is of no use to the link's estimate, and may have saved something.
-func (e *Engine) ended(stop func() (told bool), salt string, j *relay.Job, stored []Stored) func(ran bool) {
+func (e *Engine) ended(stop func() (told bool), salt string, j *relay.Job, stored []StoredPart) func(ran bool) {
 	return func(ran bool) {
 		told := stop()
 		switch {
@@ -171,8 +171,8 @@
 }
 
 // fetches returns those of some parts that are fetched.
-func fetches(stored []Stored) []Stored {
-	out := make([]Stored, len(stored))
+func fetches(stored []StoredPart) []StoredPart {
+	out := make([]StoredPart, len(stored))
 	for i, s := range stored {
 		if s.Fetch {
 			out[i] = s
@@ -182,7 +182,7 @@
 }
 
 // release gives back what the stores allowed under a salt.
-func (e *Engine) release(salt string, j *relay.Job, unused []Stored) {
+func (e *Engine) release(salt string, j *relay.Job, unused []StoredPart) {
 	if e.Stores != nil {
 		e.Stores.Release(salt, j.Parts, unused)
 	}
@@ -211,7 +211,7 @@
 
 func begin(r *replicas.Replica, need pick.Request, compute int) *replicas.Flight {
 	if need.Long {
-		return r.Load.BeginLong(need.Tokens, compute)
+		return r.Load.BeginLongOutput(need.Tokens, compute)
 	}
 	return r.Load.Begin(need.Tokens, compute)
 }
@@ -246,7 +246,7 @@
 // first token has come, and before that if it is overdue. What else a replica does before its
 // first token is taken off. One with much to do, or that fetches from elsewhere as well, is not
 // said to be overdue, since that may be the cause: a dead store holds it up for half a second.
-func (e *Engine) watchFetch(c *pick.Candidate, need pick.Request, sources []pick.Source, stored []Stored) (first func(), stop func() (told bool)) {
+func (e *Engine) watchFetch(c *pick.Candidate, need pick.Request, sources []pick.Source, stored []StoredPart) (first func(), stop func() (told bool)) {
 	from, told, all := mostFetched(c, sources, stored)
 	if from.Claim == 0 {
 		return func() {}, func() bool { return true }
@@ -257,7 +257,7 @@
 	began := time.Now()
 	tell := func(overdue bool) {
 		took := max(0, time.Since(began)-others)
-		e.Stores.Fetched(from.Store, storeroom.Fetched{Claim: from.Claim, Took: took, Overdue: overdue, Busy: busy})
+		e.Stores.ReportFetch(from.Store, storeroom.Fetched{Claim: from.Claim, Took: took, Overdue: overdue, Busy: busy})
 	}
 	timer := time.AfterFunc(others+told+fetchOverdue, func() {
 		if !busy {
@@ -278,7 +278,7 @@
 
 // mostFetched returns the part that is fetched last from the store that most is fetched from,
 // how long all parts from there take, and how long all fetches take.
-func mostFetched(c *pick.Candidate, sources []pick.Source, stored []Stored) (last Stored, from, all time.Duration) {
+func mostFetched(c *pick.Candidate, sources []pick.Source, stored []StoredPart) (last StoredPart, from, all time.Duration) {
 	takes := map[routing.ServiceID]time.Duration{}
 	for i, source := range sources {
 		if source != pick.Fetched {
@@ -305,8 +305,8 @@
 // comes over a link that nobody counted it on. A link that had turned slow was held full by the
 // beginnings that prompts share, which all replicas fetched anew while waiting prompts took their
 // memory; each prompt waited for as long as fetches may take, for seconds after the link was well.
-func unfetch(send *relay.Send, parts []pick.Part, sources []pick.Source, stored []Stored) []Stored {
-	unused := make([]Stored, len(parts))
+func unfetch(send *relay.Send, parts []pick.Part, sources []pick.Source, stored []StoredPart) []StoredPart {
+	unused := make([]StoredPart, len(parts))
 	computed := false
 	for i, source := range sources {
 		computed = computed || source == pick.Computed && parts[i].Fetch > 0
@@ -346,21 +346,21 @@
 	return b.String()
 }
 
-func (e *Engine) askStores(ctx context.Context, j *relay.Job, salt string, usable []*replicas.Replica) ([]Stored, int64) {
+func (e *Engine) askStores(ctx context.Context, j *relay.Job, salt string, usable []*replicas.Replica) ([]StoredPart, int64) {
 	if e.Stores == nil || len(j.Parts) == 0 {
-		return make([]Stored, len(j.Parts)), 0
+		return make([]StoredPart, len(j.Parts)), 0
 	}
-	stored, until := e.Stores.Ask(ctx, salt, j.Parts, e.residentSomewhere(j, salt, usable))
+	stored, until := e.Stores.Claim(ctx, salt, j.Parts, e.residentSomewhere(j, salt, usable))
 	e.release(salt, j, e.unsaveAbroad(j, stored))
 	return stored, until
 }
 
 // unsaveAbroad takes out of stored, and returns, the saves to stores outside a prompt's homes.
-func (e *Engine) unsaveAbroad(j *relay.Job, stored []Stored) []Stored {
-	unused := make([]Stored, len(stored))
+func (e *Engine) unsaveAbroad(j *relay.Job, stored []StoredPart) []StoredPart {
+	unused := make([]StoredPart, len(stored))
 	for i, s := range stored {
 		if s.Save && !e.isHome(j, s.FailureDomain) {
-			unused[i], stored[i] = s, Stored{}
+			unused[i], stored[i] = s, StoredPart{}
 		}
 	}
 	return unused
@@ -368,7 +368,7 @@
 
 // fill names where each part comes from and goes to. A source is named also for parts
 // thought to be there: the replica fetches only what it lacks.
-func (e *Engine) fill(send *relay.Send, j *relay.Job, stored []Stored, until int64, to *replicas.Replica) {
+func (e *Engine) fill(send *relay.Send, j *relay.Job, stored []StoredPart, until int64, to *replicas.Replica) {
 	send.FetchFrom = make([]string, len(j.Parts))
 	send.SaveTo = make([]string, len(j.Parts))
 	for i := range j.Parts {
--- a/internal/placer/memory.go
+++ b/internal/placer/memory.go
@@ -18,9 +18,9 @@
 		other -= p.Tokens
 	}
 	e.setMemory(j.Service.Engine.MemoryTokens)
-	e.Learn(r, parts, max(0, other))
-	if e.Placed != nil {
-		e.Placed(r, parts, max(0, other))
+	e.RecordPlacement(r, parts, max(0, other))
+	if e.OnPlaced != nil {
+		e.OnPlaced(r, parts, max(0, other))
 	}
 }
 
@@ -30,9 +30,9 @@
 	e.memory = tokens
 }
 
-// Learn notes what a replica's memory takes: parts, and other tokens that nobody asks
+// RecordPlacement notes what a replica's memory takes: parts, and other tokens that nobody asks
 // for again but that take room until they are dropped.
-func (e *Engine) Learn(r *replicas.Replica, parts []PlacedPart, other int) {
+func (e *Engine) RecordPlacement(r *replicas.Replica, parts []PlacedPart, other int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.memory == 0 {
@@ -54,8 +54,8 @@
 	}
 }
 
-// Forget drops the models of replicas that are gone or have started again.
-func (e *Engine) Forget() {
+// Prune drops the models of replicas that are gone or have started again.
+func (e *Engine) Prune() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for r := range e.models {
@@ -70,9 +70,9 @@
 func (e *Engine) holder(key residency.Key, j *relay.Job, to *replicas.Replica, version uint64) *replicas.Replica {
 	var found *replicas.Replica
 	now := time.Now()
-	for _, r := range e.Mine(j.Service.ID) {
+	for _, r := range e.Assigned(j.Service.ID) {
 		m := e.models[r]
-		if r == to || m == nil || !m.Has(key) || r.Weights(j.Model) != version || r.Health.Resting(now) {
+		if r == to || m == nil || !m.Has(key) || r.Weights(j.Model) != version || r.Health.BackingOff(now) {
 			continue
 		}
 		if r.Info().FailureDomain == to.Info().FailureDomain {
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -32,11 +32,11 @@
 	released []string
 }
 
-func (s *shelf) Ask(_ context.Context, salt string, parts []relay.Part, _ []bool) ([]Stored, int64) {
+func (s *shelf) Claim(_ context.Context, salt string, parts []relay.Part, _ []bool) ([]StoredPart, int64) {
 	s.asks++
-	out := make([]Stored, len(parts))
+	out := make([]StoredPart, len(parts))
 	for i, p := range parts {
-		out[i] = Stored{Store: "store", Address: "store:1", FailureDomain: "a", Takes: cmp.Or(s.takes, 10*time.Millisecond)}
+		out[i] = StoredPart{Store: "store", Address: "store:1", FailureDomain: "a", FetchTime: cmp.Or(s.takes, 10*time.Millisecond)}
 		out[i].Fetch = s.held[salt+"/"+p.ID]
 		out[i].Save = !out[i].Fetch && i < len(parts)-1
 		out[i].Claim = int64(i + 1)
@@ -44,7 +44,7 @@
 	return out, leave
 }
 
-func (s *shelf) Release(salt string, parts []relay.Part, unused []Stored) {
+func (s *shelf) Release(salt string, parts []relay.Part, unused []StoredPart) {
 	for i, u := range unused {
 		if u.Save || u.Fetch {
 			s.released = append(s.released, salt+"/"+parts[i].ID)
@@ -52,7 +52,7 @@
 	}
 }
 
-func (s *shelf) Fetched(routing.ServiceID, storeroom.Fetched) {}
+func (s *shelf) ReportFetch(routing.ServiceID, storeroom.Fetched) {}
 
 type world struct {
 	set    *replicas.Set
@@ -68,8 +68,8 @@
 		w.put(i, 1)
 	}
 	w.engine = &Engine{
-		Eligibility: Eligibility{Set: w.set}, Mine: w.set.Of, Domain: "a", Stores: w.shelf,
-		OldFrom: time.Second, OldBegin: 2 * time.Second,
+		Eligibility: Eligibility{Set: w.set}, Assigned: w.set.OfService, Domain: "a", Stores: w.shelf,
+		OldWeightsUsableFor: time.Second, OldWeightsBeginWithin: 2 * time.Second,
 		Outdated: func(_ request.Model, v uint64) (time.Time, bool) { return w.since, v < w.named },
 	}
 	return w
@@ -145,7 +145,7 @@
 	if parts, _, _ := strings.Cut(p.Reason, " "); strings.Contains(parts, "m") {
 		t.Errorf("parts are thought to be there: %s", p.Reason)
 	}
-	w.engine.Forget()
+	w.engine.Prune()
 	if n := len(w.engine.models); n > 2 {
 		t.Errorf("%d memories are remembered of two replicas", n)
 	}
@@ -315,7 +315,7 @@
 	fetched chan storeroom.Fetched
 }
 
-func (r *reporting) Fetched(_ routing.ServiceID, f storeroom.Fetched) { r.fetched <- f }
+func (r *reporting) ReportFetch(_ routing.ServiceID, f storeroom.Fetched) { r.fetched <- f }
 
 // A plain call goes to the least loaded replica, another one after a failure, and nowhere
 // if there is none.
--- a/internal/placer/plain.go
+++ b/internal/placer/plain.go
@@ -35,7 +35,7 @@
 // Place implements relay.Placer.
 func (p *Plain) Place(_ context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
 	for {
-		usable := p.of(j, p.Set.Of(j.Service.ID), tried)
+		usable := p.of(j, p.Set.OfService(j.Service.ID), tried)
 		if len(usable) == 0 {
 			return nil, noReplica()
 		}
--- a/internal/placer/quotas.go
+++ b/internal/placer/quotas.go
@@ -33,10 +33,10 @@
 	Self string // this daemon's name
 	// Users returns the names of the daemons that use a replica; empty: they are not known yet.
 	Users func(*replicas.Replica) []string
-	// Cold returns what one cold replica of a service bears, Limited what one does that named a
+	// ColdLimits returns what one cold replica of a service bears, Limited what one does that named a
 	// rate limit.
-	Cold    func(routing.ServiceID) quota.Limits
-	Limited func(perSecond float64) quota.Limits
+	ColdLimits func(routing.ServiceID) quota.Limits
+	RateLimits func(perSecond float64) quota.Limits
 
 	mu    sync.Mutex
 	paces map[*replicas.Replica]*quota.Pace
@@ -90,9 +90,9 @@
 	return true
 }
 
-// Unsure reports whether a bound holds for a replica while this daemon does not know the others yet,
+// Unconfirmed reports whether a bound holds for a replica while this daemon does not know the others yet,
 // so that it had better send elsewhere.
-func (q *Quotas) Unsure(now time.Time, r *replicas.Replica) bool {
+func (q *Quotas) Unconfirmed(now time.Time, r *replicas.Replica) bool {
 	return q != nil && len(q.bounds(now, r)) > 0 && len(q.Users(r)) == 0
 }
 
@@ -100,12 +100,12 @@
 func (q *Quotas) bounds(now time.Time, r *replicas.Replica) []bound {
 	var out []bound
 	if r.Cold(now) {
-		if cold := q.Cold(r.Info().Service); cold.Bounded() {
+		if cold := q.ColdLimits(r.Info().Service); cold.Bounded() {
 			out = append(out, bound{limits: cold})
 		}
 	}
 	if perSecond, at := r.Limit(); perSecond > 0 {
-		out = append(out, bound{limits: q.Limited(perSecond), stale: now.Sub(at) > q.holds(r)})
+		out = append(out, bound{limits: q.RateLimits(perSecond), stale: now.Sub(at) > q.holds(r)})
 	}
 	return out
 }
@@ -160,8 +160,8 @@
 	return p
 }
 
-// Forget drops what was sent too long ago to matter.
-func (q *Quotas) Forget(now time.Time) {
+// Prune drops what was sent too long ago to matter.
+func (q *Quotas) Prune(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for r, p := range q.paces {
--- a/internal/placer/quotas_test.go
+++ b/internal/placer/quotas_test.go
@@ -18,7 +18,7 @@
 	w.set.SetColdStarts(map[routing.ServiceID]time.Duration{"llm": time.Minute})
 	w.engine.Quotas = &Quotas{
 		Self: "d0", Users: func(*replicas.Replica) []string { return group },
-		Cold: func(routing.ServiceID) quota.Limits { return limits },
+		ColdLimits: func(routing.ServiceID) quota.Limits { return limits },
 	}
 }
 
@@ -30,7 +30,7 @@
 func withNamed(w *world, self string, group ...string) {
 	w.engine.Quotas = &Quotas{
 		Self: self, Users: func(*replicas.Replica) []string { return group },
-		Cold: func(routing.ServiceID) quota.Limits { return quota.Limits{} }, Limited: namedLimits,
+		ColdLimits: func(routing.ServiceID) quota.Limits { return quota.Limits{} }, RateLimits: namedLimits,
 	}
 }
 
@@ -43,7 +43,7 @@
 	for _, self := range group {
 		w := newWorld(2)
 		withNamed(w, self, group...)
-		w.set.Get("r0").HeardLimit(time.Now(), perSecond)
+		w.set.Get("r0").UpdateLimit(time.Now(), perSecond)
 		for i := range 20 {
 			switch where(t, w, job(fmt.Sprint("s", i))) {
 			case "r0":
@@ -65,8 +65,8 @@
 func TestLimitsOfAllReplicasAreKept(t *testing.T) {
 	w := newWorld(2)
 	withNamed(w, "d0", "d0")
-	w.set.Get("r0").HeardLimit(time.Now(), 1)
-	w.set.Get("r1").HeardLimit(time.Now(), 1)
+	w.set.Get("r0").UpdateLimit(time.Now(), 1)
+	w.set.Get("r1").UpdateLimit(time.Now(), 1)
 	served := 0
 	for range 20 {
 		if where(t, w, job("s")) != "" {
@@ -94,13 +94,13 @@
 	if w.engine.Quotas == nil {
 		t.Fatal("all daemons send")
 	}
-	r.HeardLimit(time.Now().Add(-limitHolds+time.Second), 0.5)
+	r.UpdateLimit(time.Now().Add(-limitHolds+time.Second), 0.5)
 	if got := where(t, w, job("s")); got != "" {
 		t.Error("it sends though others do")
 	}
-	w.set.Apply(time.Now(), replicas.Change{Gone: []request.TargetID{"r0"}})
+	w.set.Apply(time.Now(), replicas.Change{Removed: []request.TargetID{"r0"}})
 	w.put(0, 1)
-	w.set.Get("r0").HeardLimit(time.Now().Add(-2*limitHolds-time.Second), 0.5)
+	w.set.Get("r0").UpdateLimit(time.Now().Add(-2*limitHolds-time.Second), 0.5)
 	if got := where(t, w, job("s")); got != "r0" {
 		t.Error("it never finds out")
 	}
@@ -172,14 +172,14 @@
 	withNamed(w, "d0", "d0")
 	q, r, now := w.engine.Quotas, w.set.Get("r0"), time.Now()
 	q.Take(now, r)
-	r.HeardLimit(now, 0.1)
+	r.UpdateLimit(now, 0.1)
 	later := now.Add(8 * time.Second)
-	q.Forget(later)
+	q.Prune(later)
 	if q.Ready(later, r) {
 		t.Error("a second request after eight seconds")
 	}
-	r.HeardLimit(later, 0)
-	q.Forget(later)
+	r.UpdateLimit(later, 0)
+	q.Prune(later)
 	if len(q.paces) != 0 {
 		t.Error("what was sent is kept without a bound")
 	}
@@ -191,7 +191,7 @@
 	w := newWorld(1)
 	withNamed(w, "d0", "d0")
 	r := w.set.Get("r0")
-	r.HeardLimit(time.Now(), 0.2)
+	r.UpdateLimit(time.Now(), 0.2)
 	work := r.Load.Begin(10_000, 1_000_000)
 	if got := where(t, w, job("s")); got != "" {
 		t.Fatal("not refused")
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -36,7 +36,7 @@
 		return false
 	}
 	t.outcome = mayHave
-	t.placement.Replica.Health.Unreachable(time.Now())
+	t.placement.Replica.Health.RecordFailure(time.Now())
 	return false
 }
 
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -53,7 +53,7 @@
 	case j.Route.Objective > 0 && first > j.Route.Objective:
 		way, _, _ := strings.Cut(t.placement.Reason, " ")
 		return "first words, " + way
-	case k != nil && j.Route.MaxPause > 0 && k.pause > j.Route.MaxPause:
+	case k != nil && j.Route.MaxEventGap > 0 && k.pause > j.Route.MaxEventGap:
 		return "a pause"
 	}
 	return ""
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -151,7 +151,7 @@
 	w.t.Helper()
 	w.replica(func(net.Conn, string) {})
 	id := w.placer.replicas[len(w.placer.replicas)-1].Info().ID
-	w.set.Apply(time.Now(), replicas.Change{Gone: []request.TargetID{id}})
+	w.set.Apply(time.Now(), replicas.Change{Removed: []request.TargetID{id}})
 	w.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{ID: id, Service: "s", Address: "127.0.0.1:1"}}})
 	w.placer.replicas[len(w.placer.replicas)-1] = w.set.Get(id)
 }
@@ -579,7 +579,7 @@
 		t.Errorf("%q, %v", body, err)
 	}
 	for _, r := range w.placer.replicas[:maxUnsent-1] {
-		if !r.Health.Resting(time.Now()) {
+		if !r.Health.BackingOff(time.Now()) {
 			t.Errorf("%s gets requests", r.Info().ID)
 		}
 	}
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -18,7 +18,7 @@
 	if t.answer.Invalid != nil {
 		s.o.Logger.Warn("A header of a replica can not be read", "replica", r.Info().ID, "error", t.answer.Invalid)
 	}
-	if t.answer.Leaving && r.SawLeaving() {
+	if t.answer.Leaving && r.ObserveLeaving() {
 		s.o.Logger.Info("A replica says that it leaves", "replica", r.Info().ID)
 	}
 	if t.answer.RetryAfter > 0 {
@@ -34,7 +34,7 @@
 // noteLimit notes how many requests a second a replica takes, zero for as many as come.
 func (s *Server) noteLimit(r *replicas.Replica, perSecond float64) {
 	before, _ := r.Limit()
-	if !r.SawLimit(time.Now(), perSecond) {
+	if !r.ObserveLimit(time.Now(), perSecond) {
 		return
 	}
 	switch {
--- a/internal/relay/signals_test.go
+++ b/internal/relay/signals_test.go
@@ -39,7 +39,7 @@
 			w := newWorld(t, route(routing.KindOnce))
 			w.replica(c.handle)
 			r := w.placer.replicas[0]
-			r.HeardLimit(time.Now(), known)
+			r.UpdateLimit(time.Now(), known)
 			if _, _, err := w.call(http.MethodPost, "/x", nil); err != nil {
 				t.Log(err) // of answers that break off
 			}
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -44,7 +44,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), deathTimeout)
 		defer cancel()
 		time.Sleep(deathDelay)
-		if !r.Dead(ctx) {
+		if !r.IsDown(ctx) {
 			return
 		}
 		// A replica may start again under its id: each of its starts dies once.
--- a/internal/relay/try.go
+++ b/internal/relay/try.go
@@ -95,7 +95,7 @@
 	p.Send.Org = j.OrgID()
 	p.Send.TimeLeft = time.Until(j.Deadline)
 	t.giveUpUnbegun()
-	p.Replica.Health.Try()
+	p.Replica.Health.BeginAttempt()
 	t.response, t.err = p.Replica.Pool.Do(ctx, &upstream.Request{
 		Method: j.Method, URI: j.URI, Host: j.Host, Body: j.Body,
 		Header: s.o.Dialect.Outgoing(j.Header, p.Send),
@@ -122,19 +122,19 @@
 func (s *Server) unanswered(ctx context.Context, p *Placement, err error) outcome {
 	switch {
 	case errors.Is(err, upstream.ErrNotSent) && ctx.Err() != nil:
-		p.Replica.Health.Abandoned()
+		p.Replica.Health.RecordAbandoned()
 		return notSent
 	case errors.Is(err, upstream.ErrUnreachable):
-		p.Replica.Unreachable(time.Now())
+		p.Replica.RecordUnreachable(time.Now())
 		return notSent
 	case errors.Is(err, upstream.ErrNotSent):
-		p.Replica.Health.Unreachable(time.Now())
+		p.Replica.Health.RecordFailure(time.Now())
 		return notSent
 	case ctx.Err() != nil:
-		p.Replica.Health.Abandoned()
+		p.Replica.Health.RecordAbandoned()
 		return callerEnd
 	default:
-		p.Replica.Health.Unreachable(time.Now())
+		p.Replica.Health.RecordFailure(time.Now())
 		return mayHave
 	}
 }
@@ -182,21 +182,21 @@
 func (s *Server) note(j *Job, t *try) {
 	r := t.placement.Replica
 	if j.Model != "" && t.answer.Weights > 0 {
-		r.SawWeights(j.Model, t.answer.Weights)
+		r.ObserveWeights(j.Model, t.answer.Weights)
 	}
 	switch t.outcome {
 	case answered:
-		r.Answered(time.Now(), false)
+		r.RecordAnswer(time.Now(), false)
 	case notRun:
-		r.Answered(time.Now(), false)
+		r.RecordAnswer(time.Now(), false)
 		if j.Model != "" {
-			r.Refused(time.Now())
+			r.RecordRefusal(time.Now())
 		}
 	case failed:
-		r.Answered(time.Now(), true)
+		r.RecordAnswer(time.Now(), true)
 	case mayHave:
-		r.Health.Unreachable(time.Now())
+		r.Health.RecordFailure(time.Now())
 	case callerEnd:
-		r.Health.Abandoned()
+		r.Health.RecordAbandoned()
 	}
 }
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -116,7 +116,7 @@
 
 // Priority returns the rank of the request, 0 is the most urgent.
 func (j *Job) Priority() int {
-	if j.Org != nil && j.Org.Ranked {
+	if j.Org != nil && j.Org.HasPriority {
 		return j.Org.Priority
 	}
 	return j.Route.Priority
--- a/internal/replicas/cold_test.go
+++ b/internal/replicas/cold_test.go
@@ -24,13 +24,13 @@
 // later, smaller word does not shorten it: the replica may have started again in between.
 func TestColdAsTheRegistryTells(t *testing.T) {
 	i := info("a")
-	i.Cold = 2 * time.Second
+	i.ColdRemaining = 2 * time.Second
 	s := coldSet(i)
 	r, now := s.Get("a"), time.Now()
 	if !r.Cold(now.Add(1900*time.Millisecond)) || r.Cold(now.Add(2100*time.Millisecond)) {
 		t.Error("not cold for as long as it told")
 	}
-	i.Cold = 0
+	i.ColdRemaining = 0
 	s.Apply(now, Change{Present: []Info{i}})
 	if !r.Cold(now.Add(1900 * time.Millisecond)) {
 		t.Error("warm by a later word")
@@ -42,7 +42,7 @@
 	i := info("a")
 	i.Started = 7
 	s := coldSet(i)
-	if s.SawStart(s.Get("a"), 8) {
+	if s.ObserveStart(s.Get("a"), 8) {
 		t.Fatal("taken for the same start")
 	}
 	if !s.Get("a").Cold(time.Now()) {
@@ -62,7 +62,7 @@
 	found.Address, suspected.Address = l.Addr().String(), l.Addr().String()
 	s := coldSet(found, suspected)
 	now := time.Now()
-	s.Get("found").Health.Down(now)
+	s.Get("found").Health.RecordDown(now)
 	s.Get("found").probe(context.Background())
 	s.Get("suspected").Health.Suspect()
 	s.Get("suspected").probe(context.Background())
@@ -122,7 +122,7 @@
 func TestLostEvacuationGoesOnForAWhile(t *testing.T) {
 	s, now := coldSet(inDomain("a", "x")), time.Now()
 	s.ApplyEvacuations(now, EvacuationChange{Begun: []string{"x"}})
-	s.ApplyEvacuations(now, EvacuationChange{Full: true, Lapsing: true})
+	s.ApplyEvacuations(now, EvacuationChange{Full: true, MayBeLost: true})
 	s.Tick(now.Add(evacuationGrace - time.Millisecond))
 	if !s.Evacuated("x") {
 		t.Fatal("it has ended")
@@ -132,7 +132,7 @@
 	if !s.Evacuated("x") {
 		t.Fatal("written again, it has ended")
 	}
-	s.ApplyEvacuations(now, EvacuationChange{Full: true, Lapsing: true})
+	s.ApplyEvacuations(now, EvacuationChange{Full: true, MayBeLost: true})
 	s.Tick(now.Add(2 * evacuationGrace))
 	if s.Evacuated("x") {
 		t.Error("it never ends")
--- a/internal/replicas/evacuated.go
+++ b/internal/replicas/evacuated.go
@@ -14,8 +14,8 @@
 	Begun []string
 	Ended []string // taken back by an operator
 	Full  bool     // Begun are all there are
-	// Lapsing is set if a missing evacuation may have been lost and not taken back.
-	Lapsing bool
+	// MayBeLost is set if a missing evacuation may have been lost and not taken back.
+	MayBeLost bool
 }
 
 // ApplyEvacuations takes an update, and returns which failure domains are evacuated now and were
@@ -38,7 +38,7 @@
 	}
 	if c.Full {
 		for domain := range next {
-			s.missEvacuation(now, next, present, domain, c.Lapsing)
+			s.missEvacuation(now, next, present, domain, c.MayBeLost)
 		}
 	}
 	return begun, s.setEvacuated(now, next)
--- a/internal/replicas/health.go
+++ b/internal/replicas/health.go
@@ -32,16 +32,16 @@
 	probing bool // a probe is under way
 }
 
-// Answered notes an answer of the replica; failed says that it was an error of its own.
-func (h *Health) Answered(failed bool) {
+// RecordAnswer notes an answer of the replica; failed says that it was an error of its own.
+func (h *Health) RecordAnswer(failed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.row, h.trial, h.until, h.down, h.found = 0, false, time.Time{}, false, false
 	h.note(failed)
 }
 
-// Unreachable notes that the replica could not be reached, or broke off.
-func (h *Health) Unreachable(now time.Time) {
+// RecordFailure notes that the replica could not be reached, or broke off.
+func (h *Health) RecordFailure(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.row++
@@ -52,10 +52,10 @@
 	}
 }
 
-// Down notes that the replica accepts no connection, and reports whether that is news. It
+// RecordDown notes that the replica accepts no connection, and reports whether that is news. It
 // gets no requests until a probe got a connection: else each daemon would find out with a
 // caller's request again and again that a replica is still dark.
-func (h *Health) Down(now time.Time) bool {
+func (h *Health) RecordDown(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.note(true)
@@ -91,16 +91,16 @@
 	return true
 }
 
-// FoundDown reports whether this daemon itself found that the replica accepts no connection, and
+// ConfirmedDown reports whether this daemon itself found that the replica accepts no connection, and
 // has got none since.
-func (h *Health) FoundDown() bool {
+func (h *Health) ConfirmedDown() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.found
 }
 
-// Probed notes the outcome of a probe.
-func (h *Health) Probed(now time.Time, connected bool) {
+// RecordProbe notes the outcome of a probe.
+func (h *Health) RecordProbe(now time.Time, connected bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.probing = false
@@ -119,8 +119,8 @@
 	h.until = now.Add(min(rest, maxRest))
 }
 
-// Abandoned says that a request was given up before the replica showed anything.
-func (h *Health) Abandoned() {
+// RecordAbandoned says that a request was given up before the replica showed anything.
+func (h *Health) RecordAbandoned() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.trial = false
@@ -135,9 +135,9 @@
 	h.rate += max(failureWeight, 1/float64(h.samples)) * (value - h.rate)
 }
 
-// Resting reports whether the replica is left alone now. After its rest one request at a
+// BackingOff reports whether the replica is left alone now. After its rest one request at a
 // time tries it until one is answered; one that accepted no connection is probed first.
-func (h *Health) Resting(now time.Time) bool {
+func (h *Health) BackingOff(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.down {
@@ -149,8 +149,8 @@
 	return now.Before(h.until) || h.trial
 }
 
-// Try says that a request is about to be sent.
-func (h *Health) Try() {
+// BeginAttempt says that a request is about to be sent.
+func (h *Health) BeginAttempt() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.trial = h.row >= restAfter
--- a/internal/replicas/leaving.go
+++ b/internal/replicas/leaving.go
@@ -17,17 +17,17 @@
 	at      time.Time
 }
 
-// SawLeaving notes that an answer of the replica says that it takes no new requests, and has peers
+// ObserveLeaving notes that an answer of the replica says that it takes no new requests, and has peers
 // told. It reports whether that is news.
-func (r *Replica) SawLeaving() (changed bool) {
-	changed = r.HeardLeaving()
+func (r *Replica) ObserveLeaving() (changed bool) {
+	changed = r.MarkLeaving()
 	r.on.leaving(r)
 	return changed
 }
 
-// HeardLeaving notes that the replica takes no new requests, and reports whether that is news.
+// MarkLeaving notes that the replica takes no new requests, and reports whether that is news.
 // No start of a replica takes it back.
-func (r *Replica) HeardLeaving() (changed bool) { return !r.leaving.Swap(true) }
+func (r *Replica) MarkLeaving() (changed bool) { return !r.leaving.Swap(true) }
 
 // Leaving reports whether the replica takes no new requests: by its own answers, or by the registry.
 func (r *Replica) Leaving() bool { return r.leaving.Load() || r.Info().Leaving }
--- a/internal/replicas/leaving_test.go
+++ b/internal/replicas/leaving_test.go
@@ -17,14 +17,14 @@
 	if s.Get("a").Leaving() {
 		t.Fatal("leaves from the start")
 	}
-	if !s.Get("a").SawLeaving() || s.Get("a").SawLeaving() {
+	if !s.Get("a").ObserveLeaving() || s.Get("a").ObserveLeaving() {
 		t.Error("not news once")
 	}
 	s.Apply(now, Change{Present: []Info{i}})
 	if !s.Get("a").Leaving() {
 		t.Error("ready since the registry says so")
 	}
-	s.Apply(now, Change{Gone: []request.TargetID{"a"}})
+	s.Apply(now, Change{Removed: []request.TargetID{"a"}})
 	s.Tick(now.Add(leftKept - time.Second))
 	s.Apply(now, Change{Present: []Info{i}})
 	if !s.Get("a").Leaving() {
@@ -41,8 +41,8 @@
 func TestReplicasThatLeftAreForgotten(t *testing.T) {
 	s, now := NewSet(), time.Now()
 	s.Apply(now, Change{Present: []Info{info("a")}})
-	s.Get("a").SawLeaving()
-	s.Apply(now, Change{Gone: []request.TargetID{"a"}})
+	s.Get("a").ObserveLeaving()
+	s.Apply(now, Change{Removed: []request.TargetID{"a"}})
 	s.Tick(now.Add(leftKept + time.Second))
 	if len(s.left) != 0 {
 		t.Error("still remembered")
--- a/internal/replicas/limit.go
+++ b/internal/replicas/limit.go
@@ -17,19 +17,19 @@
 	named     time.Time // when a limit was named last
 }
 
-// SawLimit notes how many requests a second an answer of the replica says that it takes from all
+// ObserveLimit notes how many requests a second an answer of the replica says that it takes from all
 // daemons together, zero for as many as come, and has peers told. It reports whether that is news.
-func (r *Replica) SawLimit(now time.Time, perSecond float64) (changed bool) {
-	changed = r.HeardLimit(now, perSecond)
+func (r *Replica) ObserveLimit(now time.Time, perSecond float64) (changed bool) {
+	changed = r.UpdateLimit(now, perSecond)
 	if now.Sub(r.limit.lastNamed()) < limitEndTold {
 		r.on.limit(r)
 	}
 	return changed
 }
 
-// HeardLimit notes a rate limit that was told at a time, here or to a peer. It reports whether
+// UpdateLimit notes a rate limit that was told at a time, here or to a peer. It reports whether
 // that is news; what is older than what is known is not.
-func (r *Replica) HeardLimit(at time.Time, perSecond float64) (changed bool) {
+func (r *Replica) UpdateLimit(at time.Time, perSecond float64) (changed bool) {
 	l := &r.limit
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/replicas/limit_test.go
+++ b/internal/replicas/limit_test.go
@@ -10,22 +10,22 @@
 	s := NewSet()
 	s.Apply(time.Now(), Change{Present: []Info{info("a")}})
 	r, now := s.Get("a"), time.Now()
-	if r.HeardLimit(now, 0) {
+	if r.UpdateLimit(now, 0) {
 		t.Error("a replica that never named a limit has ended one")
 	}
-	if !r.HeardLimit(now.Add(2*time.Second), 4.5) {
+	if !r.UpdateLimit(now.Add(2*time.Second), 4.5) {
 		t.Error("a limit is no news")
 	}
-	if r.HeardLimit(now.Add(time.Second), 0) {
+	if r.UpdateLimit(now.Add(time.Second), 0) {
 		t.Error("an older limit is taken for news")
 	}
 	if got, at := r.Limit(); got != 4.5 || !at.Equal(now.Add(2*time.Second)) {
 		t.Errorf("limit %v, said at %v", got, at)
 	}
-	if r.HeardLimit(now.Add(3*time.Second), 4.5) {
+	if r.UpdateLimit(now.Add(3*time.Second), 4.5) {
 		t.Error("the same limit is news again")
 	}
-	if !r.HeardLimit(now.Add(4*time.Second), 0) {
+	if !r.UpdateLimit(now.Add(4*time.Second), 0) {
 		t.Error("its end is no news")
 	}
 }
@@ -45,7 +45,7 @@
 		{0, 0, 0}, {time.Second, 3, 1}, {2 * time.Second, 3, 2}, {3 * time.Second, 0, 3}, {3500 * time.Millisecond, 0, 4}, {5 * time.Second, 0, 4},
 	}
 	for _, step := range steps {
-		r.SawLimit(now.Add(step.at), step.perSecond)
+		r.ObserveLimit(now.Add(step.at), step.perSecond)
 		if told != step.told {
 			t.Errorf("after %s told %d times, want %d", step.at, told, step.told)
 		}
--- a/internal/replicas/load.go
+++ b/internal/replicas/load.go
@@ -13,17 +13,17 @@
 
 // Work is what a set of requests asks of a replica.
 type Work struct {
-	Requests int
-	Tokens   int // KV cache that they hold or will hold
-	Prefill  int // prompt tokens that are still to be computed
-	Long     int // of Tokens, those of requests with long answers
+	Requests   int
+	Tokens     int // KV cache that they hold or will hold
+	Prefill    int // prompt tokens that are still to be computed
+	LongTokens int // of Tokens, those of requests with long answers
 }
 
 func (w *Work) add(o Work) {
 	w.Requests += o.Requests
 	w.Tokens += o.Tokens
 	w.Prefill += o.Prefill
-	w.Long += o.Long
+	w.LongTokens += o.LongTokens
 }
 
 type peerWork struct {
@@ -60,8 +60,8 @@
 	return total
 }
 
-// Tell notes what a peer has in flight.
-func (l *Load) Tell(now time.Time, peer request.DaemonID, w Work) {
+// SetPeer notes what a peer has in flight.
+func (l *Load) SetPeer(now time.Time, peer request.DaemonID, w Work) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.peers == nil {
@@ -82,9 +82,9 @@
 	return l.begin(Work{Requests: 1, Tokens: tokens, Prefill: prefill})
 }
 
-// BeginLong is Begin for a request with a long answer.
-func (l *Load) BeginLong(tokens, prefill int) *Flight {
-	return l.begin(Work{Requests: 1, Tokens: tokens, Prefill: prefill, Long: tokens})
+// BeginLongOutput is Begin for a request with a long answer.
+func (l *Load) BeginLongOutput(tokens, prefill int) *Flight {
+	return l.begin(Work{Requests: 1, Tokens: tokens, Prefill: prefill, LongTokens: tokens})
 }
 
 func (l *Load) begin(w Work) *Flight {
@@ -113,5 +113,5 @@
 func (l *Load) take(w Work) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.own.add(Work{Requests: -w.Requests, Tokens: -w.Tokens, Prefill: -w.Prefill, Long: -w.Long})
+	l.own.add(Work{Requests: -w.Requests, Tokens: -w.Tokens, Prefill: -w.Prefill, LongTokens: -w.LongTokens})
 }
--- a/internal/replicas/reach.go
+++ b/internal/replicas/reach.go
@@ -11,11 +11,11 @@
 // Busy reports whether the replica takes no requests now.
 func (r *Replica) Busy(now time.Time) bool { return r.busy.IsAhead(now) }
 
-// Refused notes that the replica would not run a model's request: it is full, or carries out
+// RecordRefusal notes that the replica would not run a model's request: it is full, or carries out
 // an order and waits for what runs to end, which takes seconds. It looks idle meanwhile. Left
 // to itself each daemon sent it one request after the other, and callers were refused when
 // two replicas had.
-func (r *Replica) Refused(now time.Time) {
+func (r *Replica) RecordRefusal(now time.Time) {
 	r.AvoidFor(now, refusedFor)
 	r.on.refused(r)
 }
@@ -37,9 +37,9 @@
 	return max(0, until.Sub(now))
 }
 
-// Unreachable notes that no connection to the replica could be opened, and tells peers.
-func (r *Replica) Unreachable(now time.Time) {
-	if r.Health.Down(now) {
+// RecordUnreachable notes that no connection to the replica could be opened, and tells peers.
+func (r *Replica) RecordUnreachable(now time.Time) {
+	if r.Health.RecordDown(now) {
 		r.on.down(r)
 	}
 }
@@ -52,9 +52,9 @@
 	}
 }
 
-// Dead reports whether the replica accepts no connection just after one to it broke. The
+// IsDown reports whether the replica accepts no connection just after one to it broke. The
 // many requests that it ran ask at once; one connection answers all of them.
-func (r *Replica) Dead(ctx context.Context) bool {
+func (r *Replica) IsDown(ctx context.Context) bool {
 	r.lookMu.Lock()
 	defer r.lookMu.Unlock()
 	now := time.Now()
@@ -63,17 +63,17 @@
 	}
 	r.dead, r.lookedAt = r.Pool.Probe(ctx) != nil, now
 	if r.dead {
-		r.Unreachable(now)
+		r.RecordUnreachable(now)
 	}
 	return r.dead
 }
 
-// Answered notes an answer of the replica; failed says that it was an error of its own.
-func (r *Replica) Answered(now time.Time, failed bool) {
-	if r.Health.FoundDown() {
+// RecordAnswer notes an answer of the replica; failed says that it was an error of its own.
+func (r *Replica) RecordAnswer(now time.Time, failed bool) {
+	if r.Health.ConfirmedDown() {
 		r.AssumeCold(now)
 	}
-	r.Health.Answered(failed)
+	r.Health.RecordAnswer(failed)
 }
 
 // probe finds out whether the replica accepts a connection. One that accepted none before has
@@ -81,14 +81,14 @@
 func (r *Replica) probe(ctx context.Context) {
 	err := r.Pool.Probe(ctx)
 	now := time.Now()
-	if err == nil && r.Health.FoundDown() {
+	if err == nil && r.Health.ConfirmedDown() {
 		r.AssumeCold(now)
 	}
-	r.Health.Probed(now, err == nil)
+	r.Health.RecordProbe(now, err == nil)
 }
 
-// Probe looks after replicas that accepted no connection: those whose rest is over.
-func (s *Set) Probe(ctx context.Context, now time.Time) {
+// ProbeDown looks after replicas that accepted no connection: those whose rest is over.
+func (s *Set) ProbeDown(ctx context.Context, now time.Time) {
 	for _, r := range s.All() {
 		if r.Health.ProbeDue(now) {
 			go r.probe(ctx)
--- a/internal/replicas/replicas.go
+++ b/internal/replicas/replicas.go
@@ -51,8 +51,8 @@
 	// Started is when the replica's process started, as its own clock told, in Unix
 	// milliseconds; zero: it does not tell. It names the start and orders nothing: the
 	// clock may have been set back between two of them.
-	Started int64
-	Cold    time.Duration // how much longer it bears few requests only, as it told
+	Started       int64
+	ColdRemaining time.Duration // how much longer it bears few requests only, as it told
 }
 
 // Replica is one start of a replica. A replica that starts again under its id is another
@@ -92,8 +92,8 @@
 	return listed
 }
 
-// SawWeights notes the version that an answer named. Versions only grow.
-func (r *Replica) SawWeights(m request.Model, version uint64) {
+// ObserveWeights notes the version that an answer named. Versions only grow.
+func (r *Replica) ObserveWeights(m request.Model, version uint64) {
 	if version > r.Weights(m) {
 		r.weights.Store(m, version)
 	}
@@ -155,9 +155,9 @@
 // must be set before the first Apply.
 func (s *Set) OnRefused(f func(*Replica)) { s.on.refused = f }
 
-// Of returns the replicas of a service that take requests, ordered by id. The slice
+// OfService returns the replicas of a service that take requests, ordered by id. The slice
 // must not be changed.
-func (s *Set) Of(service routing.ServiceID) []*Replica { return s.View().ByService[service] }
+func (s *Set) OfService(service routing.ServiceID) []*Replica { return s.View().ByService[service] }
 
 // View returns all replicas that take requests now.
 func (s *Set) View() *View { return s.view.Load() }
@@ -193,14 +193,14 @@
 // Change is an update of the registry.
 type Change struct {
 	Present []Info
-	Gone    []request.TargetID
+	Removed []request.TargetID
 	// Unreadable are entries that name no replica to use. They are neither the removal nor
 	// a change of a replica that is known: another writer may have made them.
 	Unreadable []request.TargetID
 	Full       bool // Present and Unreadable are all there are
-	// Lapsing is set if a missing entry may have lapsed in an outage with its replica
+	// MayHaveExpired is set if a missing entry may have lapsed in an outage with its replica
 	// alive: the replica is used a while longer.
-	Lapsing bool
+	MayHaveExpired bool
 }
 
 // Apply takes an update.
@@ -218,13 +218,13 @@
 		present[info.ID] = true
 		s.put(now, info)
 	}
-	for _, id := range c.Gone {
-		s.remove(now, id, c.Lapsing)
+	for _, id := range c.Removed {
+		s.remove(now, id, c.MayHaveExpired)
 	}
 	if c.Full {
 		for id := range s.byID {
 			if !present[id] {
-				s.remove(now, id, c.Lapsing)
+				s.remove(now, id, c.MayHaveExpired)
 			}
 		}
 	}
@@ -246,8 +246,8 @@
 		info.Started = r.Info().Started
 		r.info.Store(&info)
 	}
-	if info.Cold > 0 {
-		s.byID[info.ID].cold.Extend(now.Add(info.Cold))
+	if info.ColdRemaining > 0 {
+		s.byID[info.ID].cold.Extend(now.Add(info.ColdRemaining))
 	}
 }
 
@@ -282,9 +282,9 @@
 	r.Pool.Close()
 }
 
-// SawStart notes which start of a replica answered, and reports whether it is the one that
+// ObserveStart notes which start of a replica answered, and reports whether it is the one that
 // was asked. A replica may say that it started again before the registry does.
-func (s *Set) SawStart(r *Replica, started int64) bool {
+func (s *Set) ObserveStart(r *Replica, started int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	info := *r.Info()
@@ -294,7 +294,7 @@
 	if s.byID[info.ID] != r || slices.Contains(r.earlier, started) {
 		return false
 	}
-	info.Started, info.Cold = started, 0 // what the registry told was of the start before
+	info.Started, info.ColdRemaining = started, 0 // what the registry told was of the start before
 	s.restart(r, info)
 	s.byID[info.ID].AssumeCold(time.Now())
 	s.publish()
--- a/internal/replicas/replicas_test.go
+++ b/internal/replicas/replicas_test.go
@@ -14,7 +14,7 @@
 	return Info{ID: request.TargetID(id), Service: "s", Address: "127.0.0.1:1", Weights: map[request.Model]uint64{"m": 1}}
 }
 
-func count(s *Set) int { return len(s.Of("s")) }
+func count(s *Set) int { return len(s.OfService("s")) }
 
 // A replica's entry lapses while the key-value service is away, with the replica alive and
 // answering. Dropping it would take all replicas away at once.
@@ -22,11 +22,11 @@
 	s := NewSet()
 	now := time.Unix(1000, 0)
 	s.Apply(now, Change{Full: true, Present: []Info{info("a"), info("b")}})
-	s.Apply(now, Change{Full: true, Lapsing: true})
+	s.Apply(now, Change{Full: true, MayHaveExpired: true})
 	if count(s) != 2 {
 		t.Fatal("lapsed replicas are gone")
 	}
-	s.Apply(now, Change{Present: []Info{info("b")}, Lapsing: true}) // it wrote its entry again
+	s.Apply(now, Change{Present: []Info{info("b")}, MayHaveExpired: true}) // it wrote its entry again
 	s.Tick(now.Add(lapseGrace + time.Millisecond))
 	if count(s) != 1 || s.Get("b") == nil {
 		t.Error("want the one that came back")
@@ -43,7 +43,7 @@
 	if count(s) != 0 || s.Get("a") == nil {
 		t.Error("a leaving replica is used, or forgotten")
 	}
-	s.Apply(time.Unix(0, 0), Change{Gone: []request.TargetID{"a"}})
+	s.Apply(time.Unix(0, 0), Change{Removed: []request.TargetID{"a"}})
 	if s.Get("a") != nil {
 		t.Error("a gone replica is known")
 	}
@@ -55,9 +55,9 @@
 	s := NewSet()
 	s.Apply(time.Unix(0, 0), Change{Present: []Info{info("a")}})
 	r := s.Get("a")
-	r.SawWeights("m", 3)
+	r.ObserveWeights("m", 3)
 	s.Apply(time.Unix(0, 0), Change{Present: []Info{info("a")}}) // still says 1
-	r.SawWeights("m", 2)
+	r.ObserveWeights("m", 2)
 	if got := r.Weights("m"); got != 3 {
 		t.Errorf("version %d", got)
 	}
@@ -67,7 +67,7 @@
 	var l Load
 	now := time.Unix(1000, 0)
 	f := l.Begin(100, 60)
-	l.Tell(now, "peer", Work{Requests: 2, Tokens: 50, Prefill: 10})
+	l.SetPeer(now, "peer", Work{Requests: 2, Tokens: 50, Prefill: 10})
 	if got := l.Total(now); got != (Work{Requests: 3, Tokens: 150, Prefill: 70}) {
 		t.Errorf("total %+v", got)
 	}
@@ -88,28 +88,28 @@
 func TestUnreachableReplicaRests(t *testing.T) {
 	var h Health
 	now := time.Unix(1000, 0)
-	h.Unreachable(now)
-	if h.Resting(now) {
+	h.RecordFailure(now)
+	if h.BackingOff(now) {
 		t.Error("rests after one failure, which may be a closed connection")
 	}
-	h.Unreachable(now)
-	if !h.Resting(now) {
+	h.RecordFailure(now)
+	if !h.BackingOff(now) {
 		t.Error("is used after two failures")
 	}
 	now = now.Add(firstRest)
-	if h.Resting(now) {
+	if h.BackingOff(now) {
 		t.Fatal("is never tried again")
 	}
-	h.Try()
-	if !h.Resting(now) {
+	h.BeginAttempt()
+	if !h.BackingOff(now) {
 		t.Error("is tried by two at once")
 	}
-	h.Abandoned()
-	if h.Resting(now) {
+	h.RecordAbandoned()
+	if h.BackingOff(now) {
 		t.Error("an abandoned trial keeps it resting for ever")
 	}
-	h.Answered(false)
-	if h.Resting(now) {
+	h.RecordAnswer(false)
+	if h.BackingOff(now) {
 		t.Error("rests after an answer")
 	}
 }
@@ -118,18 +118,18 @@
 // failure of a new one is not taken for a rate.
 func TestErrorRateFollowsTheAnswers(t *testing.T) {
 	var h Health
-	h.Answered(true)
+	h.RecordAnswer(true)
 	if got := h.ErrorRate(); got > 0.3 {
 		t.Errorf("rate %g after one answer", got)
 	}
 	for i := range 30 {
-		h.Answered(i%2 == 0)
+		h.RecordAnswer(i%2 == 0)
 	}
 	if got := h.ErrorRate(); got < 0.3 || got > 0.7 {
 		t.Errorf("rate %g of half failures", got)
 	}
 	for range 40 {
-		h.Answered(false)
+		h.RecordAnswer(false)
 	}
 	if got := h.ErrorRate(); got > 0.05 {
 		t.Errorf("rate %g long after the failures", got)
@@ -142,25 +142,25 @@
 func TestDarkReplicaGetsProbesAndNoRequests(t *testing.T) {
 	var h Health
 	now := time.Unix(1000, 0)
-	if !h.Down(now) || h.Down(now) {
+	if !h.RecordDown(now) || h.RecordDown(now) {
 		t.Error("the first word is news, the second is not")
 	}
 	for range 5 {
 		now = now.Add(maxRest)
-		if !h.Resting(now) {
+		if !h.BackingOff(now) {
 			t.Fatal("it gets requests")
 		}
 		if !h.ProbeDue(now) || h.ProbeDue(now) {
 			t.Fatal("want one probe after the rest")
 		}
-		h.Probed(now, false)
+		h.RecordProbe(now, false)
 		if h.ProbeDue(now) {
 			t.Fatal("probed without a rest")
 		}
 	}
 	now = now.Add(maxRest)
-	h.Probed(now, true)
-	if h.Resting(now) {
+	h.RecordProbe(now, true)
+	if h.BackingOff(now) {
 		t.Error("it accepts connections, and gets no requests")
 	}
 }
@@ -179,11 +179,11 @@
 	s.Apply(time.Now(), Change{Present: []Info{alive, info("dead")}})
 	for _, r := range s.All() {
 		r.Suspect(context.Background())
-		if !r.Health.Resting(time.Now()) {
+		if !r.Health.BackingOff(time.Now()) {
 			t.Errorf("%s is used before it was probed", r.Info().ID)
 		}
 	}
-	for deadline := time.Now().Add(5 * time.Second); s.Get("alive").Health.Resting(time.Now()); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); s.Get("alive").Health.BackingOff(time.Now()); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("the one that answers is not used again")
 		}
@@ -193,7 +193,7 @@
 			t.Fatal("the dead one is not probed again")
 		}
 	}
-	if !s.Get("dead").Health.Resting(time.Now()) {
+	if !s.Get("dead").Health.BackingOff(time.Now()) {
 		t.Error("the dead one is used")
 	}
 }
@@ -208,12 +208,12 @@
 	s.OnRefused(func(r *Replica) { told = append(told, r.Info().ID) })
 	s.Apply(time.Unix(0, 0), Change{Present: []Info{info("a")}})
 	r, now := s.Get("a"), time.Unix(1000, 0)
-	r.Refused(now)
+	r.RecordRefusal(now)
 	if len(told) != 1 || !r.Busy(now) || r.Busy(now.Add(refusedFor)) {
 		t.Errorf("told %v, busy %t, after its time %t", told, r.Busy(now), r.Busy(now.Add(refusedFor)))
 	}
 	r.SetBusy(now.Add(time.Minute))
-	r.Refused(now)
+	r.RecordRefusal(now)
 	if !r.Busy(now.Add(30 * time.Second)) {
 		t.Error("a refusal cut short what was known to last longer")
 	}
@@ -236,16 +236,16 @@
 	s, now := NewSet(), time.Unix(1000, 0)
 	s.Apply(now, Change{Full: true, Present: []Info{started("a", 500)}})
 	before := s.Get("a")
-	before.SawWeights("m", 7)
+	before.ObserveWeights("m", 7)
 	before.SetBusy(now.Add(time.Minute))
 	flight := before.Load.Begin(100, 50)
-	before.Health.Down(now)
+	before.Health.RecordDown(now)
 	s.Apply(now, Change{Present: []Info{started("a", 400)}}) // its clock was set back
 	after := s.Get("a")
 	if after == before || after.Hash() == before.Hash() || s.View().ByHash[before.Hash()] != nil {
 		t.Fatal("the new start goes by the old one")
 	}
-	if after.Weights("m") != 1 || after.Busy(now) || after.Load.Total(now).Requests != 0 || after.Health.Resting(now) {
+	if after.Weights("m") != 1 || after.Busy(now) || after.Load.Total(now).Requests != 0 || after.Health.BackingOff(now) {
 		t.Errorf("believed of the new start: weights %d, busy %t, load %+v", after.Weights("m"), after.Busy(now), after.Load.Total(now))
 	}
 	flight.End()
@@ -264,7 +264,7 @@
 	newest := s.Get("a")
 	for _, late := range []int64{500, 300} {
 		s.Apply(now, Change{Full: true, Present: []Info{started("a", late)}})
-		if s.SawStart(newest, late) || s.Get("a") != newest || newest.Info().Started != 900 {
+		if s.ObserveStart(newest, late) || s.Get("a") != newest || newest.Info().Started != 900 {
 			t.Fatalf("start %d is back", late)
 		}
 	}
@@ -275,15 +275,15 @@
 	s, now := NewSet(), time.Unix(1000, 0)
 	s.Apply(now, Change{Present: []Info{started("a", 500)}})
 	before := s.Get("a")
-	if !s.SawStart(before, 500) || !s.SawStart(before, 0) || s.Get("a") != before {
+	if !s.ObserveStart(before, 500) || !s.ObserveStart(before, 0) || s.Get("a") != before {
 		t.Fatal("the same start, or none told, is taken for another")
 	}
-	if s.SawStart(before, 600) || s.Get("a") == before {
+	if s.ObserveStart(before, 600) || s.Get("a") == before {
 		t.Fatal("the new start is taken for the old one")
 	}
 	after := s.Get("a")
 	s.Apply(now, Change{Present: []Info{started("a", 600)}})
-	if s.Get("a") != after || len(s.Of("s")) != 1 {
+	if s.Get("a") != after || len(s.OfService("s")) != 1 {
 		t.Error("its entry makes it a third one")
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -47,7 +47,7 @@
 	Resumable   bool          // a stream may be continued at another replica
 	Timeout     time.Duration // the longest time a caller is kept waiting
 	Objective   time.Duration // until the answer, or the first event of a stream
-	MaxPause    time.Duration // between two events of a stream that is on time; zero: not told
+	MaxEventGap time.Duration // between two events of a stream that is on time; zero: not told
 	Priority    int           // 0 is the most urgent
 	MaxAttempts int           // replicas to which one request may be sent
 	Anonymous   bool          // no key is asked for
@@ -87,18 +87,18 @@
 	TokenBytes    int     // KV cache of one token
 	LinkMbps      float64 // of a replica
 	Models        []request.Model
-	FollowersMax  int  // event followers that a replica bears at once
+	MaxFollowers  int  // event followers that a replica bears at once
 	ManagedStores bool // stores are freed by us, and each part may name its own
 }
 
 // ContextStore describes a store of KV cache.
 type ContextStore struct {
-	Address       string
-	FailureDomain string
-	Tokens        int     // room
-	LinkMbps      float64 // shared by all transfers
-	FirstByte     time.Duration
-	Managed       bool // nothing is dropped unless we free it
+	Address        string
+	FailureDomain  string
+	CapacityTokens int     // room
+	LinkMbps       float64 // shared by all transfers
+	FirstByte      time.Duration
+	Managed        bool // nothing is dropped unless we free it
 }
 
 // Service is a set of replicas, or one store.
@@ -113,17 +113,17 @@
 
 // ColdStart describes replicas that have just started. The zero ColdStart: they are as good as any.
 type ColdStart struct {
-	Lasts     time.Duration // from the start
+	Duration  time.Duration // from the start
 	PerSecond float64       // requests that one bears meanwhile, over all daemons; zero: as many as any
 }
 
 // Org is an organisation.
 type Org struct {
-	ID       request.OrgID
-	Priority int      // goes before a route's, if HasPriority
-	Ranked   bool     // Priority is set
-	Isolated bool     // shares no KV cache with others
-	Homes    []Region // where its requests may go; empty: anywhere
+	ID          request.OrgID
+	Priority    int      // goes before a route's, if HasPriority
+	HasPriority bool     // Priority is set
+	Isolated    bool     // shares no KV cache with others
+	Homes       []Region // where its requests may go; empty: anywhere
 }
 
 // AllowedIn reports whether requests of a route and an organisation, nil if there is none, may go
--- a/internal/weights/orders.go
+++ b/internal/weights/orders.go
@@ -146,7 +146,7 @@
 		wanted = append(wanted, rollout.Wanted{Target: id, Model: b.model, Version: versionOf(b.version)})
 		work := b.replica.Load.Total(now)
 		o := rollout.Observed{
-			Target: id, ReadAt: now, Reachable: !b.replica.Health.Resting(now),
+			Target: id, ReadAt: now, Reachable: !b.replica.Health.BackingOff(now),
 			Work: work.Requests, Computing: work.Prefill, OrderAfter: d.foreign[id],
 		}
 		o.State.Version = versionOf(b.replica.Weights(b.model))
@@ -214,7 +214,7 @@
 		}
 		out[id] = r.report
 		if r.report.Weights[r.b.model] >= r.b.version {
-			r.b.replica.SawWeights(r.b.model, r.report.Weights[r.b.model])
+			r.b.replica.ObserveWeights(r.b.model, r.report.Weights[r.b.model])
 		} else {
 			d.keepBusy(r.b)
 		}
@@ -226,7 +226,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	report, err := d.o.Calls.Report(ctx, r)
-	if err == nil && !d.o.Set.SawStart(r, report.Started) {
+	if err == nil && !d.o.Set.ObserveStart(r, report.Started) {
 		return Report{}, errStartedAgain
 	}
 	return report, err
