--- a/internal/placer/candidates.go
+++ b/internal/placer/candidates.go
@@ -21,7 +21,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := make([]pick.Candidate, len(usable))
-	forLong := e.forLong(j.Service, now)
+	longOutput := e.longOutputReplicas(j.Service, now)
 	for i, r := range usable {
 		info := r.Info()
 		load := r.Load.Total(now)
@@ -30,7 +30,7 @@
 			Running: load.Requests, Slots: j.Service.Engine.Slots,
 			Tokens: load.Tokens, Memory: j.Service.Engine.MemoryTokens, Prefill: load.Prefill,
 			SameDomain: info.FailureDomain == e.Domain, ErrorRate: r.Health.ErrorRate(),
-			OldWeights: e.oldness(j.Model, version), ForLong: forLong[info.ID],
+			OldWeights: e.weightsPenalty(j.Model, version), ForLong: longOutput[info.ID],
 			Parts: e.partsAt(j, r, salt, cacheSalt(version, j.Org) == salt, stored),
 		}
 	}
@@ -50,7 +50,7 @@
 		if stored[i].Fetch {
 			parts[i].Link = stored[i].FetchTime - stored[i].Queue
 			if stored[i].FailureDomain != info.FailureDomain {
-				parts[i].Link *= crossFactor
+				parts[i].Link *= crossDomainFactor
 			}
 			parts[i].Fetch = stored[i].Queue + parts[i].Link
 		}
@@ -58,9 +58,9 @@
 	return parts
 }
 
-// forLong returns the replicas of a service that are set apart for long answers: the first
-// ones in an order that all daemons know.
-func (e *Engine) forLong(service *routing.Service, now time.Time) map[request.TargetID]bool {
+// longOutputReplicas returns the replicas of a service that are reserved for requests with long
+// outputs: the first ones in an order that is the same on all daemons.
+func (e *Engine) longOutputReplicas(service *routing.Service, now time.Time) map[request.TargetID]bool {
 	all := slices.Clone(e.Assigned(service.ID))
 	long := 0
 	for _, r := range all {
@@ -77,11 +77,11 @@
 	return out
 }
 
-// onNamedWeights leaves out replicas on weights that were replaced too long ago. Callers
-// are then told to come back rather than answered on them.
-func (e *Engine) onNamedWeights(of []*replicas.Replica, m request.Model) []*replicas.Replica {
+// onUsableWeights filters out replicas whose weights were replaced too long ago. Without another
+// replica the caller is told to retry rather than answered on outdated weights.
+func (e *Engine) onUsableWeights(from []*replicas.Replica, m request.Model) []*replicas.Replica {
 	var fit []*replicas.Replica
-	for _, r := range of {
+	for _, r := range from {
 		version := r.Weights(m)
 		since, outdated := e.Outdated(m, version)
 		if version == 0 || outdated && e.OldWeightsUsableFor > 0 && time.Since(since) > e.OldWeightsUsableFor {
@@ -92,24 +92,24 @@
 	return fit
 }
 
-// best returns the newest version that any replica serves.
-func best(of []*replicas.Replica, m request.Model) uint64 {
+// newestVersion returns the newest version of a model's weights that any of the replicas serves.
+func newestVersion(from []*replicas.Replica, m request.Model) uint64 {
 	var version uint64
-	for _, r := range of {
+	for _, r := range from {
 		version = max(version, r.Weights(m))
 	}
 	return version
 }
 
-// oldness returns how much an answer on a version of the weights has lost, from 0 to 1.
-func (e *Engine) oldness(m request.Model, version uint64) float64 {
+// weightsPenalty returns how much less an answer on a version of the weights is worth, from 0 to 1.
+func (e *Engine) weightsPenalty(m request.Model, version uint64) float64 {
 	if _, outdated := e.Outdated(m, version); outdated {
-		return oldShare
+		return outdatedPenalty
 	}
 	return 0
 }
 
-// beginBy returns when an answer on a version of the weights must have begun.
+// beginBy returns when an answer on a version of the weights must have begun, zero without a bound.
 func (e *Engine) beginBy(m request.Model, version uint64) time.Time {
 	since, outdated := e.Outdated(m, version)
 	if !outdated || e.OldWeightsBeginWithin <= 0 {
@@ -118,8 +118,7 @@
 	return since.Add(e.OldWeightsBeginWithin)
 }
 
-// cacheSalt keeps KV cache of other weights, and of organisations that share with nobody,
-// apart by name.
+// cacheSalt separates the KV cache of different weights, and that of isolated organisations.
 func cacheSalt(version uint64, org *routing.Org) string {
 	salt := "w" + strconv.FormatUint(version, 10)
 	if org != nil && org.Isolated {
@@ -132,12 +131,12 @@
 	return residency.Key(xxhash.Sum64String(salt + "/" + id))
 }
 
-func (e *Engine) need(j *relay.Job) pick.Request {
+func (e *Engine) pickRequest(j *relay.Job) pick.Request {
 	fresh := j.PromptTokens
 	for _, p := range j.Parts {
 		fresh -= p.Tokens
 	}
-	return pick.Request{Tokens: j.PromptTokens + e.output(j), Fresh: max(0, fresh), Long: e.output(j) > longOutput}
+	return pick.Request{Tokens: j.PromptTokens + e.expectedOutput(j), Fresh: max(0, fresh), Long: e.expectedOutput(j) > longOutputTokens}
 }
 
-func (e *Engine) output(j *relay.Job) int { return int(float64(j.OutputTokens) * outputShare) }
+func (e *Engine) expectedOutput(j *relay.Job) int { return int(float64(j.OutputTokens) * outputShare) }
--- a/internal/placer/eligible.go
+++ b/internal/placer/eligible.go
@@ -11,59 +11,60 @@
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
-// Eligibility says which replicas may get a request, whatever it would cost.
+// Eligibility decides which replicas may get a request, independent of cost.
 //
-// A replica that leaves, that told this daemon to stay away, in an evacuated failure domain, or outside
-// the homes of a request, gets none at all: with nothing else left the request is refused. One that is
-// left alone for another reason is tried rather than none. One with a bound gets a request only by
-// leave of Quotas.
+// A replica gets no requests if it is leaving, if its Retry-After to this daemon has not passed, if its
+// failure domain is evacuated, or if it is outside the home regions of the request. If no other
+// replica is left, the request is refused. A replica that is avoided for another reason still gets
+// requests if no better one is available. A replica with a bound gets a request only if Quotas
+// permits it.
 type Eligibility struct {
 	Set *replicas.Set
-	// Region returns the region of a failure domain, empty if it is not known: then it is no home.
+	// Region returns the region of a failure domain, empty if it is unknown. An unknown region is never a home.
 	Region func(failureDomain string) routing.Region
-	Quotas *Quotas // nil: none are kept to
+	Quotas *Quotas // nil: no quotas apply
 }
 
-// of returns the replicas that may be tried, in random order so that equal ones share the work:
-// of those that this daemon uses, or of all if none of them may be used.
-func (e *Eligibility) of(j *relay.Job, mine []*replicas.Replica, tried []request.TargetID) []*replicas.Replica {
+// eligible returns the replicas that may be tried, in random order so that equal replicas share the
+// load. It selects from the assigned replicas, and from all replicas if no assigned one is allowed.
+func (e *Eligibility) eligible(j *relay.Job, assigned []*replicas.Replica, tried []request.TargetID) []*replicas.Replica {
 	now := time.Now()
-	if fit := e.among(now, j, mine, tried); len(fit) > 0 {
+	if fit := e.filter(now, j, assigned, tried); len(fit) > 0 {
 		return fit
 	}
 	all := e.Set.OfService(j.Service.ID)
-	if len(all) == len(mine) || e.anyAllowed(j, mine) {
+	if len(all) == len(assigned) || e.anyAllowed(j, assigned) {
 		return nil
 	}
-	return e.among(now, j, all, tried)
+	return e.filter(now, j, all, tried)
 }
 
-func (e *Eligibility) among(now time.Time, j *relay.Job, of []*replicas.Replica, tried []request.TargetID) []*replicas.Replica {
-	var fit, resting []*replicas.Replica
-	for _, r := range of {
+func (e *Eligibility) filter(now time.Time, j *relay.Job, from []*replicas.Replica, tried []request.TargetID) []*replicas.Replica {
+	var fit, avoided []*replicas.Replica
+	for _, r := range from {
 		switch {
-		case slices.Contains(tried, r.Info().ID) || !e.allowed(j, r) || !e.mayNow(now, r):
+		case slices.Contains(tried, r.Info().ID) || !e.allowed(j, r) || !e.acceptsNow(now, r):
 		case r.Health.BackingOff(now) || r.Busy(now) || e.Quotas.Unconfirmed(now, r):
-			resting = append(resting, r)
+			avoided = append(avoided, r)
 		default:
 			fit = append(fit, r)
 		}
 	}
 	if len(fit) == 0 && len(tried) == 0 {
-		fit = resting
+		fit = avoided
 	}
 	rand.Shuffle(len(fit), func(i, k int) { fit[i], fit[k] = fit[k], fit[i] })
 	return fit
 }
 
-// mayNow reports whether a replica may get a request at this moment.
-func (e *Eligibility) mayNow(now time.Time, r *replicas.Replica) bool {
+// acceptsNow reports whether a replica may get a request at this moment.
+func (e *Eligibility) acceptsNow(now time.Time, r *replicas.Replica) bool {
 	return r.BackoffLeft(now) == 0 && e.Quotas.Ready(now, r)
 }
 
-// anyAllowed reports whether a request may go to one of some replicas, now or later.
-func (e *Eligibility) anyAllowed(j *relay.Job, of []*replicas.Replica) bool {
-	return slices.ContainsFunc(of, func(r *replicas.Replica) bool { return e.allowed(j, r) })
+// anyAllowed reports whether a request may go to any of the given replicas, now or later.
+func (e *Eligibility) anyAllowed(j *relay.Job, from []*replicas.Replica) bool {
+	return slices.ContainsFunc(from, func(r *replicas.Replica) bool { return e.allowed(j, r) })
 }
 
 // allowed reports whether a request may go to a replica at all.
@@ -71,7 +72,7 @@
 	return !r.Leaving() && !e.Set.Evacuated(r.Info().FailureDomain) && e.isHome(j, r.Info().FailureDomain)
 }
 
-// isHome reports whether a request may go to a failure domain.
+// isHome reports whether a failure domain is in a home region of a request.
 func (e *Eligibility) isHome(j *relay.Job, domain string) bool {
 	if !j.HasHomes() {
 		return true
--- a/internal/placer/eligible_test.go
+++ b/internal/placer/eligible_test.go
@@ -12,9 +12,9 @@
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
-// spread is a world with one replica in each of some failure domains, named region-number.
-func spread(domains ...string) *world {
-	w := newWorld(0)
+// newFixtureIn returns a fixture with one replica in each failure domain, which is named region-number.
+func newFixtureIn(domains ...string) *fixture {
+	w := newFixture(0)
 	for i, domain := range domains {
 		w.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{
 			ID: request.TargetID(domain), Service: "llm", Address: fmt.Sprintf("127.0.0.1:%d", i+1), FailureDomain: domain,
@@ -30,7 +30,7 @@
 	return w
 }
 
-func where(t *testing.T, w *world, j *relay.Job) string {
+func placedAt(t *testing.T, w *fixture, j *relay.Job) string {
 	t.Helper()
 	p, err := w.engine.Place(context.Background(), j, nil)
 	if err != nil {
@@ -40,80 +40,81 @@
 	return string(p.Replica.Info().ID)
 }
 
-// getsNothing checks that of two replicas only the other one gets requests, be it their first try or
-// the one after that replica has failed.
-func getsNothing(t *testing.T, w *world, other string) {
+// expectOnly checks that only the replica other gets requests, both at the first attempt and at a
+// second one after other has failed.
+func expectOnly(t *testing.T, w *fixture, other string) {
 	t.Helper()
 	for range 20 {
-		if got := where(t, w, job("s")); got != other {
+		if got := placedAt(t, w, job("s")); got != other {
 			t.Fatalf("went to %q", got)
 		}
 	}
 	if p, err := w.engine.Place(context.Background(), job("s"), []request.TargetID{request.TargetID(other)}); err == nil {
-		t.Errorf("a second try went to %s", p.Replica.Info().ID)
+		t.Errorf("a second attempt went to %s", p.Replica.Info().ID)
 	}
 }
 
-// A failure domain is evacuated: no request goes there, be it its first try or a later one, also
-// if its replicas are the only ones that hold the context, or that are not busy.
-func TestEvacuatedDomainGetsNothing(t *testing.T) {
-	w := spread("eu-1", "eu-2")
+// No attempt of a request goes to an evacuated failure domain, even if only its replicas hold the
+// context or are not busy.
+func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
+	w := newFixtureIn("eu-1", "eu-2")
 	w.set.ApplyEvacuations(time.Now(), replicas.EvacuationChange{Begun: []string{"eu-1"}})
 	w.set.Get("eu-2").SetBusy(time.Now().Add(time.Minute))
-	getsNothing(t, w, "eu-2")
+	expectOnly(t, w, "eu-2")
 	w.set.ApplyEvacuations(time.Now(), replicas.EvacuationChange{Begun: []string{"eu-2"}})
 	if _, err := w.engine.Place(context.Background(), job("s"), nil); err == nil {
 		t.Error("the last domain gets a request while it is evacuated")
 	}
 }
 
-// A replica says in its answers that it leaves: it gets nothing more, also if it alone holds the
-// context, or is the last that is there, or was not tried for a request that failed elsewhere.
-func TestReplicaThatLeavesGetsNothing(t *testing.T) {
-	w := spread("eu-1", "eu-2")
+// A replica announces in its answers that it is leaving. It gets no more requests, even if it alone
+// holds the context, is the last replica, or is the only one untried after a failure elsewhere.
+func TestLeavingReplicaGetsNoRequests(t *testing.T) {
+	w := newFixtureIn("eu-1", "eu-2")
 	w.set.Get("eu-1").ObserveLeaving()
 	w.set.Get("eu-2").SetBusy(time.Now().Add(time.Minute))
-	getsNothing(t, w, "eu-2")
+	expectOnly(t, w, "eu-2")
 	plain := &Plain{Eligibility: w.engine.Eligibility, Domain: "a"}
 	w.set.Get("eu-2").ObserveLeaving()
 	if _, err := plain.Place(context.Background(), job("s"), nil); err == nil {
-		t.Error("the last replica gets a call while it leaves")
+		t.Error("the last replica gets a call while it is leaving")
 	}
 }
 
-// A replica turned a request of this daemon away with Retry-After: it gets none until that is over,
-// also if it alone holds the context, or the others are busy. With none left callers are refused.
-func TestReplicaGetsNothingBeforeItsRetryAfter(t *testing.T) {
+// A replica rejected a request of this daemon with Retry-After. It gets no requests until that time has
+// passed, even if it alone holds the context or the others are busy. Without another replica, callers
+// are refused.
+func TestNoRequestsBeforeRetryAfter(t *testing.T) {
 	const backoff = 200 * time.Millisecond
-	w := spread("eu-1", "eu-2")
+	w := newFixtureIn("eu-1", "eu-2")
 	w.set.Get("eu-1").BackOff(time.Now().Add(time.Minute))
 	w.set.Get("eu-2").SetBusy(time.Now().Add(time.Minute))
-	getsNothing(t, w, "eu-2")
+	expectOnly(t, w, "eu-2")
 	until := time.Now().Add(backoff)
 	w.set.Get("eu-2").BackOff(until)
 	plain := &Plain{Eligibility: w.engine.Eligibility, Domain: "a"}
 	if _, err := plain.Place(context.Background(), job("s"), nil); err == nil && time.Now().Before(until) {
-		t.Error("a call goes to a replica that is to be left alone")
+		t.Error("a call goes to a replica that is backing off")
 	}
 	time.Sleep(time.Until(until))
-	if got := where(t, w, job("s")); got != "eu-2" {
-		t.Errorf("after that: %q", got)
+	if got := placedAt(t, w, job("s")); got != "eu-2" {
+		t.Errorf("after the backoff: went to %q", got)
 	}
 }
 
-// The group of a daemon has no replica left that may be used: those of other groups serve.
-func TestOtherGroupsServeWhereAllOfTheOwnAreEvacuated(t *testing.T) {
-	w := spread("eu-1", "eu-2")
+// No replica assigned to this daemon is allowed: replicas of other groups serve the request.
+func TestFallbackToOtherGroupsWhenOwnIsEvacuated(t *testing.T) {
+	w := newFixtureIn("eu-1", "eu-2")
 	w.engine.Assigned = func(routing.ServiceID) []*replicas.Replica { return []*replicas.Replica{w.set.Get("eu-1")} }
 	w.set.ApplyEvacuations(time.Now(), replicas.EvacuationChange{Begun: []string{"eu-1"}})
-	if got := where(t, w, job("s")); got != "eu-2" {
+	if got := placedAt(t, w, job("s")); got != "eu-2" {
 		t.Errorf("went to %q", got)
 	}
 }
 
-// A request with homes goes to none but these, and is refused where their capacity is gone. A
-// failure domain whose region nobody knows is no home.
-func TestHomesAreKept(t *testing.T) {
+// A request with home regions goes only there, and is refused if they have no capacity. A failure
+// domain with an unknown region is no home.
+func TestRequestsStayInHomeRegions(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		route, org []routing.Region
@@ -123,13 +124,13 @@
 		{"of the organisation", nil, []routing.Region{"as"}, "as-1"},
 		{"of both", []routing.Region{"eu", "us"}, []routing.Region{"us", "as"}, "us-1"},
 		{"without a region in common", []routing.Region{"eu"}, []routing.Region{"as"}, ""},
-		{"that nobody knows", []routing.Region{"af"}, nil, ""},
+		{"in an unknown region", []routing.Region{"af"}, nil, ""},
 	} {
-		w := spread("eu-1", "us-1", "as-1", "?")
+		w := newFixtureIn("eu-1", "us-1", "as-1", "?")
 		j := job("s")
 		j.Route.Homes, j.Org = c.route, &routing.Org{ID: "o", Homes: c.org}
 		for range 10 {
-			if got := where(t, w, j); got != c.want {
+			if got := placedAt(t, w, j); got != c.want {
 				t.Errorf("homes %s: went to %q, want %q", c.name, got, c.want)
 			}
 		}
@@ -137,24 +138,24 @@
 			continue
 		}
 		w.set.Get(request.TargetID(c.want)).Load.Begin(45_000, 40_000)
-		if got := where(t, w, j); got != "" && got != c.want {
+		if got := placedAt(t, w, j); got != "" && got != c.want {
 			t.Errorf("homes %s: a full home's request went to %q", c.name, got)
 		}
 	}
 }
 
-// A prompt with homes is not saved to a store outside of them, and what was allowed is given back.
-func TestNothingIsSavedOutsideOfHomes(t *testing.T) {
-	w := spread("us-1")
+// A prompt with home regions is not saved to a store outside them, and the claims are released.
+func TestNoSavesOutsideHomeRegions(t *testing.T) {
+	w := newFixtureIn("us-1")
 	j := job("s")
-	j.Route.Homes = []routing.Region{"us"} // the store stands in failure domain "a"
+	j.Route.Homes = []routing.Region{"us"} // the store is in failure domain "a"
 	p := place(t, w, j)
 	for i, to := range p.Send.SaveTo {
 		if to != "" {
 			t.Errorf("part %d is saved to %s", i, to)
 		}
 	}
-	if len(w.shelf.released) == 0 {
-		t.Error("leave to save is kept")
+	if len(w.store.released) == 0 {
+		t.Error("the claim to save is not released")
 	}
 }
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -21,82 +21,80 @@
 )
 
 const (
-	// crossFactor is how much longer a transfer between failure domains takes; the wait before
-	// it is the same.
-	crossFactor = 2
-	// oldShare weighs answers on weights that were replaced. They are worth a fifth less,
-	// but the caches of the new weights are empty at first: sent there by preference, all
-	// prompts would be computed by the few replicas that have them, and all be late.
-	oldShare = 0.02
-	// maxUrgency is the last of the ranks that replicas know; 5 is what they take a
-	// request without one for.
+	// crossDomainFactor is how much longer a transfer takes between failure domains. The time that it
+	// waits for the link is the same.
+	crossDomainFactor = 2
+	// outdatedPenalty weighs answers on replaced weights. Such answers are worth a fifth less, but the
+	// caches of the new weights are empty at first: if those replicas were preferred, the few of them
+	// would have to compute all prompts, and all answers would miss their objective.
+	outdatedPenalty = 0.02
+	// maxUrgency is the last rank that replicas accept. A replica gives rank 5 to a request without one.
 	maxUrgency = 9
-	// outputShare is the part of the allowed output that a request is expected to make.
+	// outputShare is the share of the allowed output tokens that a request is expected to generate.
 	outputShare = 0.35
-	// fetchOverdue is how late a first token must be for its fetch to count as slow. On an
-	// idle replica one varies by some 100 ms.
-	fetchOverdue = 250 * time.Millisecond
-	// fetchSlack is how much longer than told a fetch may take in any case.
-	fetchSlack   = 100 * time.Millisecond
-	quietPrefill = 4000 // tokens waiting, up to which a replica counts as idle
-	quietMemory  = 0.7  // share of its memory, likewise
-	// minBack and maxBack bound when a refused caller is told to come back: some prompts
-	// later, and well within the time that callers have.
-	minBack = 200 * time.Millisecond
-	maxBack = time.Second
-	// longOutput is the number of tokens from which a request counts as long: at 5 ms a
-	// token they take half a second.
-	longOutput = 100
+	// fetchOverdueAfter is how late a first token must be for its fetch to count as overdue. On an idle
+	// replica the time to the first token varies by about 100 ms.
+	fetchOverdueAfter = 250 * time.Millisecond
+	// fetchSlack is how much longer than its estimate a fetch may always take.
+	fetchSlack        = 100 * time.Millisecond
+	idlePrefillTokens = 4000 // queued prompt tokens up to which a replica counts as idle
+	idleMemoryShare   = 0.7  // share of its memory up to which a replica counts as idle
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a refused request: at least the time of a
+	// few prompts, and well below the callers' timeouts.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = time.Second
+	// longOutputTokens is the expected output length from which a request counts as long. At 5 ms a token
+	// such an output takes half a second.
+	longOutputTokens = 100
 )
 
-// Outdated returns since when a version of a model's weights is not the newest that was
-// named, and whether that is so.
+// Outdated reports whether a version of a model's weights is older than the newest requested one, and
+// since when.
 type Outdated func(m request.Model, version uint64) (since time.Time, outdated bool)
 
-// StoredPart is one part of a prompt that a context store can give or take.
+// StoredPart is what a context store offers for one prompt part: a fetch, a save or neither.
 type StoredPart struct {
 	Store         routing.ServiceID
-	Address       string // of the store; empty: none
+	Address       string // of the store; empty if there is none
 	FailureDomain string
-	Fetch         bool          // the part may be fetched from there
-	Save          bool          // it should be saved there
-	FetchTime     time.Duration // to a replica in the store's failure domain, its queue included
-	Queue         time.Duration // of the store's link, before the fetch
-	Claim         int64         // names the transfer over the store's link; zero: none is counted
+	Fetch         bool          // the part may be fetched from the store
+	Save          bool          // the part should be saved to the store
+	FetchTime     time.Duration // to a replica in the store's failure domain, including Queue
+	Queue         time.Duration // wait for the store's link before the fetch
+	Claim         int64         // identifies the transfer on the store's link; zero if none is counted
 }
 
-// Stores tells what the context stores can give of a prompt.
+// Stores claims transfers of prompt parts from and to the context stores.
 type Stores interface {
-	// Claim returns an entry for each part, and until when fetches may run, on the
-	// replicas' clock.
+	// Claim returns an entry for each part, and until when fetches may start, on the replicas' clock.
 	Claim(ctx context.Context, salt string, parts []relay.Part, expectResident []bool) (stored []StoredPart, until int64)
-	// Release says that some of what Ask allowed under a salt is not used. It does not wait.
+	// Release gives back transfers that Claim allowed under a salt and that are not made. It does not block.
 	Release(salt string, parts []relay.Part, unused []StoredPart)
-	// ReportFetch says how a fetch from a store went. It does not wait.
+	// ReportFetch reports the outcome of a fetch to the owner of the store. It does not block.
 	ReportFetch(store routing.ServiceID, f storeroom.Fetched)
 }
 
 // Engine places prompts on model replicas.
 type Engine struct {
 	Eligibility
-	// Assigned returns the replicas of a service that this daemon uses.
+	// Assigned returns the replicas of a service that are assigned to this daemon.
 	Assigned func(routing.ServiceID) []*replicas.Replica
-	Domain   string // of this daemon
+	Domain   string // failure domain of this daemon
 	Outdated Outdated
 	Stores   Stores
-	OnPlaced func(replica *replicas.Replica, parts []PlacedPart, other int) // for peers; nil: nobody
-	// OldWeightsUsableFor is from when on replaced weights get no requests, and OldBegin until when
-	// an answer on them must have begun; both count from their successor's naming. Zero:
-	// there is no bound.
+	OnPlaced func(replica *replicas.Replica, parts []PlacedPart, other int) // notifies peers; nil: no notification
+	// OldWeightsUsableFor is how long replaced weights still get requests, and OldWeightsBeginWithin
+	// the time within which an answer on them must begin. Both count from the request for the successor
+	// version. Zero means no bound.
 	OldWeightsUsableFor, OldWeightsBeginWithin time.Duration
 
-	mu     sync.Mutex
-	memory int // tokens of one replica
-	models map[*replicas.Replica]*residency.Model
-	waits  map[routing.ServiceID]*waits.Waits
+	mu           sync.Mutex
+	memoryTokens int // KV cache capacity of one replica
+	models       map[*replicas.Replica]*residency.Model
+	waits        map[routing.ServiceID]*waits.Waits
 }
 
-// PlacedPart is a part that now lies in a replica's memory.
+// PlacedPart is a prompt part that a replica now holds in memory.
 type PlacedPart struct {
 	Key    residency.Key
 	Tokens int
@@ -104,41 +102,41 @@
 
 // Place implements relay.Placer.
 func (e *Engine) Place(ctx context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
-	usable := e.of(j, e.Assigned(j.Service.ID), tried)
-	usable = e.onNamedWeights(usable, j.Model)
+	usable := e.eligible(j, e.Assigned(j.Service.ID), tried)
+	usable = e.onUsableWeights(usable, j.Model)
 	if len(usable) == 0 {
 		return nil, noReplica()
 	}
-	salt := cacheSalt(best(usable, j.Model), j.Org)
-	stored, until := e.askStores(ctx, j, salt, usable)
-	need := e.need(j)
+	salt := cacheSalt(newestVersion(usable, j.Model), j.Org)
+	stored, until := e.claimTransfers(ctx, j, salt, usable)
+	need := e.pickRequest(j)
 	r, chosen, err := e.choose(j, need, usable, salt, stored)
 	if err != nil {
 		e.release(salt, j, stored)
 		return nil, err
 	}
 	version := r.Weights(j.Model)
-	own := cacheSalt(version, j.Org)
-	send := relay.Send{Weights: version, CacheSalt: own, Urgency: min(maxUrgency, j.Priority())}
-	if own != salt {
-		// While weights are rolled out the replica may serve others than were asked for.
+	ownSalt := cacheSalt(version, j.Org)
+	send := relay.Send{Weights: version, CacheSalt: ownSalt, Urgency: min(maxUrgency, j.Priority())}
+	if ownSalt != salt {
+		// During a rollout the chosen replica may serve other weights than the claims were made for.
 		e.release(salt, j, stored)
-		stored, until = e.askStores(ctx, j, own, []*replicas.Replica{r})
+		stored, until = e.claimTransfers(ctx, j, ownSalt, []*replicas.Replica{r})
 	}
 	sources := pick.Default.Sources(chosen.Parts)
-	e.fill(&send, j, stored, until, r)
-	send.FetchUntil = fetchUntil(send.FetchUntil, j, chosen.Parts, sources)
-	e.release(own, j, unfetch(&send, chosen.Parts, sources, stored))
-	e.record(r, j, own)
+	e.setTransfers(&send, j, stored, until, r)
+	send.FetchUntil = fetchDeadline(send.FetchUntil, j, chosen.Parts, sources)
+	e.release(ownSalt, j, cancelFetches(&send, chosen.Parts, sources, stored))
+	e.announcePlacement(r, j, ownSalt)
 	first, stop := e.watchFetch(chosen, need, sources, stored)
 	return &relay.Placement{
-		Replica: r, Send: send, BeginBy: e.beginBy(j.Model, version), First: first, Ended: e.ended(stop, own, j, stored), Reason: reason(chosen, &send, j.OutputTokens),
-		Flight: begin(r, need, pick.Default.ToCompute(need, chosen.Parts)),
+		Replica: r, Send: send, BeginBy: e.beginBy(j.Model, version), First: first, Ended: e.onEnded(stop, ownSalt, j, stored), Reason: placementReason(chosen, &send, j.OutputTokens),
+		Flight: beginFlight(r, need, pick.Default.ToCompute(need, chosen.Parts)),
 	}, nil
 }
 
-// choose returns the cheapest replica that may get the request now, or why none may. Leave to send
-// to one with a bound may have been taken by another request meanwhile.
+// choose returns the cheapest replica that may get the request now, or the reason why none may. If a
+// concurrent request has used up the quota of the cheapest replica, choose tries the next one.
 func (e *Engine) choose(j *relay.Job, need pick.Request, usable []*replicas.Replica, salt string, stored []StoredPart) (*replicas.Replica, *pick.Candidate, error) {
 	longest := e.longestWait(j)
 	for len(usable) > 0 {
@@ -155,23 +153,24 @@
 	return nil, nil, noReplica()
 }
 
-// ended returns what follows a try. One that did not run makes none of the transfers that it
-// was allowed; one that ended before its first token, as its replica crashed or its caller left,
-// is of no use to the link's estimate, and may have saved something.
-func (e *Engine) ended(stop func() (told bool), salt string, j *relay.Job, stored []StoredPart) func(ran bool) {
+// onEnded returns the function that ends an attempt. If the attempt did not run, it releases all
+// claims. If the attempt ended before its first token, because the replica crashed or the caller
+// disconnected, it releases the fetches, as they tell nothing about the link, and keeps the saves,
+// which the replica may have made.
+func (e *Engine) onEnded(stop func() (reported bool), salt string, j *relay.Job, stored []StoredPart) func(ran bool) {
 	return func(ran bool) {
-		told := stop()
+		reported := stop()
 		switch {
 		case !ran:
 			e.release(salt, j, stored)
-		case !told:
-			e.release(salt, j, fetches(stored))
+		case !reported:
+			e.release(salt, j, onlyFetches(stored))
 		}
 	}
 }
 
-// fetches returns those of some parts that are fetched.
-func fetches(stored []StoredPart) []StoredPart {
+// onlyFetches returns a copy of stored that keeps only the parts to be fetched.
+func onlyFetches(stored []StoredPart) []StoredPart {
 	out := make([]StoredPart, len(stored))
 	for i, s := range stored {
 		if s.Fetch {
@@ -181,35 +180,36 @@
 	return out
 }
 
-// release gives back what the stores allowed under a salt.
+// release gives back claims that were made under a salt.
 func (e *Engine) release(salt string, j *relay.Job, unused []StoredPart) {
 	if e.Stores != nil {
 		e.Stores.Release(salt, j.Parts, unused)
 	}
 }
 
-// fetchUntil returns until when parts may be fetched, on the replicas' clock: as long as the
-// prompt, computed then, is still in time, and in any case for longer than they should take.
+// fetchDeadline returns until when parts may be fetched, on the replicas' clock. The deadline leaves
+// enough time to compute the parts within the objective, and is never shorter than the expected
+// fetch time plus fetchSlack.
 //
-// A replica begins its prompts in turn. One that waited two seconds for its context at a slow
-// link held up all behind it, so that nobody was answered in time for as long; computing it
-// holds them up for a tenth of a second.
-func fetchUntil(leave int64, j *relay.Job, parts []pick.Part, sources []pick.Source) int64 {
-	if leave == 0 {
+// A replica processes its prompts in order. A prompt that waited two seconds for its context on a
+// slow link blocked all prompts behind it, and none of them met its objective. Computing the context
+// instead blocks them for a tenth of a second.
+func fetchDeadline(permitUntil int64, j *relay.Job, parts []pick.Part, sources []pick.Source) int64 {
+	if permitUntil == 0 {
 		return 0
 	}
-	var told, compute time.Duration
+	var expected, compute time.Duration
 	for i, source := range sources {
 		if source == pick.Fetched {
-			told += parts[i].Fetch
+			expected += parts[i].Fetch
 			compute += time.Duration(parts[i].Tokens) * pick.Default.PrefillPerToken
 		}
 	}
-	longest := max(j.Route.Objective-time.Since(j.Start)-compute, told+fetchSlack)
-	return leave - max(0, storeroom.LeaveFor-longest).Milliseconds()
+	longest := max(j.Route.Objective-time.Since(j.Start)-compute, expected+fetchSlack)
+	return permitUntil - max(0, storeroom.LeaveFor-longest).Milliseconds()
 }
 
-func begin(r *replicas.Replica, need pick.Request, compute int) *replicas.Flight {
+func beginFlight(r *replicas.Replica, need pick.Request, compute int) *replicas.Flight {
 	if need.Long {
 		return r.Load.BeginLongOutput(need.Tokens, compute)
 	}
@@ -231,44 +231,44 @@
 	return w.Longest(time.Now(), j.Route.Objective, j.Priority() == 0)
 }
 
-// admit refuses a request that would wait so long that its answer is late. Replicas with
-// too much to do answer nobody in time: each request that waits holds memory, and all take
-// longer.
+// admit refuses a request whose wait would make its answer miss the objective. An overloaded replica
+// meets no objective at all: each waiting request holds memory, and all requests take longer.
 func admit(wait, longest time.Duration) error {
 	if wait <= longest {
 		return nil
 	}
-	back := min(max(wait-longest, minBack), maxBack)
-	return request.Refuse(request.CodeOverloaded, http.StatusServiceUnavailable, back, "all replicas are full: the wait is %s", wait)
+	retryAfter := min(max(wait-longest, minRetryAfter), maxRetryAfter)
+	return request.Refuse(request.CodeOverloaded, http.StatusServiceUnavailable, retryAfter, "all replicas are full: the wait is %s", wait)
 }
 
-// watchFetch tells the keeper of the store that most is fetched from how that went: when the
-// first token has come, and before that if it is overdue. What else a replica does before its
-// first token is taken off. One with much to do, or that fetches from elsewhere as well, is not
-// said to be overdue, since that may be the cause: a dead store holds it up for half a second.
-func (e *Engine) watchFetch(c *pick.Candidate, need pick.Request, sources []pick.Source, stored []StoredPart) (first func(), stop func() (told bool)) {
-	from, told, all := mostFetched(c, sources, stored)
+// watchFetch reports to the owner of the store that provides most of the fetched data how that fetch
+// went: at the first token, and earlier if the fetch is overdue. The time that the replica needs for
+// other work before its first token is subtracted. No overdue fetch is reported for a busy replica,
+// or for one that also fetches from elsewhere, because these may be the cause: a dead store delays a
+// replica by half a second.
+func (e *Engine) watchFetch(c *pick.Candidate, need pick.Request, sources []pick.Source, stored []StoredPart) (first func(), stop func() (reported bool)) {
+	from, expected, all := dominantFetch(c, sources, stored)
 	if from.Claim == 0 {
 		return func() {}, func() bool { return true }
 	}
 	computing := time.Duration(pick.Default.ToCompute(need, c.Parts)+c.Prefill) * pick.Default.PrefillPerToken
-	others := computing + all - told
-	busy := c.Prefill > quietPrefill || float64(c.Tokens+need.Tokens) > quietMemory*float64(c.Memory) || all > told
+	others := computing + all - expected
+	busy := c.Prefill > idlePrefillTokens || float64(c.Tokens+need.Tokens) > idleMemoryShare*float64(c.Memory) || all > expected
 	began := time.Now()
-	tell := func(overdue bool) {
+	report := func(overdue bool) {
 		took := max(0, time.Since(began)-others)
 		e.Stores.ReportFetch(from.Store, storeroom.Fetched{Claim: from.Claim, Took: took, Overdue: overdue, Busy: busy})
 	}
-	timer := time.AfterFunc(others+told+fetchOverdue, func() {
+	timer := time.AfterFunc(others+expected+fetchOverdueAfter, func() {
 		if !busy {
-			tell(true)
+			report(true)
 		}
 	})
 	var ended atomic.Bool
 	first = func() {
 		timer.Stop()
 		ended.Store(true)
-		tell(false)
+		report(false)
 	}
 	return first, func() bool {
 		timer.Stop()
@@ -276,9 +276,9 @@
 	}
 }
 
-// mostFetched returns the part that is fetched last from the store that most is fetched from,
-// how long all parts from there take, and how long all fetches take.
-func mostFetched(c *pick.Candidate, sources []pick.Source, stored []StoredPart) (last StoredPart, from, all time.Duration) {
+// dominantFetch finds the store with the longest total fetch time. It returns the last part that is
+// fetched from that store, the total fetch time of that store, and the fetch time of all stores.
+func dominantFetch(c *pick.Candidate, sources []pick.Source, stored []StoredPart) (last StoredPart, fromStore, all time.Duration) {
 	takes := map[routing.ServiceID]time.Duration{}
 	for i, source := range sources {
 		if source != pick.Fetched {
@@ -290,22 +290,23 @@
 		}
 		store := stored[i].Store
 		takes[store] += c.Parts[i].Fetch
-		if takes[store] >= from {
-			last, from = stored[i], takes[store]
+		if takes[store] >= fromStore {
+			last, fromStore = stored[i], takes[store]
 		}
 	}
-	return last, from, all
+	return last, fromStore, all
 }
 
-// unfetch takes back the sources of parts that are sooner computed than fetched, and of all after
-// them. It returns what of them the stores count on being fetched, and takes their claims out of
-// stored: what is given back now is not given back again when the try ends.
+// cancelFetches clears the sources of parts that are computed faster than fetched, and of all parts
+// after them. It returns those whose fetch the stores have reserved, and clears their claims in stored
+// so that they are not released again when the attempt ends.
 //
-// Also of a part that is thought to lie in the replica's memory: often it does not, and then it
-// comes over a link that nobody counted it on. A link that had turned slow was held full by the
-// beginnings that prompts share, which all replicas fetched anew while waiting prompts took their
-// memory; each prompt waited for as long as fetches may take, for seconds after the link was well.
-func unfetch(send *relay.Send, parts []pick.Part, sources []pick.Source, stored []StoredPart) []StoredPart {
+// This includes parts that are assumed to be resident at the replica: often they are not, and would
+// then be fetched without a reservation. Without this rule, waiting prompts evicted the prefixes that
+// prompts share, all replicas fetched them again over a link that had become slow, and that link
+// stayed saturated: each prompt waited for the longest time a fetch may take, for seconds after the
+// link had recovered.
+func cancelFetches(send *relay.Send, parts []pick.Part, sources []pick.Source, stored []StoredPart) []StoredPart {
 	unused := make([]StoredPart, len(parts))
 	computed := false
 	for i, source := range sources {
@@ -322,10 +323,10 @@
 	return unused
 }
 
-// reason tells for the log, part by part, what is thought to lie in the replica's memory
-// (m), is fetched from a store (s) or another replica (r), or is computed (-), a + for one
-// that is saved, and the replica's load.
-func reason(c *pick.Candidate, send *relay.Send, output int) string {
+// placementReason describes a placement for the log. It has one letter for each part: m if the part is
+// assumed to be in the replica's memory, s if it is fetched from a store, r if from another replica, -
+// if it is computed; + is appended if the part is saved. The replica's load follows.
+func placementReason(c *pick.Candidate, send *relay.Send, output int) string {
 	var b strings.Builder
 	for i, p := range c.Parts {
 		switch {
@@ -346,17 +347,18 @@
 	return b.String()
 }
 
-func (e *Engine) askStores(ctx context.Context, j *relay.Job, salt string, usable []*replicas.Replica) ([]StoredPart, int64) {
+func (e *Engine) claimTransfers(ctx context.Context, j *relay.Job, salt string, usable []*replicas.Replica) ([]StoredPart, int64) {
 	if e.Stores == nil || len(j.Parts) == 0 {
 		return make([]StoredPart, len(j.Parts)), 0
 	}
-	stored, until := e.Stores.Claim(ctx, salt, j.Parts, e.residentSomewhere(j, salt, usable))
-	e.release(salt, j, e.unsaveAbroad(j, stored))
+	stored, until := e.Stores.Claim(ctx, salt, j.Parts, e.residentOnAny(j, salt, usable))
+	e.release(salt, j, e.dropSavesOutsideHomes(j, stored))
 	return stored, until
 }
 
-// unsaveAbroad takes out of stored, and returns, the saves to stores outside a prompt's homes.
-func (e *Engine) unsaveAbroad(j *relay.Job, stored []StoredPart) []StoredPart {
+// dropSavesOutsideHomes removes saves to stores outside a prompt's home regions from stored, and
+// returns them.
+func (e *Engine) dropSavesOutsideHomes(j *relay.Job, stored []StoredPart) []StoredPart {
 	unused := make([]StoredPart, len(stored))
 	for i, s := range stored {
 		if s.Save && !e.isHome(j, s.FailureDomain) {
@@ -366,9 +368,9 @@
 	return unused
 }
 
-// fill names where each part comes from and goes to. A source is named also for parts
-// thought to be there: the replica fetches only what it lacks.
-func (e *Engine) fill(send *relay.Send, j *relay.Job, stored []StoredPart, until int64, to *replicas.Replica) {
+// setTransfers sets the source and the destination of each part. Parts that are assumed to be resident
+// get a source as well: the replica fetches only what it lacks.
+func (e *Engine) setTransfers(send *relay.Send, j *relay.Job, stored []StoredPart, until int64, to *replicas.Replica) {
 	send.FetchFrom = make([]string, len(j.Parts))
 	send.SaveTo = make([]string, len(j.Parts))
 	for i := range j.Parts {
@@ -380,5 +382,5 @@
 			send.SaveTo[i] = stored[i].Address
 		}
 	}
-	e.fillFromPeers(send, j, to)
+	e.setReplicaSources(send, j, to)
 }
--- a/internal/placer/memory.go
+++ b/internal/placer/memory.go
@@ -9,41 +9,41 @@
 	"github.com/bluebellscale/bluebellscale/internal/replicas"
 )
 
-// record notes that a replica will have the parts of a prompt.
-func (e *Engine) record(r *replicas.Replica, j *relay.Job, salt string) {
+// announcePlacement records that a replica will hold the parts of a prompt, and notifies peers.
+func (e *Engine) announcePlacement(r *replicas.Replica, j *relay.Job, salt string) {
 	parts := make([]PlacedPart, len(j.Parts))
-	other := j.PromptTokens + e.output(j)
+	other := j.PromptTokens + e.expectedOutput(j)
 	for i, p := range j.Parts {
 		parts[i] = PlacedPart{Key: partKey(salt, p.ID), Tokens: p.Tokens}
 		other -= p.Tokens
 	}
-	e.setMemory(j.Service.Engine.MemoryTokens)
+	e.setMemoryTokens(j.Service.Engine.MemoryTokens)
 	e.RecordPlacement(r, parts, max(0, other))
 	if e.OnPlaced != nil {
 		e.OnPlaced(r, parts, max(0, other))
 	}
 }
 
-func (e *Engine) setMemory(tokens int) {
+func (e *Engine) setMemoryTokens(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.memory = tokens
+	e.memoryTokens = tokens
 }
 
-// RecordPlacement notes what a replica's memory takes: parts, and other tokens that nobody asks
-// for again but that take room until they are dropped.
+// RecordPlacement records what is added to a replica's memory: parts, and other tokens, which are never
+// requested again but use capacity until they are evicted.
 func (e *Engine) RecordPlacement(r *replicas.Replica, parts []PlacedPart, other int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.memory == 0 {
-		return // no prompt has come here yet
+	if e.memoryTokens == 0 {
+		return // this daemon has not placed any prompt yet
 	}
 	m := e.models[r]
 	if m == nil {
 		if e.models == nil {
 			e.models = map[*replicas.Replica]*residency.Model{}
 		}
-		m = residency.New(e.memory)
+		m = residency.New(e.memoryTokens)
 		e.models[r] = m
 	}
 	for _, p := range parts {
@@ -54,7 +54,7 @@
 	}
 }
 
-// Prune drops the models of replicas that are gone or have started again.
+// Prune drops the models of replicas that were removed or have restarted.
 func (e *Engine) Prune() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,9 +65,9 @@
 	}
 }
 
-// holder returns a replica on the same weights that is thought to hold a part, one in
-// the same failure domain if there is any.
-func (e *Engine) holder(key residency.Key, j *relay.Job, to *replicas.Replica, version uint64) *replicas.Replica {
+// findHolder returns a replica on the same weights that is assumed to hold a part, preferably one in
+// the same failure domain.
+func (e *Engine) findHolder(key residency.Key, j *relay.Job, to *replicas.Replica, version uint64) *replicas.Replica {
 	var found *replicas.Replica
 	now := time.Now()
 	for _, r := range e.Assigned(j.Service.ID) {
@@ -83,8 +83,8 @@
 	return found
 }
 
-// fillFromPeers names another replica for parts that no store gives.
-func (e *Engine) fillFromPeers(send *relay.Send, j *relay.Job, to *replicas.Replica) {
+// setReplicaSources sets another replica as the source of parts that no store provides.
+func (e *Engine) setReplicaSources(send *relay.Send, j *relay.Job, to *replicas.Replica) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i, p := range j.Parts {
@@ -95,14 +95,14 @@
 		if m := e.models[to]; m != nil && m.Has(key) {
 			continue
 		}
-		if from := e.holder(key, j, to, send.Weights); from != nil {
+		if from := e.findHolder(key, j, to, send.Weights); from != nil {
 			send.FetchFrom[i] = from.Info().Address
 		}
 	}
 }
 
-// residentSomewhere says of each part whether some replica that can be used has it.
-func (e *Engine) residentSomewhere(j *relay.Job, salt string, usable []*replicas.Replica) []bool {
+// residentOnAny reports for each part whether any usable replica is assumed to hold it.
+func (e *Engine) residentOnAny(j *relay.Job, salt string, usable []*replicas.Replica) []bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := make([]bool, len(j.Parts))
--- a/internal/placer/plain.go
+++ b/internal/placer/plain.go
@@ -1,5 +1,5 @@
-// Package placer chooses a replica for each try of a relayed request: by load and health
-// for plain services, and for model replicas by where the parts of the prompt lie.
+// Package placer chooses a replica for each attempt of a relayed request. It places calls to plain
+// services by load and health, and prompts on model replicas also by where their parts are cached.
 package placer
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// noReplicaRetry is when to come back if no replica is known or all rest: one that
-// crashed is back after seconds, a new one is listed within one.
-const noReplicaRetry = 400 * time.Millisecond
+// noReplicaRetryAfter is the Retry-After if no replica is known or all are backing off: a crashed
+// replica is back within seconds, and a new one is listed within one.
+const noReplicaRetryAfter = 400 * time.Millisecond
 
-// plainCosts weigh plain services: their calls are short and their bytes few, so load
-// and health decide, and the failure domain among equals.
+// plainCosts are the costs for plain services. Their calls are short and transfer little, so load and
+// health decide, and the failure domain only between otherwise equal replicas.
 var plainCosts = pick.Costs{
-	PerRequest:  5 * time.Millisecond, // a call takes 30 ms; one of six places makes a sixth of that
+	PerRequest:  5 * time.Millisecond, // a call takes 30 ms, and uses one of six slots for that time
 	Replica:     300 * time.Millisecond,
 	Error:       400 * time.Millisecond,
 	CrossDomain: 3 * time.Millisecond,
@@ -29,13 +29,13 @@
 // Plain places calls of plain services.
 type Plain struct {
 	Eligibility
-	Domain string // of this daemon
+	Domain string // failure domain of this daemon
 }
 
 // Place implements relay.Placer.
 func (p *Plain) Place(_ context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
 	for {
-		usable := p.of(j, p.Set.OfService(j.Service.ID), tried)
+		usable := p.eligible(j, p.Set.OfService(j.Service.ID), tried)
 		if len(usable) == 0 {
 			return nil, noReplica()
 		}
@@ -60,5 +60,5 @@
 }
 
 func noReplica() error {
-	return request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, noReplicaRetry, "no replica takes requests now")
+	return request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, noReplicaRetryAfter, "no replica accepts requests now")
 }
--- a/internal/placer/quotas.go
+++ b/internal/placer/quotas.go
@@ -13,28 +13,27 @@
 )
 
 const (
-	// startSenders is the number of senders that a daemon reckons with which does not know the
-	// others yet. It then sends little to a replica with a bound, as all may that start at the
-	// same moment.
-	startSenders = 16
-	// limitHolds is how long a replica's rate limit is taken to hold after it was told, at least, and twice
-	// that at most. Later a daemon may find out with a request whether it still does: those that
-	// send there may be gone or cut off, and the others would never hear of its end.
-	limitHolds = 10 * time.Second
-	// paceKept is how long it is remembered what was sent to a replica without a bound: as long
-	// as any window of one that may begin. boundPaceKept is longer than any share's window.
-	paceKept      = 5 * time.Second
-	boundPaceKept = 10 * time.Minute
+	// assumedSenders is the number of senders that a daemon assumes until it knows the other daemons.
+	// It then sends little to a replica with a bound, because all daemons may start at the same time.
+	assumedSenders = 16
+	// minLimitTTL is the shortest time for which a reported rate limit holds; the longest is twice that.
+	// After it a daemon may probe with a request whether the limit still holds: the daemons that send to
+	// the replica may have stopped or be partitioned, and the others would never learn that it ended.
+	minLimitTTL = 10 * time.Second
+	// paceRetention is how long requests to a replica without a bound are remembered: as long as the
+	// window of any bound that may begin. boundedPaceRetention is longer than the window of any share.
+	paceRetention        = 5 * time.Second
+	boundedPaceRetention = 10 * time.Minute
 )
 
-// Quotas keeps this daemon to its share of the requests that replicas bear. It is safe for
+// Quotas limits this daemon to its share of the requests that bounded replicas accept. It is safe for
 // concurrent use.
 type Quotas struct {
-	Self string // this daemon's name
-	// Users returns the names of the daemons that use a replica; empty: they are not known yet.
+	Self string // name of this daemon
+	// Users returns the names of the daemons that use a replica, empty while they are unknown.
 	Users func(*replicas.Replica) []string
-	// ColdLimits returns what one cold replica of a service bears, Limited what one does that named a
-	// rate limit.
+	// ColdLimits returns the limits of a cold replica of a service, and RateLimits those of a replica
+	// that reported a rate limit.
 	ColdLimits func(routing.ServiceID) quota.Limits
 	RateLimits func(perSecond float64) quota.Limits
 
@@ -42,13 +41,13 @@
 	paces map[*replicas.Replica]*quota.Pace
 }
 
-// bound is what a replica bears, as known now.
+// bound is a limit on the requests that a replica accepts.
 type bound struct {
 	limits quota.Limits
-	stale  bool // it may hold no more
+	stale  bool // it may no longer hold
 }
 
-// Ready reports whether a replica may get a request of this daemon now.
+// Ready reports whether this daemon may send a request to a replica now.
 func (q *Quotas) Ready(now time.Time, r *replicas.Replica) bool {
 	if q == nil {
 		return true
@@ -62,7 +61,7 @@
 	return q.allow(now, r, shares)
 }
 
-// Take takes leave to send a request to a replica now, and reports whether there is any.
+// Take consumes one request of this daemon's share of a replica, and reports whether it was available.
 func (q *Quotas) Take(now time.Time, r *replicas.Replica) bool {
 	if q == nil {
 		return true
@@ -76,11 +75,11 @@
 	if !q.allow(now, r, shares) {
 		return false
 	}
-	q.pace(r).Sent(now) // without a bound, too: one that begins counts what went before
+	q.pace(r).Sent(now) // even without a bound: one that begins counts earlier requests
 	return true
 }
 
-// allow reports whether this daemon's shares leave room for a request.
+// allow reports whether this daemon's shares permit another request.
 func (q *Quotas) allow(now time.Time, r *replicas.Replica, shares []quota.Share) bool {
 	for _, share := range shares {
 		if !q.pace(r).Ready(now, share) {
@@ -90,8 +89,8 @@
 	return true
 }
 
-// Unconfirmed reports whether a bound holds for a replica while this daemon does not know the others yet,
-// so that it had better send elsewhere.
+// Unconfirmed reports whether a bound holds for a replica while this daemon does not know the other
+// daemons yet, so that it should prefer other replicas.
 func (q *Quotas) Unconfirmed(now time.Time, r *replicas.Replica) bool {
 	return q != nil && len(q.bounds(now, r)) > 0 && len(q.Users(r)) == 0
 }
@@ -105,20 +104,20 @@
 		}
 	}
 	if perSecond, at := r.Limit(); perSecond > 0 {
-		out = append(out, bound{limits: q.RateLimits(perSecond), stale: now.Sub(at) > q.holds(r)})
+		out = append(out, bound{limits: q.RateLimits(perSecond), stale: now.Sub(at) > q.limitTTL(r)})
 	}
 	return out
 }
 
-// holds returns how long this daemon takes a replica's rate limit to hold: not as long as
-// others, so that the first one that finds out tells them.
-func (q *Quotas) holds(r *replicas.Replica) time.Duration {
-	part := float64(xxhash.Sum64String(q.Self)^r.Hash()) / math.MaxUint64
-	return limitHolds + time.Duration(part*float64(limitHolds))
+// limitTTL returns for how long this daemon assumes that a replica's rate limit holds. The time differs
+// between daemons, so that the first one to probe can inform the others.
+func (q *Quotas) limitTTL(r *replicas.Replica) time.Duration {
+	fraction := float64(xxhash.Sum64String(q.Self)^r.Hash()) / math.MaxUint64
+	return minLimitTTL + time.Duration(fraction*float64(minLimitTTL))
 }
 
-// shares returns this daemon's share of a replica by each bound that holds, and whether it sends to
-// it at all. No lock is held: to know the users may mean to divide the fleet anew.
+// shares returns this daemon's share of a replica under each bound that holds, and whether this daemon
+// sends to the replica at all. It must be called without the lock: Users may reassign the fleet.
 func (q *Quotas) shares(now time.Time, r *replicas.Replica) (shares []quota.Share, sends bool) {
 	bounds := q.bounds(now, r)
 	if len(bounds) == 0 {
@@ -135,11 +134,11 @@
 	return shares, true
 }
 
-// share returns this daemon's share of a replica by one bound, and whether it sends to it at all.
+// share returns this daemon's share of a replica under one bound, and whether it sends to it at all.
 func (q *Quotas) share(r *replicas.Replica, b bound, users []string) (share quota.Share, sends bool) {
 	switch {
 	case len(users) == 0:
-		return b.limits.AloneShare(startSenders), true
+		return b.limits.AloneShare(assumedSenders), true
 	case b.stale:
 		return b.limits.AloneShare(len(users)), true
 	}
@@ -147,7 +146,7 @@
 	return share, quota.IsSender(q.Self, users, r.Hash(), senders)
 }
 
-// pace returns what this daemon sent to a replica.
+// pace returns the record of the requests that this daemon sent to a replica.
 func (q *Quotas) pace(r *replicas.Replica) *quota.Pace {
 	p := q.paces[r]
 	if p == nil {
@@ -160,13 +159,13 @@
 	return p
 }
 
-// Prune drops what was sent too long ago to matter.
+// Prune drops records that no bound needs any more.
 func (q *Quotas) Prune(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for r, p := range q.paces {
-		rested := now.Sub(p.Last())
-		if rested > boundPaceKept || rested > paceKept && len(q.bounds(now, r)) == 0 {
+		idle := now.Sub(p.Last())
+		if idle > boundedPaceRetention || idle > paceRetention && len(q.bounds(now, r)) == 0 {
 			delete(q.paces, r)
 		}
 	}
--- a/internal/placer/quotas_test.go
+++ b/internal/placer/quotas_test.go
@@ -13,7 +13,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
-func withCold(w *world, group ...string) {
+func setColdQuotas(w *fixture, group ...string) {
 	limits := quota.ColdStart(9.8, 19.7)
 	w.set.SetColdStarts(map[routing.ServiceID]time.Duration{"llm": time.Minute})
 	w.engine.Quotas = &Quotas{
@@ -22,98 +22,98 @@
 	}
 }
 
-// namedLimits is what a replica bears that named a limit.
-func namedLimits(perSecond float64) quota.Limits {
+// rateLimits returns the limits of a replica that reported a rate limit.
+func rateLimits(perSecond float64) quota.Limits {
 	return quota.Limits{PerSecond: perSecond, Burst: 6*perSecond + 5, Window: 4 * time.Second}
 }
 
-func withNamed(w *world, self string, group ...string) {
+func setRateQuotas(w *fixture, self string, group ...string) {
 	w.engine.Quotas = &Quotas{
 		Self: self, Users: func(*replicas.Replica) []string { return group },
-		ColdLimits: func(routing.ServiceID) quota.Limits { return quota.Limits{} }, RateLimits: namedLimits,
+		ColdLimits: func(routing.ServiceID) quota.Limits { return quota.Limits{} }, RateLimits: rateLimits,
 	}
 }
 
-// An overloaded replica names a limit for all daemons together, and each of eight daemons, with the
-// context of its callers there, keeps to the whole of it.
-func TestDaemonsShareANamedLimit(t *testing.T) {
+// An overloaded replica reports a rate limit for all daemons together. Without sharing, each of eight
+// daemons whose callers have their context there would use the whole limit.
+func TestDaemonsShareRateLimit(t *testing.T) {
 	const perSecond = 2
 	group := []string{"d0", "d1", "d2", "d3", "d4", "d5", "d6", "d7"}
 	var total int
 	for _, self := range group {
-		w := newWorld(2)
-		withNamed(w, self, group...)
+		w := newFixture(2)
+		setRateQuotas(w, self, group...)
 		w.set.Get("r0").UpdateLimit(time.Now(), perSecond)
 		for i := range 20 {
-			switch where(t, w, job(fmt.Sprint("s", i))) {
+			switch placedAt(t, w, job(fmt.Sprint("s", i))) {
 			case "r0":
 				total++
 			case "":
-				t.Fatalf("%s refuses with a replica left", self)
+				t.Fatalf("%s refuses a request with a replica available", self)
 			}
 		}
 	}
 	if total > 4*perSecond {
-		t.Errorf("%d requests in a moment", total)
+		t.Errorf("%d requests at once", total)
 	}
 	if total == 0 {
-		t.Error("the replica gets none")
+		t.Error("the replica gets no requests")
 	}
 }
 
-// All replicas are overloaded: what they take together is sent, the rest is refused at once.
-func TestLimitsOfAllReplicasAreKept(t *testing.T) {
-	w := newWorld(2)
-	withNamed(w, "d0", "d0")
+// All replicas are overloaded: the requests that they accept together are sent, all others refused.
+func TestRateLimitsOfAllReplicasAreRespected(t *testing.T) {
+	w := newFixture(2)
+	setRateQuotas(w, "d0", "d0")
 	w.set.Get("r0").UpdateLimit(time.Now(), 1)
 	w.set.Get("r1").UpdateLimit(time.Now(), 1)
 	served := 0
 	for range 20 {
-		if where(t, w, job("s")) != "" {
+		if placedAt(t, w, job("s")) != "" {
 			served++
 		}
 	}
 	if served == 0 || served > 2 {
-		t.Errorf("%d requests served in a moment", served)
+		t.Errorf("%d requests served at once", served)
 	}
 }
 
-// Nobody hears any more whether a limit still holds, as its senders have gone or are cut off: a
-// daemon that is none of them finds out by itself, with a request of its own.
-func TestDaemonFindsOutWhetherALimitStillHolds(t *testing.T) {
+// The daemons that send to a rate-limited replica have stopped or are partitioned, so that no report
+// of the limit arrives. A daemon that is not a sender probes with one request whether it still holds.
+func TestNonSenderProbesStaleRateLimit(t *testing.T) {
 	group := []string{"d0", "d1", "d2", "d3", "d4", "d5", "d6", "d7"}
-	w := newWorld(1)
+	w := newFixture(1)
 	r := w.set.Get("r0")
-	senders, _ := namedLimits(0.5).Shares(len(group))
+	senders, _ := rateLimits(0.5).Shares(len(group))
 	for _, self := range group {
 		if !quota.IsSender(self, group, r.Hash(), senders) {
-			withNamed(w, self, group...)
+			setRateQuotas(w, self, group...)
 			break
 		}
 	}
 	if w.engine.Quotas == nil {
-		t.Fatal("all daemons send")
+		t.Fatal("all daemons are senders")
 	}
-	r.UpdateLimit(time.Now().Add(-limitHolds+time.Second), 0.5)
-	if got := where(t, w, job("s")); got != "" {
-		t.Error("it sends though others do")
+	r.UpdateLimit(time.Now().Add(-minLimitTTL+time.Second), 0.5)
+	if got := placedAt(t, w, job("s")); got != "" {
+		t.Error("a non-sender sends before the limit is stale")
 	}
 	w.set.Apply(time.Now(), replicas.Change{Removed: []request.TargetID{"r0"}})
 	w.put(0, 1)
-	w.set.Get("r0").UpdateLimit(time.Now().Add(-2*limitHolds-time.Second), 0.5)
-	if got := where(t, w, job("s")); got != "r0" {
-		t.Error("it never finds out")
+	w.set.Get("r0").UpdateLimit(time.Now().Add(-2*minLimitTTL-time.Second), 0.5)
+	if got := placedAt(t, w, job("s")); got != "r0" {
+		t.Error("it never probes the limit")
 	}
-	if got := where(t, w, job("s")); got != "" {
-		t.Error("it sends more than one")
+	if got := placedAt(t, w, job("s")); got != "" {
+		t.Error("it sends more than one probe")
 	}
 }
 
-// A third of the replicas has just started. They get some requests, within their bound, and the
-// others the rest; nobody is refused.
-func TestColdReplicasGetAFewRequests(t *testing.T) {
-	w := newWorld(6)
-	withCold(w, "d0")
+// A third of the replicas has just started. Cold replicas get requests up to their bound, the other
+// replicas get the rest, and no request is refused.
+func TestColdReplicasGetBoundedRequests(t *testing.T) {
+	w := newFixture(6)
+	setColdQuotas(w, "d0")
 	for _, r := range []request.TargetID{"r0", "r1"} {
 		w.set.Get(r).AssumeCold(time.Now())
 	}
@@ -126,34 +126,34 @@
 		got[p.Replica.Info().ID]++
 	}
 	if got["r0"] > 2 || got["r1"] > 2 {
-		t.Errorf("cold replicas got %d and %d requests in a moment", got["r0"], got["r1"])
+		t.Errorf("cold replicas got %d and %d requests at once", got["r0"], got["r1"])
 	}
 	if got["r0"]+got["r1"] == 0 {
-		t.Error("cold replicas got none")
+		t.Error("cold replicas got no requests")
 	}
 }
 
-// A daemon that has just started does not know how many others there are: it sends to warm
-// replicas, and to cold ones only where no other is left.
+// A daemon that has just started does not know the number of other daemons. It prefers warm replicas,
+// and uses cold ones only if no other replica is available.
 func TestStartingDaemonPrefersWarmReplicas(t *testing.T) {
-	w := newWorld(2)
-	withCold(w)
+	w := newFixture(2)
+	setColdQuotas(w)
 	w.set.Get("r0").AssumeCold(time.Now())
 	for i := range 20 {
-		if got := where(t, w, job(fmt.Sprint("s", i))); got != "r1" {
+		if got := placedAt(t, w, job(fmt.Sprint("s", i))); got != "r1" {
 			t.Fatalf("went to %q", got)
 		}
 	}
 	w.set.Get("r1").AssumeCold(time.Now())
-	if got := where(t, w, job("s")); got == "" {
+	if got := placedAt(t, w, job("s")); got == "" {
 		t.Error("refused with cold replicas idle")
 	}
 }
 
-// Plain services may have cold replicas, too.
-func TestPlainCallsKeepToTheBoundOfColdReplicas(t *testing.T) {
-	w := newWorld(1)
-	withCold(w, "d0")
+// Replicas of plain services may be cold as well.
+func TestPlainCallsRespectColdReplicaBound(t *testing.T) {
+	w := newFixture(1)
+	setColdQuotas(w, "d0")
 	w.set.Get("r0").AssumeCold(time.Now())
 	p := &Plain{Eligibility: w.engine.Eligibility, Domain: "a"}
 	j := &relay.Job{Service: &routing.Service{ID: "llm"}, Route: &routing.Route{}}
@@ -161,43 +161,43 @@
 		t.Fatal(err)
 	}
 	if _, err := p.Place(context.Background(), j, nil); err == nil {
-		t.Error("two at once")
+		t.Error("a cold replica got two calls at once")
 	}
 }
 
-// A replica takes one request in ten seconds. What was sent is remembered for as long, and not for
-// ever where no bound holds.
-func TestWhatWasSentIsRememberedAsLongAsABoundNeeds(t *testing.T) {
-	w := newWorld(1)
-	withNamed(w, "d0", "d0")
+// A replica accepts one request in ten seconds. Its record is retained for that time, and dropped once
+// no bound holds.
+func TestPaceIsRetainedWhileBoundNeedsIt(t *testing.T) {
+	w := newFixture(1)
+	setRateQuotas(w, "d0", "d0")
 	q, r, now := w.engine.Quotas, w.set.Get("r0"), time.Now()
 	q.Take(now, r)
 	r.UpdateLimit(now, 0.1)
 	later := now.Add(8 * time.Second)
 	q.Prune(later)
 	if q.Ready(later, r) {
-		t.Error("a second request after eight seconds")
+		t.Error("a second request is permitted after eight seconds")
 	}
 	r.UpdateLimit(later, 0)
 	q.Prune(later)
 	if len(q.paces) != 0 {
-		t.Error("what was sent is kept without a bound")
+		t.Error("the record is retained without a bound")
 	}
 }
 
-// A request is refused since its wait would be too long: it must not use up the one that a replica in
-// need takes in seconds.
-func TestRefusedRequestTakesNothingOfALimit(t *testing.T) {
-	w := newWorld(1)
-	withNamed(w, "d0", "d0")
+// A request is refused because its wait would be too long. It must not consume the only request that
+// an overloaded replica accepts in several seconds.
+func TestRefusedRequestConsumesNoRateLimit(t *testing.T) {
+	w := newFixture(1)
+	setRateQuotas(w, "d0", "d0")
 	r := w.set.Get("r0")
 	r.UpdateLimit(time.Now(), 0.2)
 	work := r.Load.Begin(10_000, 1_000_000)
-	if got := where(t, w, job("s")); got != "" {
+	if got := placedAt(t, w, job("s")); got != "" {
 		t.Fatal("not refused")
 	}
 	work.End()
-	if got := where(t, w, job("s")); got != "r0" {
-		t.Error("the replica is idle, and gets nothing")
+	if got := placedAt(t, w, job("s")); got != "r0" {
+		t.Error("the idle replica gets no request")
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,8 +1,7 @@
-// Package routing holds one version of the operators' desired state in the form in which
-// requests are matched against it: routes by host and path, organisations by key, and
-// services.
+// Package routing holds one version of the operators' desired state, indexed for matching requests:
+// routes by host and path, organisations by key, and services.
 //
-// A Snapshot is immutable, so a request that began under one version ends under it.
+// A Snapshot is immutable, so that a request sees the same version from its beginning to its end.
 package routing
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Kind says how often a request of a route may run.
+// Kind defines how often a request of a route may run.
 type Kind string
 
 // The kinds of routes.
@@ -26,33 +25,33 @@
 	KindStream     Kind = "stream"     // answers with events; runs at most once unless Resumable
 )
 
-// ServiceID names a service of the desired state.
+// ServiceID identifies a service of the desired state.
 type ServiceID string
 
-// Region names a region.
+// Region is the name of a region.
 type Region string
 
-// Share is one service's part of a route's requests.
+// Share is the share of a route's requests that one service gets.
 type Share struct {
 	Service ServiceID
 	Weight  float64
 }
 
-// Route says where requests below a path go and how long they may take.
+// Route defines where the requests under a path prefix go and how long they may take.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
 	Resumable   bool          // a stream may be continued at another replica
-	Timeout     time.Duration // the longest time a caller is kept waiting
-	Objective   time.Duration // until the answer, or the first event of a stream
-	MaxEventGap time.Duration // between two events of a stream that is on time; zero: not told
+	Timeout     time.Duration // longest time that a caller waits for an answer
+	Objective   time.Duration // latency objective for the answer, or for the first event of a stream
+	MaxEventGap time.Duration // between two events of a healthy stream; zero: unknown
 	Priority    int           // 0 is the most urgent
-	MaxAttempts int           // replicas to which one request may be sent
-	Anonymous   bool          // no key is asked for
-	Shares      []Share       // one entry or more
-	Homes       []Region      // where its requests may go; empty: anywhere
+	MaxAttempts int           // maximum number of replicas to which one request is sent
+	Anonymous   bool          // requests need no key
+	Shares      []Share       // at least one entry
+	Homes       []Region      // regions where requests may go; empty: anywhere
 }
 
 // Repeatable reports whether a request of the route may run more than once.
@@ -60,8 +59,8 @@
 	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
-// ServiceFor returns the service that takes a request. The same key always falls to the
-// same service while the weights stay.
+// ServiceFor returns the service that handles a request. The same key maps to the same service as long
+// as the shares do not change.
 func (r *Route) ServiceFor(key string) ServiceID {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -70,7 +69,7 @@
 	for _, s := range r.Shares {
 		total += max(0, s.Weight)
 	}
-	const buckets = 1 << 20 // resolution of the split, one in a million
+	const buckets = 1 << 20 // a resolution of one in a million
 	at := float64(xxhash.Sum64String(key)%buckets) / buckets * total
 	for _, s := range r.Shares {
 		if at -= max(0, s.Weight); at < 0 {
@@ -83,51 +82,52 @@
 // Engine describes the model replicas of a service.
 type Engine struct {
 	Slots         int     // requests in one batch
-	MemoryTokens  int     // KV cache of one replica
-	TokenBytes    int     // KV cache of one token
-	LinkMbps      float64 // of a replica
+	MemoryTokens  int     // KV cache capacity of one replica
+	TokenBytes    int     // KV cache size of one token
+	LinkMbps      float64 // bandwidth of a replica's link
 	Models        []request.Model
-	MaxFollowers  int  // event followers that a replica bears at once
-	ManagedStores bool // stores are freed by us, and each part may name its own
+	MaxFollowers  int  // event followers that a replica accepts at once
+	ManagedStores bool // daemons manage the space of the stores, and each part may have its own store
 }
 
 // ContextStore describes a store of KV cache.
 type ContextStore struct {
 	Address        string
 	FailureDomain  string
-	CapacityTokens int     // room
+	CapacityTokens int
 	LinkMbps       float64 // shared by all transfers
 	FirstByte      time.Duration
-	Managed        bool // nothing is dropped unless we free it
+	Managed        bool // nothing is evicted unless a daemon frees it
 }
 
-// Service is a set of replicas, or one store.
+// Service is a set of replicas, or one context store.
 type Service struct {
 	ID         ServiceID
 	HealthPath string
-	MaxConns   int           // connections to one replica, over all daemons
+	MaxConns   int           // connections to one replica, from all daemons together
 	Engine     *Engine       // nil for plain services
 	Store      *ContextStore // nil for replicas
 	ColdStart  ColdStart
 }
 
-// ColdStart describes replicas that have just started. The zero ColdStart: they are as good as any.
+// ColdStart describes how replicas behave after a start. The zero value means that a new replica is as
+// fast as any other.
 type ColdStart struct {
-	Duration  time.Duration // from the start
-	PerSecond float64       // requests that one bears meanwhile, over all daemons; zero: as many as any
+	Duration  time.Duration // counted from the start
+	PerSecond float64       // requests that a cold replica accepts from all daemons together; zero: as many as a warm one
 }
 
 // Org is an organisation.
 type Org struct {
 	ID          request.OrgID
-	Priority    int      // goes before a route's, if HasPriority
-	HasPriority bool     // Priority is set
-	Isolated    bool     // shares no KV cache with others
-	Homes       []Region // where its requests may go; empty: anywhere
+	Priority    int // overrides the route's priority if HasPriority is set
+	HasPriority bool
+	Isolated    bool     // shares no KV cache with other organisations
+	Homes       []Region // regions where its requests may go; empty: anywhere
 }
 
-// AllowedIn reports whether requests of a route and an organisation, nil if there is none, may go
-// to a region. Where both have homes, both bind.
+// AllowedIn reports whether requests of a route and an organisation may go to a region. org is nil if
+// there is none. If both have home regions, both restrict the request.
 func AllowedIn(region Region, route *Route, org *Org) bool {
 	return allows(route.Homes, region) && (org == nil || allows(org.Homes, region))
 }
@@ -136,7 +136,7 @@
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// CallerLimits bound what a caller may send.
+// CallerLimits bound the requests of a caller.
 type CallerLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -150,21 +150,21 @@
 	Services map[ServiceID]*Service
 	Limits   CallerLimits
 
-	byHost map[string][]*Route // longest prefix first
-	keys   map[string]*Org
-	keyed  bool
+	byHost       map[string][]*Route // longest prefix first
+	keys         map[string]*Org
+	requiresKeys bool
 }
 
-// NewSnapshot builds a snapshot. keys maps a key to its organisation; nil means that the
-// desired state has no organisations, and no request needs a key.
+// NewSnapshot builds a snapshot. keys maps each key to its organisation; nil means that the desired
+// state has no organisations and that no request needs a key.
 func NewSnapshot(version uint64, routes []*Route, services []*Service, keys map[string]*Org, limits CallerLimits) *Snapshot {
 	s := &Snapshot{
-		Version:  version,
-		Services: make(map[ServiceID]*Service, len(services)),
-		Limits:   limits,
-		byHost:   make(map[string][]*Route),
-		keys:     keys,
-		keyed:    keys != nil,
+		Version:      version,
+		Services:     make(map[ServiceID]*Service, len(services)),
+		Limits:       limits,
+		byHost:       make(map[string][]*Route),
+		keys:         keys,
+		requiresKeys: keys != nil,
 	}
 	for _, service := range services {
 		s.Services[service.ID] = service
@@ -178,8 +178,8 @@
 	return s
 }
 
-// Match returns the route with the longest prefix that begins the path, nil if there is
-// none. The path is taken as it was sent, still escaped.
+// Match returns the route with the longest prefix of the path, nil if there is none. path must be
+// escaped, as it was received.
 func (s *Snapshot) Match(host, path string) *Route {
 	for _, r := range s.routesOf(host) {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -189,8 +189,7 @@
 	return nil
 }
 
-// routesOf returns the routes of a host, longest prefix first. A port that the host names is no part
-// of it.
+// routesOf returns the routes of a host, longest prefix first. It ignores a port in host.
 func (s *Snapshot) routesOf(host string) []*Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -198,7 +197,7 @@
 	return s.byHost[strings.ToLower(host)]
 }
 
-// HomesOf returns the regions that are homes of some route of a host; empty if none has homes.
+// HomesOf returns the home regions of all routes of a host, empty if no route has any.
 func (s *Snapshot) HomesOf(host string) []Region {
 	var homes []Region
 	for _, r := range s.routesOf(host) {
@@ -215,9 +214,9 @@
 func (s *Snapshot) OrgOf(key string) *Org { return s.keys[key] }
 
 // NeedsKey reports whether requests of a route need a key.
-func (s *Snapshot) NeedsKey(r *Route) bool { return s.keyed && !r.Anonymous }
+func (s *Snapshot) NeedsKey(r *Route) bool { return s.requiresKeys && !r.Anonymous }
 
-// Stores returns the context stores, in the order of their ids.
+// Stores returns the context stores, ordered by id.
 func (s *Snapshot) Stores() []*Service {
 	var stores []*Service
 	for _, service := range s.Services {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -15,7 +15,7 @@
 	return NewSnapshot(1, routes, nil, map[string]*Org{"k": {ID: "o"}}, CallerLimits{})
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPrefixOfHostWins(t *testing.T) {
 	s := snapshot()
 	for _, c := range []struct{ host, path, want string }{
 		{"a", "/x/y/z", "deep"},
@@ -36,20 +36,20 @@
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestKeysIdentifyOrganisations(t *testing.T) {
 	s := snapshot()
 	if s.OrgOf("k") == nil || s.OrgOf("x") != nil || s.OrgOf("") != nil {
-		t.Error("keys are mixed up")
+		t.Error("a key maps to the wrong organisation")
 	}
 	if !s.NeedsKey(s.Match("a", "/")) || s.NeedsKey(s.Match("a", "/x/")) {
-		t.Error("anonymous routes are mixed up")
+		t.Error("the wrong routes need a key")
 	}
 	if open := NewSnapshot(1, nil, nil, nil, CallerLimits{}); open.NeedsKey(&Route{}) {
-		t.Error("a desired state without organisations asks for keys")
+		t.Error("a desired state without organisations requires keys")
 	}
 }
 
-// Sessions keep their service while the weights stay, and the shares come out.
+// A session stays with one service while the shares do not change, and each service gets its share.
 func TestSplitFollowsTheWeights(t *testing.T) {
 	r := &Route{Shares: []Share{{"s1", 90}, {"s2", 10}, {"none", 0}}}
 	counts := map[ServiceID]int{}
@@ -57,7 +57,7 @@
 		key := fmt.Sprint("session", i)
 		service := r.ServiceFor(key)
 		if service != r.ServiceFor(key) {
-			t.Fatal("a session moves")
+			t.Fatal("a session changes its service")
 		}
 		counts[service]++
 	}
@@ -66,9 +66,9 @@
 	}
 }
 
-// A caller asks the directory for a host as it will name it, with a port or in capitals: the homes
-// found must be those of the route that its request then takes.
-func TestHomesAreFoundAsRoutesAre(t *testing.T) {
+// A caller queries the directory with the host as it later sends it, with a port or in capitals. The
+// homes must be those of the route that the request then matches.
+func TestHomesMatchRouteOfHost(t *testing.T) {
 	s := NewSnapshot(1, []*Route{{Name: "r", Host: "h.example", Prefix: "/", Homes: []Region{"eu"}}}, nil, nil, CallerLimits{})
 	for _, host := range []string{"h.example", "H.example", "h.example:8080"} {
 		if s.Match(host, "/x") == nil {
