--- a/internal/replicas/cold.go
+++ b/internal/replicas/cold.go
@@ -7,11 +7,11 @@
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
-// Cold reports whether the replica bears few requests only: it has just started, or may have.
+// Cold reports whether the replica accepts few requests because it has just started, or may have.
 func (r *Replica) Cold(now time.Time) bool { return r.cold.IsAhead(now) }
 
-// AssumeCold says that the replica may have started just now. The registry tells of that some
-// seconds later; what it told before is no reason to believe otherwise.
+// AssumeCold records that the replica may have just started. The registry shows a start only seconds
+// later, so that its current entry does not contradict this.
 func (r *Replica) AssumeCold(now time.Time) {
 	if r.coldFor == nil {
 		return
@@ -21,8 +21,8 @@
 	}
 }
 
-// SetColdStarts tells how long the replicas of each service are cold after a start; those of
-// services that are not named never are.
+// SetColdStarts sets how long the replicas of each service are cold after a start. Replicas of services
+// that are not listed are never cold.
 func (s *Set) SetColdStarts(after map[routing.ServiceID]time.Duration) {
 	s.coldMu.Lock()
 	defer s.coldMu.Unlock()
--- a/internal/replicas/evacuated.go
+++ b/internal/replicas/evacuated.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// evacuationGrace is how long an evacuation goes on that a key-value service lacks which may have
-// lost it: operators write it again within seconds, or take it back.
+// evacuationGrace is how long an evacuation continues that the key-value service may have lost. Operators
+// write it again or withdraw it within seconds.
 const evacuationGrace = 5 * time.Second
 
-// EvacuationChange is an update of the failure domains whose replicas are to get nothing new.
+// EvacuationChange is an update of the failure domains whose replicas must get no new requests.
 type EvacuationChange struct {
 	Begun []string
-	Ended []string // taken back by an operator
-	Full  bool     // Begun are all there are
-	// MayBeLost is set if a missing evacuation may have been lost and not taken back.
+	Ended []string // withdrawn by an operator
+	Full  bool     // Begun is the complete list
+	// MayBeLost is set if a missing evacuation may have been lost rather than withdrawn.
 	MayBeLost bool
 }
 
-// ApplyEvacuations takes an update, and returns which failure domains are evacuated now and were
-// not before, and the other way round.
+// ApplyEvacuations applies an update. It returns the failure domains whose evacuation begins or ends
+// with it.
 func (s *Set) ApplyEvacuations(now time.Time, c EvacuationChange) (begun, ended []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,43 +31,44 @@
 			begun = append(begun, domain)
 		}
 		next[domain] = true
-		delete(s.evacuationEnds, domain)
+		delete(s.evacuationExpiry, domain)
 	}
 	for _, domain := range c.Ended {
 		delete(next, domain)
 	}
 	if c.Full {
 		for domain := range next {
-			s.missEvacuation(now, next, present, domain, c.MayBeLost)
+			s.handleMissingEvacuation(now, next, present, domain, c.MayBeLost)
 		}
 	}
 	return begun, s.setEvacuated(now, next)
 }
 
-// missEvacuation ends an evacuation that a full list lacks, at once or after a while.
-func (s *Set) missEvacuation(now time.Time, next, present map[string]bool, domain string, lapsing bool) {
-	switch _, waits := s.evacuationEnds[domain]; {
+// handleMissingEvacuation ends an evacuation that is missing from a complete list, immediately or after
+// evacuationGrace.
+func (s *Set) handleMissingEvacuation(now time.Time, next, present map[string]bool, domain string, mayBeLost bool) {
+	switch _, pending := s.evacuationExpiry[domain]; {
 	case present[domain]:
-	case !lapsing:
+	case !mayBeLost:
 		delete(next, domain)
-	case !waits:
-		s.evacuationEnds[domain] = now.Add(evacuationGrace)
+	case !pending:
+		s.evacuationExpiry[domain] = now.Add(evacuationGrace)
 	}
 }
 
-// tickEvacuations ends evacuations that nobody named again.
-func (s *Set) tickEvacuations(now time.Time) {
+// expireEvacuations ends evacuations that were not written again in time.
+func (s *Set) expireEvacuations(now time.Time) {
 	next := maps.Clone(*s.evacuated.Load())
-	for domain, at := range s.evacuationEnds {
-		if now.After(at) {
+	for domain, deadline := range s.evacuationExpiry {
+		if now.After(deadline) {
 			delete(next, domain)
 		}
 	}
 	s.setEvacuated(now, next)
 }
 
-// setEvacuated notes which failure domains are evacuated, and returns those that are no more.
-// Their replicas may have started anew meanwhile, and count as cold.
+// setEvacuated sets the evacuated failure domains, and returns those whose evacuation has ended. Their
+// replicas may have restarted meanwhile, and count as cold.
 func (s *Set) setEvacuated(now time.Time, next map[string]bool) (ended []string) {
 	before := *s.evacuated.Load()
 	if maps.Equal(before, next) {
@@ -76,7 +77,7 @@
 	for domain := range before {
 		if !next[domain] {
 			ended = append(ended, domain)
-			delete(s.evacuationEnds, domain)
+			delete(s.evacuationExpiry, domain)
 		}
 	}
 	for _, r := range s.byID {
@@ -88,8 +89,8 @@
 	return ended
 }
 
-// Evacuated reports whether the replicas of a failure domain are to get nothing new.
+// Evacuated reports whether the replicas of a failure domain must get no new requests.
 func (s *Set) Evacuated(domain string) bool { return (*s.evacuated.Load())[domain] }
 
-// EvacuatedDomains returns the number of failure domains that are evacuated.
+// EvacuatedDomains returns the number of evacuated failure domains.
 func (s *Set) EvacuatedDomains() int { return len(*s.evacuated.Load()) }
--- a/internal/replicas/health.go
+++ b/internal/replicas/health.go
@@ -7,126 +7,126 @@
 )
 
 const (
-	// failureWeight is the part of the newest answer in the moving error rate: about the
-	// last eight answers count.
+	// failureWeight is the weight of the newest answer in the moving error rate. About the last eight
+	// answers count.
 	failureWeight = 0.12
-	// firstRest is how long a replica that can't be reached is left alone; each failure
-	// in a row doubles it. A restart takes seconds, a flap under one.
-	firstRest = 300 * time.Millisecond
-	maxRest   = 3 * time.Second
-	// restAfter is how many failures in a row make a replica rest. One may be a
-	// connection that its peer closed.
-	restAfter = 2
+	// minBackoff is how long an unreachable replica is avoided at first; each consecutive failure doubles
+	// the time. A restart takes seconds, a brief connection loss less than one.
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 3 * time.Second
+	// backoffThreshold is the number of consecutive failures after which a replica backs off. A single
+	// failure may be a connection that the replica had closed.
+	backoffThreshold = 2
 )
 
-// Health is how a replica answered lately. It is safe for concurrent use.
+// Health is the recent health of a replica. It is safe for concurrent use.
 type Health struct {
-	mu      sync.Mutex
-	rate    float64 // moving share of failed requests
-	samples int
-	row     int // failures in a row to reach it or hear from it
-	until   time.Time
-	trial   bool // the one request after a rest is under way
-	down    bool // it accepts no connection; only a probe that gets one ends that
-	found   bool // of down: this daemon found it itself, and has not only a peer's word
-	probing bool // a probe is under way
+	mu           sync.Mutex
+	rate         float64 // moving share of failed requests
+	samples      int
+	failures     int // consecutive failures to connect or to get an answer
+	backoffUntil time.Time
+	trial        bool // the single request after a backoff is in flight
+	down         bool // it accepts no connections; only a successful probe or an answer clears this
+	confirmed    bool // down was observed by this daemon, not only reported by a peer
+	probing      bool // a probe is in flight
 }
 
-// RecordAnswer notes an answer of the replica; failed says that it was an error of its own.
+// RecordAnswer records an answer of the replica; failed is set if it was the replica's own error.
 func (h *Health) RecordAnswer(failed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.row, h.trial, h.until, h.down, h.found = 0, false, time.Time{}, false, false
-	h.note(failed)
+	h.failures, h.trial, h.backoffUntil, h.down, h.confirmed = 0, false, time.Time{}, false, false
+	h.record(failed)
 }
 
-// RecordFailure notes that the replica could not be reached, or broke off.
+// RecordFailure records that the replica could not be reached, or broke off its answer.
 func (h *Health) RecordFailure(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.row++
+	h.failures++
 	h.trial = false
-	h.note(true)
-	if h.row >= restAfter {
-		h.rest(now)
+	h.record(true)
+	if h.failures >= backoffThreshold {
+		h.backOff(now)
 	}
 }
 
-// RecordDown notes that the replica accepts no connection, and reports whether that is news. It
-// gets no requests until a probe got a connection: else each daemon would find out with a
-// caller's request again and again that a replica is still dark.
+// RecordDown records that the replica accepts no connections, and reports whether the state changed. The
+// replica gets no requests until a probe succeeds. Otherwise each daemon would use callers' requests to
+// find out, again and again, that the replica is still down.
 func (h *Health) RecordDown(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.note(true)
-	h.trial, h.found = false, true
+	h.record(true)
+	h.trial, h.confirmed = false, true
 	if h.down {
 		return false
 	}
-	h.down, h.row = true, restAfter
-	h.until = now.Add(firstRest)
+	h.down, h.failures = true, backoffThreshold
+	h.backoffUntil = now.Add(minBackoff)
 	return true
 }
 
-// Suspect notes a peer's word that the replica accepts no connection: it gets no requests
-// until a probe of our own got one. It reports whether that probe is to be made.
+// Suspect records a peer's report that the replica accepts no connections. The replica gets no requests
+// until this daemon's own probe succeeds. Suspect reports whether the caller must start that probe.
 func (h *Health) Suspect() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.down {
 		return false
 	}
-	h.down, h.probing, h.row = true, true, max(h.row, restAfter)
+	h.down, h.probing, h.failures = true, true, max(h.failures, backoffThreshold)
 	return true
 }
 
-// ProbeDue reports whether a probe is to be made now, and takes it for made.
+// ProbeDue reports whether a probe is due, and if so marks it as started.
 func (h *Health) ProbeDue(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.down || h.probing || now.Before(h.until) {
+	if !h.down || h.probing || now.Before(h.backoffUntil) {
 		return false
 	}
 	h.probing = true
 	return true
 }
 
-// ConfirmedDown reports whether this daemon itself found that the replica accepts no connection, and
-// has got none since.
+// ConfirmedDown reports whether this daemon itself found that the replica accepts no connections, and has
+// not connected since.
 func (h *Health) ConfirmedDown() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.found
+	return h.confirmed
 }
 
-// RecordProbe notes the outcome of a probe.
+// RecordProbe records the result of a probe.
 func (h *Health) RecordProbe(now time.Time, connected bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.probing = false
 	if connected {
-		h.down, h.found, h.row, h.until = false, false, 0, time.Time{}
+		h.down, h.confirmed, h.failures, h.backoffUntil = false, false, 0, time.Time{}
 		return
 	}
-	h.found = true
-	h.row++
-	h.rest(now)
+	h.confirmed = true
+	h.failures++
+	h.backOff(now)
 }
 
-// rest leaves the replica alone for a time that doubles with each failure in a row.
-func (h *Health) rest(now time.Time) {
-	rest := firstRest << min(h.row-restAfter, 8)
-	h.until = now.Add(min(rest, maxRest))
+// backOff avoids the replica for a time that doubles with each consecutive failure.
+func (h *Health) backOff(now time.Time) {
+	backoff := minBackoff << min(h.failures-backoffThreshold, 8)
+	h.backoffUntil = now.Add(min(backoff, maxBackoff))
 }
 
-// RecordAbandoned says that a request was given up before the replica showed anything.
+// RecordAbandoned records that a request was cancelled before the replica sent anything.
 func (h *Health) RecordAbandoned() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.trial = false
 }
 
-func (h *Health) note(failed bool) {
+func (h *Health) record(failed bool) {
 	value := 0.0
 	if failed {
 		value = 1
@@ -135,32 +135,31 @@
 	h.rate += max(failureWeight, 1/float64(h.samples)) * (value - h.rate)
 }
 
-// BackingOff reports whether the replica is left alone now. After its rest one request at a
-// time tries it until one is answered; one that accepted no connection is probed first.
+// BackingOff reports whether the replica gets no requests now. After the backoff one request at a time is
+// sent to it until one is answered. A replica that accepted no connection is probed first.
 func (h *Health) BackingOff(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.down {
 		return true
 	}
-	if h.row < restAfter {
+	if h.failures < backoffThreshold {
 		return false
 	}
-	return now.Before(h.until) || h.trial
+	return now.Before(h.backoffUntil) || h.trial
 }
 
-// BeginAttempt says that a request is about to be sent.
+// BeginAttempt records that a request is about to be sent.
 func (h *Health) BeginAttempt() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.trial = h.row >= restAfter
+	h.trial = h.failures >= backoffThreshold
 }
 
-// ErrorRate returns the moving share of failures, pulled towards zero while few answers
-// are known.
+// ErrorRate returns the moving share of failures. With few samples it is scaled towards zero.
 func (h *Health) ErrorRate() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	const sure = 6 // answers from which the rate is taken as it is
-	return h.rate * math.Min(1, float64(h.samples)/sure)
+	const minSamples = 6 // samples from which the rate is not scaled
+	return h.rate * math.Min(1, float64(h.samples)/minSamples)
 }
--- a/internal/replicas/leaving_test.go
+++ b/internal/replicas/leaving_test.go
@@ -7,44 +7,45 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// A replica said that it leaves. Its entry, by which it is ready, is written again, lapses in an
-// outage and is back from an older copy: it still leaves. Another start under its id does not.
-func TestReplicaThatLeavesStaysSo(t *testing.T) {
+// A replica announces that it is leaving. Its entry, which says that it is ready, is written again, then
+// expires in an outage and reappears from an older copy: this start is still leaving. The next start
+// under the same id is not.
+func TestLeavingIsPermanentForAStart(t *testing.T) {
 	i := info("a")
 	i.Started = 7
 	s, now := NewSet(), time.Now()
 	s.Apply(now, Change{Present: []Info{i}})
 	if s.Get("a").Leaving() {
-		t.Fatal("leaves from the start")
+		t.Fatal("a new replica is leaving")
 	}
 	if !s.Get("a").ObserveLeaving() || s.Get("a").ObserveLeaving() {
-		t.Error("not news once")
+		t.Error("want exactly one change")
 	}
 	s.Apply(now, Change{Present: []Info{i}})
 	if !s.Get("a").Leaving() {
-		t.Error("ready since the registry says so")
+		t.Error("an entry ended the leaving state")
 	}
 	s.Apply(now, Change{Removed: []request.TargetID{"a"}})
-	s.Tick(now.Add(leftKept - time.Second))
+	s.Tick(now.Add(departureRetention - time.Second))
 	s.Apply(now, Change{Present: []Info{i}})
 	if !s.Get("a").Leaving() {
-		t.Error("ready when its entry is back")
+		t.Error("a reappearing entry ended the leaving state")
 	}
 	i.Started = 8
 	s.Apply(now, Change{Present: []Info{i}})
 	if s.Get("a").Leaving() {
-		t.Error("another start leaves")
+		t.Error("the next start is leaving")
 	}
 }
 
-// Replicas come and go every day: those that left are not remembered for ever.
-func TestReplicasThatLeftAreForgotten(t *testing.T) {
+// Replicas come and go every day. Departures must not be remembered forever.
+func TestDeparturesArePruned(t *testing.T) {
 	s, now := NewSet(), time.Now()
 	s.Apply(now, Change{Present: []Info{info("a")}})
 	s.Get("a").ObserveLeaving()
 	s.Apply(now, Change{Removed: []request.TargetID{"a"}})
-	s.Tick(now.Add(leftKept + time.Second))
-	if len(s.left) != 0 {
-		t.Error("still remembered")
+	s.Tick(now.Add(departureRetention + time.Second))
+	if len(s.departures) != 0 {
+		t.Error("the departure is still remembered")
 	}
 }
--- a/internal/replicas/limit.go
+++ b/internal/replicas/limit.go
@@ -5,64 +5,65 @@
 	"time"
 )
 
-// limitEndTold is for how long after a replica last named a rate limit what it says is told to peers: a
-// datagram is lost at times, and one that missed the end would leave the replica alone.
-const limitEndTold = 2 * time.Second
+// limitEndRepeat is how long after a replica last reported a rate limit its answers are still sent to
+// peers. Datagrams may be lost, and a peer that missed the end of the limit would avoid the replica.
+const limitEndRepeat = 2 * time.Second
 
-// rateLimit is what was said last of how many requests a replica takes. The zero rateLimit: nothing.
+// rateLimit is the last reported rate limit of a replica. The zero value means that none was reported.
 type rateLimit struct {
-	mu        sync.Mutex
-	perSecond float64   // from all daemons together; zero: as many as come
-	at        time.Time // when it was said
-	named     time.Time // when a limit was named last
+	mu         sync.Mutex
+	perSecond  float64   // requests from all daemons together; zero: unlimited
+	reportedAt time.Time // time of the report
+	limitedAt  time.Time // time of the last report of a nonzero limit
 }
 
-// ObserveLimit notes how many requests a second an answer of the replica says that it takes from all
-// daemons together, zero for as many as come, and has peers told. It reports whether that is news.
+// ObserveLimit records the rate limit that an answer of the replica reports, in requests a second from
+// all daemons together, zero if it is unlimited. It notifies the listener, and reports whether the
+// limit changed.
 func (r *Replica) ObserveLimit(now time.Time, perSecond float64) (changed bool) {
 	changed = r.UpdateLimit(now, perSecond)
-	if now.Sub(r.limit.lastNamed()) < limitEndTold {
-		r.on.limit(r)
+	if now.Sub(r.limit.lastLimitedAt()) < limitEndRepeat {
+		r.listeners.limit(r)
 	}
 	return changed
 }
 
-// UpdateLimit notes a rate limit that was told at a time, here or to a peer. It reports whether
-// that is news; what is older than what is known is not.
+// UpdateLimit records a rate limit that was reported at the given time, to this daemon or to a peer. It
+// ignores reports that are older than the last one, and reports whether the limit changed.
 func (r *Replica) UpdateLimit(at time.Time, perSecond float64) (changed bool) {
 	l := &r.limit
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.at.After(at) {
+	if l.reportedAt.After(at) {
 		return false
 	}
 	changed = l.perSecond != perSecond
-	l.perSecond, l.at = perSecond, at
+	l.perSecond, l.reportedAt = perSecond, at
 	if perSecond > 0 {
-		l.named = at
+		l.limitedAt = at
 	}
 	return changed
 }
 
-// Limit returns how many requests a second the replica takes from all daemons together, and when
-// that was said. Zero: as many as come.
+// Limit returns how many requests a second the replica accepts from all daemons together, zero if it is
+// unlimited, and when it reported that.
 func (r *Replica) Limit() (perSecond float64, at time.Time) {
 	r.limit.mu.Lock()
 	defer r.limit.mu.Unlock()
-	return r.limit.perSecond, r.limit.at
+	return r.limit.perSecond, r.limit.reportedAt
 }
 
-func (l *rateLimit) lastNamed() time.Time {
+func (l *rateLimit) lastLimitedAt() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.named
+	return l.limitedAt
 }
 
-// OnLimit has a function called when an answer to this daemon names a replica's limit, or the end
-// of one. It must be set before the first Apply.
-func (s *Set) OnLimit(f func(*Replica)) { s.on.limit = f }
+// OnLimit registers a function that is called when an answer to this daemon reports a replica's rate limit
+// or its end. It must be called before the first Apply.
+func (s *Set) OnLimit(f func(*Replica)) { s.listeners.limit = f }
 
-// Limited returns the number of replicas that name a limit.
+// Limited returns the number of replicas with a rate limit.
 func (s *Set) Limited() int {
 	limited := 0
 	for _, r := range s.All() {
--- a/internal/replicas/load.go
+++ b/internal/replicas/load.go
@@ -7,16 +7,16 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// peerLoadAge is how long a peer's word on its load counts. Peers tell several times a
-// second; one that fell silent has died or is cut off.
-const peerLoadAge = time.Second
+// peerLoadTTL is how long a peer's reported load counts. Peers report several times a second; a peer
+// without reports has died or is partitioned.
+const peerLoadTTL = time.Second
 
-// Work is what a set of requests asks of a replica.
+// Work is the load that a set of requests puts on a replica.
 type Work struct {
 	Requests   int
-	Tokens     int // KV cache that they hold or will hold
-	Prefill    int // prompt tokens that are still to be computed
-	LongTokens int // of Tokens, those of requests with long answers
+	Tokens     int // KV cache that the requests hold or will hold
+	Prefill    int // prompt tokens still to be computed
+	LongTokens int // the part of Tokens that belongs to requests with long outputs
 }
 
 func (w *Work) add(o Work) {
@@ -31,27 +31,27 @@
 	at   time.Time
 }
 
-// Load is what a replica carries, as far as daemons know. It is safe for concurrent use.
+// Load is the known load of a replica. It is safe for concurrent use.
 type Load struct {
 	mu    sync.Mutex
 	own   Work
 	peers map[request.DaemonID]peerWork
 }
 
-// Own returns what this daemon has in flight at the replica.
+// Own returns the work that this daemon has in flight at the replica.
 func (l *Load) Own() Work {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.own
 }
 
-// Total adds what peers said lately.
+// Total returns the work of this daemon and the recently reported work of its peers.
 func (l *Load) Total(now time.Time) Work {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	total := l.own
 	for id, p := range l.peers {
-		if now.Sub(p.at) > peerLoadAge {
+		if now.Sub(p.at) > peerLoadTTL {
 			delete(l.peers, id)
 			continue
 		}
@@ -60,7 +60,7 @@
 	return total
 }
 
-// SetPeer notes what a peer has in flight.
+// SetPeer records the work that a peer has in flight.
 func (l *Load) SetPeer(now time.Time, peer request.DaemonID, w Work) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,12 +77,12 @@
 	work Work
 }
 
-// Begin counts a request until the flight's End.
+// Begin counts a request as in flight until Flight.End.
 func (l *Load) Begin(tokens, prefill int) *Flight {
 	return l.begin(Work{Requests: 1, Tokens: tokens, Prefill: prefill})
 }
 
-// BeginLongOutput is Begin for a request with a long answer.
+// BeginLongOutput is Begin for a request with a long output.
 func (l *Load) BeginLongOutput(tokens, prefill int) *Flight {
 	return l.begin(Work{Requests: 1, Tokens: tokens, Prefill: prefill, LongTokens: tokens})
 }
@@ -94,23 +94,23 @@
 	return &Flight{load: l, work: w}
 }
 
-// Computed says that the prompt has been computed: the first token came.
+// Computed records that the prompt has been computed, because the first token arrived.
 func (f *Flight) Computed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.load.take(Work{Prefill: f.work.Prefill})
+	f.load.subtract(Work{Prefill: f.work.Prefill})
 	f.work.Prefill = 0
 }
 
-// End says that the request left the replica. It may be called more than once.
+// End records that the request no longer runs at the replica. It may be called more than once.
 func (f *Flight) End() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.load.take(f.work)
+	f.load.subtract(f.work)
 	f.work = Work{}
 }
 
-func (l *Load) take(w Work) {
+func (l *Load) subtract(w Work) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.own.add(Work{Requests: -w.Requests, Tokens: -w.Tokens, Prefill: -w.Prefill, LongTokens: -w.LongTokens})
--- a/internal/replicas/reach.go
+++ b/internal/replicas/reach.go
@@ -5,70 +5,69 @@
 	"time"
 )
 
-// SetBusy says that the replica takes no requests until a time: it loads weights.
+// SetBusy records that the replica accepts no requests until the given time, because it loads weights.
 func (r *Replica) SetBusy(until time.Time) { r.busy.Set(until) }
 
-// Busy reports whether the replica takes no requests now.
+// Busy reports whether the replica accepts no requests now.
 func (r *Replica) Busy(now time.Time) bool { return r.busy.IsAhead(now) }
 
-// RecordRefusal notes that the replica would not run a model's request: it is full, or carries out
-// an order and waits for what runs to end, which takes seconds. It looks idle meanwhile. Left
-// to itself each daemon sent it one request after the other, and callers were refused when
-// two replicas had.
+// RecordRefusal records that the replica refused to run a request, and notifies the listener. The
+// replica is at capacity, or it executes an order and waits for running requests to end, which takes
+// seconds and looks idle meanwhile. Without this record each daemon sent it one request after the
+// other, and callers were refused after two replicas had refused their request.
 func (r *Replica) RecordRefusal(now time.Time) {
-	r.AvoidFor(now, refusedFor)
-	r.on.refused(r)
+	r.AvoidFor(now, refusalBackoff)
+	r.listeners.refused(r)
 }
 
-// AvoidFor says that the replica takes no requests for a time, unless that is known to last
-// longer.
+// AvoidFor records that the replica accepts no requests for a duration, unless it is known to last longer.
 func (r *Replica) AvoidFor(now time.Time, d time.Duration) { r.busy.Extend(now.Add(d)) }
 
-// BackOff notes that the replica turned a request of this daemon away and wants none until a
-// time, unless that is known to be later.
+// BackOff records that the replica rejected a request of this daemon and accepts none until the given
+// time, unless a later time is known.
 func (r *Replica) BackOff(until time.Time) { r.backoff.Extend(until) }
 
-// BackoffLeft returns for how much longer the replica wants no requests of this daemon.
+// BackoffLeft returns how much longer the replica accepts no requests of this daemon.
 func (r *Replica) BackoffLeft(now time.Time) time.Duration {
-	until, asked := r.backoff.Time()
-	if !asked {
+	until, known := r.backoff.Time()
+	if !known {
 		return 0
 	}
 	return max(0, until.Sub(now))
 }
 
-// RecordUnreachable notes that no connection to the replica could be opened, and tells peers.
+// RecordUnreachable records that no connection to the replica could be opened, and notifies the listener.
 func (r *Replica) RecordUnreachable(now time.Time) {
 	if r.Health.RecordDown(now) {
-		r.on.down(r)
+		r.listeners.down(r)
 	}
 }
 
-// Suspect notes a peer's word that no connection to the replica can be opened. Its own
-// connection decides: a peer may be cut off by itself.
+// Suspect handles a peer's report that the replica accepts no connections. This daemon probes the
+// replica itself, because the peer may be partitioned.
 func (r *Replica) Suspect(ctx context.Context) {
 	if r.Health.Suspect() {
 		go r.probe(ctx)
 	}
 }
 
-// IsDown reports whether the replica accepts no connection just after one to it broke. The
-// many requests that it ran ask at once; one connection answers all of them.
+// IsDown reports whether the replica accepts no connections, just after a connection to it broke. Many
+// requests call it at the same time; one probe serves all of them.
 func (r *Replica) IsDown(ctx context.Context) bool {
-	r.lookMu.Lock()
-	defer r.lookMu.Unlock()
+	r.probeMu.Lock()
+	defer r.probeMu.Unlock()
 	now := time.Now()
-	if now.Sub(r.lookedAt) < lookAgain {
-		return r.dead
+	if now.Sub(r.probedAt) < probeResultTTL {
+		return r.down
 	}
-	r.dead, r.lookedAt = r.Pool.Probe(ctx) != nil, now
-	if r.dead {
+	r.down, r.probedAt = r.Pool.Probe(ctx) != nil, now
+	if r.down {
 		r.RecordUnreachable(now)
 	}
-	return r.dead
+	return r.down
 }
 
-// RecordAnswer notes an answer of the replica; failed says that it was an error of its own.
+// RecordAnswer records an answer of the replica; failed is set if it was the replica's own error.
 func (r *Replica) RecordAnswer(now time.Time, failed bool) {
 	if r.Health.ConfirmedDown() {
 		r.AssumeCold(now)
@@ -76,8 +75,8 @@
 	r.Health.RecordAnswer(failed)
 }
 
-// probe finds out whether the replica accepts a connection. One that accepted none before has
-// mostly started anew.
+// probe checks whether the replica accepts connections. A replica that did not before has usually
+// restarted.
 func (r *Replica) probe(ctx context.Context) {
 	err := r.Pool.Probe(ctx)
 	now := time.Now()
@@ -87,7 +86,7 @@
 	r.Health.RecordProbe(now, err == nil)
 }
 
-// ProbeDown looks after replicas that accepted no connection: those whose rest is over.
+// ProbeDown probes the replicas that accepted no connection and whose backoff has passed.
 func (s *Set) ProbeDown(ctx context.Context, now time.Time) {
 	for _, r := range s.All() {
 		if r.Health.ProbeDue(now) {
--- a/internal/replicas/replicas.go
+++ b/internal/replicas/replicas.go
@@ -1,8 +1,8 @@
-// Package replicas holds what a daemon knows of the replicas behind it: which there are,
-// what they carry now, and how they answered lately.
+// Package replicas holds what a daemon knows of the replicas behind it: which ones exist, their current
+// load, and their recent health.
 //
-// Loads count what this daemon has in flight, and what its peers said they have. Health
-// comes from answers to callers' requests alone; no replica is asked for it.
+// Load counts the requests that this daemon has in flight and those that its peers report. Health is
+// derived only from answers to callers' requests; replicas are not queried for it.
 package replicas
 
 import (
@@ -23,67 +23,65 @@
 )
 
 const (
-	// dialTimeout is how long a request waits for a connection. A replica that is up accepts
-	// within some ms, a lost packet is sent again after a second only, and another replica
-	// is tried at once.
+	// dialTimeout is how long a request waits for a connection. A healthy replica accepts one within
+	// milliseconds, and a lost packet is retransmitted only after a second, so that the next replica is
+	// tried immediately.
 	dialTimeout = 250 * time.Millisecond
 	maxIdle     = 16 // idle connections to one replica
-	// lookAgain is how long the outcome of a look at a replica holds.
-	lookAgain = 300 * time.Millisecond
-	// refusedFor is how long a replica is left alone that would not run a request. Loads of
-	// weights and places in a batch take some hundred ms.
-	refusedFor = 300 * time.Millisecond
-	// lapseGrace is how long a replica whose entry lapsed in an outage is still used. Most
-	// write their entries again within two seconds of its end; one that has left instead
-	// may get no requests two seconds after its entry went.
-	lapseGrace = 1500 * time.Millisecond
+	// probeResultTTL is how long the result of IsDown is reused.
+	probeResultTTL = 300 * time.Millisecond
+	// refusalBackoff is how long a replica that refused to run a request is avoided. Loading weights or
+	// waiting for a free slot in a batch takes some hundred milliseconds.
+	refusalBackoff = 300 * time.Millisecond
+	// expiryGrace is how long a replica is still used after its entry expired in an outage. Most replicas
+	// write their entries again within two seconds of the end of the outage. A replica that has
+	// terminated instead must get no requests two seconds after its entry was removed.
+	expiryGrace = 1500 * time.Millisecond
 )
 
-// Info is what the registry tells of a replica.
+// Info is a replica's entry in the registry.
 type Info struct {
 	ID            request.TargetID
 	Service       routing.ServiceID
 	Address       string
 	FailureDomain string
 	Slots         int
-	Leaving       bool // it takes no new requests
+	Leaving       bool // it accepts no new requests
 	Weights       map[request.Model]uint64
-	// Started is when the replica's process started, as its own clock told, in Unix
-	// milliseconds; zero: it does not tell. It names the start and orders nothing: the
-	// clock may have been set back between two of them.
+	// Started is when the replica's process started by its own clock, in Unix milliseconds, or zero if
+	// the replica does not report it. It identifies a start but does not order starts: the clock may be
+	// set back between two of them.
 	Started       int64
-	ColdRemaining time.Duration // how much longer it bears few requests only, as it told
+	ColdRemaining time.Duration // how much longer it accepts few requests, as it reported
 }
 
-// Replica is one start of a replica. A replica that starts again under its id is another
-// Replica: it holds nothing of what the one before held, and nothing that was believed of
-// that one holds for it.
+// Replica is one start of a replica. A replica that restarts under its id is a new Replica: neither its
+// cache contents nor any assumed state carry over from the previous start.
 type Replica struct {
 	Pool   *upstream.Pool
 	Load   Load
 	Health Health
 
-	hash     uint64     // of id and start
-	earlier  []int64    // starts of this id before, the newest last
-	on       *listeners // of its set
-	lookMu   sync.Mutex
-	lookedAt time.Time // by Dead
-	dead     bool
-	info     atomic.Pointer[Info]
-	weights  sync.Map      // request.Model -> uint64, from answers newer than the registry
-	busy     steady.Moment // until when it takes no requests
-	backoff  steady.Moment // until when it wants no requests of this daemon
-	cold     steady.Moment // until when it bears few requests only
-	limit    rateLimit
-	leaving  atomic.Bool // an answer said so
-	coldFor  func(routing.ServiceID) time.Duration
+	hash          uint64     // of the id and the start
+	earlierStarts []int64    // previous starts of this id, newest last
+	listeners     *listeners // those of its set
+	probeMu       sync.Mutex
+	probedAt      time.Time // time of the last probe by IsDown
+	down          bool
+	info          atomic.Pointer[Info]
+	weights       sync.Map      // request.Model -> uint64, from answers newer than the registry
+	busy          steady.Moment // accepts no requests until then
+	backoff       steady.Moment // accepts no requests of this daemon until then
+	cold          steady.Moment // accepts few requests until then
+	limit         rateLimit
+	leaving       atomic.Bool // set by an answer
+	coldFor       func(routing.ServiceID) time.Duration
 }
 
-// Info returns what the registry told last.
+// Info returns the latest entry in the registry.
 func (r *Replica) Info() *Info { return r.info.Load() }
 
-// Weights returns the version of a model's weights that the replica serves, zero if
-// that is not known.
+// Weights returns the version of a model's weights that the replica serves, zero if it is unknown.
 func (r *Replica) Weights(m request.Model) uint64 {
 	listed := r.Info().Weights[m]
 	if seen, ok := r.weights.Load(m); ok {
@@ -92,39 +90,39 @@
 	return listed
 }
 
-// ObserveWeights notes the version that an answer named. Versions only grow.
+// ObserveWeights records the version that an answer reported. Versions never decrease.
 func (r *Replica) ObserveWeights(m request.Model, version uint64) {
 	if version > r.Weights(m) {
 		r.weights.Store(m, version)
 	}
 }
 
-// Set is all replicas. It is safe for concurrent use.
+// Set is the set of all known replicas. It is safe for concurrent use.
 type Set struct {
-	on *listeners
+	listeners *listeners
 
-	mu       sync.Mutex
-	byID     map[request.TargetID]*Replica
-	lapsing  map[request.TargetID]time.Time
-	left     map[request.TargetID]left
-	services map[routing.ServiceID]bool // nil: all
-	view     atomic.Pointer[View]
+	mu         sync.Mutex
+	byID       map[request.TargetID]*Replica
+	expiring   map[request.TargetID]time.Time
+	departures map[request.TargetID]departure
+	services   map[routing.ServiceID]bool // services in the view; nil: all
+	view       atomic.Pointer[View]
 
 	coldMu    sync.Mutex
-	coldAfter map[routing.ServiceID]time.Duration // how long a start is cold
-	evacuated atomic.Pointer[map[string]bool]     // failure domains whose replicas get nothing new
+	coldAfter map[routing.ServiceID]time.Duration // duration of the cold period after a start
+	evacuated atomic.Pointer[map[string]bool]     // failure domains whose replicas get no new requests
 
-	evacuationEnds map[string]time.Time // by failure domain: when one ends that may have been lost
+	evacuationExpiry map[string]time.Time // when evacuations that may have been lost end, by failure domain
 }
 
-// View is the replicas that take requests at one time. It must not be changed.
+// View is a snapshot of the replicas that accept requests. It must not be modified.
 type View struct {
 	ByService map[routing.ServiceID][]*Replica // ordered by id
 	ByHash    map[uint64]*Replica
 }
 
-// Hash is the short name among daemons of one start of a replica. What a peer tells of an
-// earlier start, late, names nobody.
+// Hash identifies one start of a replica among daemons. A delayed report of an earlier start therefore
+// matches no known replica.
 func (r *Replica) Hash() uint64 { return r.hash }
 
 func hashOf(info Info) uint64 {
@@ -135,31 +133,31 @@
 	return xxhash.Sum64String(name)
 }
 
-// listeners are told what this daemon itself finds out about a replica.
+// listeners are notified of what this daemon itself observes at a replica.
 type listeners struct{ down, refused, limit, leaving func(*Replica) }
 
 // NewSet returns an empty set.
 func NewSet() *Set {
-	nobody := func(*Replica) {}
-	s := &Set{on: &listeners{down: nobody, refused: nobody, limit: nobody, leaving: nobody}, byID: map[request.TargetID]*Replica{}, lapsing: map[request.TargetID]time.Time{}, left: map[request.TargetID]left{}, evacuationEnds: map[string]time.Time{}}
+	ignore := func(*Replica) {}
+	s := &Set{listeners: &listeners{down: ignore, refused: ignore, limit: ignore, leaving: ignore}, byID: map[request.TargetID]*Replica{}, expiring: map[request.TargetID]time.Time{}, departures: map[request.TargetID]departure{}, evacuationExpiry: map[string]time.Time{}}
 	s.evacuated.Store(&map[string]bool{})
 	s.publish()
 	return s
 }
 
-// OnDown has a function called when this daemon finds that a replica accepts no connection.
-// It must be set before the first Apply.
-func (s *Set) OnDown(f func(*Replica)) { s.on.down = f }
+// OnDown registers a function that is called when this daemon finds that a replica accepts no
+// connections. It must be called before the first Apply.
+func (s *Set) OnDown(f func(*Replica)) { s.listeners.down = f }
 
-// OnRefused has a function called when a replica would not run a request of this daemon. It
-// must be set before the first Apply.
-func (s *Set) OnRefused(f func(*Replica)) { s.on.refused = f }
+// OnRefused registers a function that is called when a replica refuses to run a request of this daemon.
+// It must be called before the first Apply.
+func (s *Set) OnRefused(f func(*Replica)) { s.listeners.refused = f }
 
-// OfService returns the replicas of a service that take requests, ordered by id. The slice
-// must not be changed.
+// OfService returns the replicas of a service that accept requests, ordered by id. The slice must not
+// be modified.
 func (s *Set) OfService(service routing.ServiceID) []*Replica { return s.View().ByService[service] }
 
-// View returns all replicas that take requests now.
+// View returns a snapshot of all replicas that accept requests now.
 func (s *Set) View() *View { return s.view.Load() }
 
 // Get returns a replica by its id.
@@ -169,7 +167,7 @@
 	return s.byID[id]
 }
 
-// All returns all replicas that take requests.
+// All returns all replicas that accept requests.
 func (s *Set) All() []*Replica {
 	var all []*Replica
 	for _, of := range s.View().ByService {
@@ -178,8 +176,8 @@
 	return all
 }
 
-// SetServices limits the view to replicas of the services that there are: an entry of any
-// other names no replica to use.
+// SetServices limits the view to replicas of the existing services. Entries of other services are
+// ignored.
 func (s *Set) SetServices(services map[routing.ServiceID]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,16 +192,16 @@
 type Change struct {
 	Present []Info
 	Removed []request.TargetID
-	// Unreadable are entries that name no replica to use. They are neither the removal nor
-	// a change of a replica that is known: another writer may have made them.
+	// Unreadable are the ids of invalid entries. Such an entry neither removes nor changes a known
+	// replica, because another writer may have written it.
 	Unreadable []request.TargetID
-	Full       bool // Present and Unreadable are all there are
-	// MayHaveExpired is set if a missing entry may have lapsed in an outage with its replica
-	// alive: the replica is used a while longer.
+	Full       bool // Present and Unreadable are the complete list
+	// MayHaveExpired is set if a missing entry may have expired in an outage while its replica is
+	// alive. The replica is then used for another expiryGrace.
 	MayHaveExpired bool
 }
 
-// Apply takes an update.
+// Apply applies an update of the registry.
 func (s *Set) Apply(now time.Time, c Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,12 +209,12 @@
 	for _, id := range c.Unreadable {
 		present[id] = true
 		if r := s.byID[id]; r != nil {
-			r.AssumeCold(now) // it may be what the entry was to tell
+			r.AssumeCold(now) // the entry may have been written at a restart
 		}
 	}
 	for _, info := range c.Present {
 		present[info.ID] = true
-		s.put(now, info)
+		s.upsert(now, info)
 	}
 	for _, id := range c.Removed {
 		s.remove(now, id, c.MayHaveExpired)
@@ -231,15 +229,15 @@
 	s.publish()
 }
 
-func (s *Set) put(now time.Time, info Info) {
+func (s *Set) upsert(now time.Time, info Info) {
 	r := s.byID[info.ID]
-	if r != nil && slices.Contains(r.earlier, info.Started) {
-		return // a late word of an earlier start
+	if r != nil && slices.Contains(r.earlierStarts, info.Started) {
+		return // a delayed entry of an earlier start
 	}
-	delete(s.lapsing, info.ID)
+	delete(s.expiring, info.ID)
 	switch {
 	case r == nil:
-		s.start(info, nil)
+		s.add(info, nil)
 	case info.Started != 0 && info.Started != r.Info().Started:
 		s.restart(r, info)
 	default:
@@ -251,39 +249,38 @@
 	}
 }
 
-// maxEarlier is the number of starts of one id that are remembered to tell late words of
-// them. What is under way is some seconds old, a replica that crashes starts once in
-// seconds.
-const maxEarlier = 8
+// maxEarlierStarts is the number of starts of one id that are remembered to detect delayed messages
+// about them. Messages are delayed by seconds, and a crashing replica starts once in several seconds.
+const maxEarlierStarts = 8
 
-// start adds a replica whose id had some earlier starts.
-func (s *Set) start(info Info, earlier []int64) {
+// add adds a replica. earlierStarts are the previous starts of its id.
+func (s *Set) add(info Info, earlierStarts []int64) {
 	r := &Replica{
-		Pool: upstream.NewPool(info.Address, dialTimeout, maxIdle), hash: hashOf(info), earlier: earlier,
-		on: s.on, coldFor: s.coldFor,
+		Pool: upstream.NewPool(info.Address, dialTimeout, maxIdle), hash: hashOf(info), earlierStarts: earlierStarts,
+		listeners: s.listeners, coldFor: s.coldFor,
 	}
 	r.info.Store(&info)
-	r.leaving.Store(s.hasLeft(info.ID, info.Started))
+	r.leaving.Store(s.hasDeparted(info.ID, info.Started))
 	s.byID[info.ID] = r
 }
 
-// restart puts the new start of a replica in place of the one before.
+// restart replaces a replica by its new start.
 //
-// The failure: a replica crashes and is back under its id within a second. Its entry never
-// went, so that daemons send it prompts for a context that it holds no more, have others
-// fetch from it, and leave it alone for what the dead process did. Why the guard holds: the
-// start is another Replica, and whatever is believed is kept with a Replica or by its Hash.
+// It guards against a replica that crashes and restarts under its id within a second. Its entry never
+// expires, so that daemons would send it prompts for a context that it no longer holds, have other
+// replicas fetch from it, and avoid it for the behaviour of the old process. A start is a new Replica,
+// and all assumed state is kept per Replica or by its Hash.
 func (s *Set) restart(r *Replica, info Info) {
-	earlier := slices.Clone(r.earlier)
+	earlierStarts := slices.Clone(r.earlierStarts)
 	if known := r.Info().Started; known != 0 {
-		earlier = append(earlier, known)
+		earlierStarts = append(earlierStarts, known)
 	}
-	s.start(info, earlier[max(0, len(earlier)-maxEarlier):])
+	s.add(info, earlierStarts[max(0, len(earlierStarts)-maxEarlierStarts):])
 	r.Pool.Close()
 }
 
-// ObserveStart notes which start of a replica answered, and reports whether it is the one that
-// was asked. A replica may say that it started again before the registry does.
+// ObserveStart records which start of a replica answered, and reports whether it is the expected one.
+// An answer may reveal a restart before the registry does.
 func (s *Set) ObserveStart(r *Replica, started int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -291,41 +288,41 @@
 	if started == 0 || started == info.Started {
 		return true
 	}
-	if s.byID[info.ID] != r || slices.Contains(r.earlier, started) {
+	if s.byID[info.ID] != r || slices.Contains(r.earlierStarts, started) {
 		return false
 	}
-	info.Started, info.ColdRemaining = started, 0 // what the registry told was of the start before
+	info.Started, info.ColdRemaining = started, 0 // the registry's entry is of the previous start
 	s.restart(r, info)
 	s.byID[info.ID].AssumeCold(time.Now())
 	s.publish()
 	return false
 }
 
-func (s *Set) remove(now time.Time, id request.TargetID, lapsing bool) {
+func (s *Set) remove(now time.Time, id request.TargetID, mayHaveExpired bool) {
 	r, ok := s.byID[id]
 	if !ok {
 		return
 	}
-	if lapsing {
-		if _, waits := s.lapsing[id]; !waits {
-			s.lapsing[id] = now.Add(lapseGrace)
+	if mayHaveExpired {
+		if _, expires := s.expiring[id]; !expires {
+			s.expiring[id] = now.Add(expiryGrace)
 		}
 		return
 	}
-	delete(s.lapsing, id)
+	delete(s.expiring, id)
 	delete(s.byID, id)
-	s.noteLeft(now, r)
+	s.recordDeparture(now, r)
 	r.Pool.Close()
 }
 
-// Tick forgets replicas whose entries, and evacuations that, did not come back after an outage.
+// Tick removes replicas and evacuations that were not written again after an outage.
 func (s *Set) Tick(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tickEvacuations(now)
-	s.tickLeft(now)
+	s.expireEvacuations(now)
+	s.pruneDepartures(now)
 	changed := false
-	for id, until := range s.lapsing {
+	for id, until := range s.expiring {
 		if now.After(until) {
 			s.remove(now, id, false)
 			changed = true
@@ -336,7 +333,7 @@
 	}
 }
 
-// CloseIdle drops idle connections to all replicas.
+// CloseIdle closes idle connections to all replicas.
 func (s *Set) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replicas/replicas_test.go
+++ b/internal/replicas/replicas_test.go
@@ -16,54 +16,53 @@
 
 func count(s *Set) int { return len(s.OfService("s")) }
 
-// A replica's entry lapses while the key-value service is away, with the replica alive and
-// answering. Dropping it would take all replicas away at once.
-func TestLapsedReplicaIsUsedForAWhile(t *testing.T) {
+// A replica's entry expires in an outage of the key-value service, while the replica is alive. Removing
+// it at once would remove all replicas in every outage.
+func TestExpiredReplicaHasGracePeriod(t *testing.T) {
 	s := NewSet()
 	now := time.Unix(1000, 0)
 	s.Apply(now, Change{Full: true, Present: []Info{info("a"), info("b")}})
 	s.Apply(now, Change{Full: true, MayHaveExpired: true})
 	if count(s) != 2 {
-		t.Fatal("lapsed replicas are gone")
+		t.Fatal("expired replicas were removed at once")
 	}
-	s.Apply(now, Change{Present: []Info{info("b")}, MayHaveExpired: true}) // it wrote its entry again
-	s.Tick(now.Add(lapseGrace + time.Millisecond))
+	s.Apply(now, Change{Present: []Info{info("b")}, MayHaveExpired: true}) // its entry was written again
+	s.Tick(now.Add(expiryGrace + time.Millisecond))
 	if count(s) != 1 || s.Get("b") == nil {
-		t.Error("want the one that came back")
+		t.Error("want only the replica whose entry was written again")
 	}
 }
 
-// A replica that says that it leaves gets no new requests, and is still known.
-func TestLeavingReplicaGetsNothingNew(t *testing.T) {
+// A leaving replica gets no new requests, but is still known.
+func TestLeavingReplicaIsNotInView(t *testing.T) {
 	s := NewSet()
 	s.Apply(time.Unix(0, 0), Change{Present: []Info{info("a")}})
 	leaving := info("a")
 	leaving.Leaving = true
 	s.Apply(time.Unix(0, 0), Change{Present: []Info{leaving}})
 	if count(s) != 0 || s.Get("a") == nil {
-		t.Error("a leaving replica is used, or forgotten")
+		t.Error("a leaving replica is used, or was removed")
 	}
 	s.Apply(time.Unix(0, 0), Change{Removed: []request.TargetID{"a"}})
 	if s.Get("a") != nil {
-		t.Error("a gone replica is known")
+		t.Error("a removed replica is still known")
 	}
 }
 
-// The registry tells of new weights later than the replica's own answers; versions never
-// go back.
+// The registry reports new weights later than the replica's own answers. Versions never decrease.
 func TestWeightsNeverGoBack(t *testing.T) {
 	s := NewSet()
 	s.Apply(time.Unix(0, 0), Change{Present: []Info{info("a")}})
 	r := s.Get("a")
 	r.ObserveWeights("m", 3)
-	s.Apply(time.Unix(0, 0), Change{Present: []Info{info("a")}}) // still says 1
+	s.Apply(time.Unix(0, 0), Change{Present: []Info{info("a")}}) // the registry still has version 1
 	r.ObserveWeights("m", 2)
 	if got := r.Weights("m"); got != 3 {
 		t.Errorf("version %d", got)
 	}
 }
 
-func TestLoadCountsPeersWhileTheyTell(t *testing.T) {
+func TestLoadCountsPeersWhileTheyReport(t *testing.T) {
 	var l Load
 	now := time.Unix(1000, 0)
 	f := l.Begin(100, 60)
@@ -78,45 +77,45 @@
 	}
 	f.End()
 	f.End()
-	if got := l.Total(now.Add(2 * peerLoadAge)); got != (Work{}) {
-		t.Errorf("total %+v after the peer fell silent", got)
+	if got := l.Total(now.Add(2 * peerLoadTTL)); got != (Work{}) {
+		t.Errorf("total %+v after the peer stopped reporting", got)
 	}
 }
 
-// A replica that does not answer is left alone, and then tried by one request at a time.
-// A caller who leaves in that trial says nothing about the replica.
-func TestUnreachableReplicaRests(t *testing.T) {
+// A replica that does not answer is avoided, and then tried by one request at a time. A caller that
+// cancels this request reveals nothing about the replica.
+func TestUnreachableReplicaBacksOff(t *testing.T) {
 	var h Health
 	now := time.Unix(1000, 0)
 	h.RecordFailure(now)
 	if h.BackingOff(now) {
-		t.Error("rests after one failure, which may be a closed connection")
+		t.Error("backs off after one failure, which may be a closed connection")
 	}
 	h.RecordFailure(now)
 	if !h.BackingOff(now) {
 		t.Error("is used after two failures")
 	}
-	now = now.Add(firstRest)
+	now = now.Add(minBackoff)
 	if h.BackingOff(now) {
 		t.Fatal("is never tried again")
 	}
 	h.BeginAttempt()
 	if !h.BackingOff(now) {
-		t.Error("is tried by two at once")
+		t.Error("is tried by two requests at once")
 	}
 	h.RecordAbandoned()
 	if h.BackingOff(now) {
-		t.Error("an abandoned trial keeps it resting for ever")
+		t.Error("backs off forever after an abandoned trial")
 	}
 	h.RecordAnswer(false)
 	if h.BackingOff(now) {
-		t.Error("rests after an answer")
+		t.Error("backs off after an answer")
 	}
 }
 
-// A replica that fails half of its requests shows it within a second's requests, and one
-// failure of a new one is not taken for a rate.
-func TestErrorRateFollowsTheAnswers(t *testing.T) {
+// The error rate of a replica that fails half of its requests must show this within a second, and a
+// single failure of a new replica must not count as its rate.
+func TestErrorRateFollowsAnswers(t *testing.T) {
 	var h Health
 	h.RecordAnswer(true)
 	if got := h.ErrorRate(); got > 0.3 {
@@ -126,7 +125,7 @@
 		h.RecordAnswer(i%2 == 0)
 	}
 	if got := h.ErrorRate(); got < 0.3 || got > 0.7 {
-		t.Errorf("rate %g of half failures", got)
+		t.Errorf("rate %g at half failures", got)
 	}
 	for range 40 {
 		h.RecordAnswer(false)
@@ -136,38 +135,38 @@
 	}
 }
 
-// A quarter of the replicas goes dark for seconds. Each daemon would learn again and again,
-// with a caller's request each time, that a replica is still dark: it waits for a connection
-// that never comes. Only a probe may end the rest.
-func TestDarkReplicaGetsProbesAndNoRequests(t *testing.T) {
+// A quarter of the replicas is unreachable for seconds. Without probes each daemon would repeatedly
+// use a caller's request to find out that a replica is still down, and wait for a connection that never
+// opens. Only a successful probe may end the backoff.
+func TestDownReplicaGetsProbesAndNoRequests(t *testing.T) {
 	var h Health
 	now := time.Unix(1000, 0)
 	if !h.RecordDown(now) || h.RecordDown(now) {
-		t.Error("the first word is news, the second is not")
+		t.Error("want one change for two reports")
 	}
 	for range 5 {
-		now = now.Add(maxRest)
+		now = now.Add(maxBackoff)
 		if !h.BackingOff(now) {
-			t.Fatal("it gets requests")
+			t.Fatal("a replica that is down gets requests")
 		}
 		if !h.ProbeDue(now) || h.ProbeDue(now) {
-			t.Fatal("want one probe after the rest")
+			t.Fatal("want one probe after the backoff")
 		}
 		h.RecordProbe(now, false)
 		if h.ProbeDue(now) {
-			t.Fatal("probed without a rest")
+			t.Fatal("probed without a backoff")
 		}
 	}
-	now = now.Add(maxRest)
+	now = now.Add(maxBackoff)
 	h.RecordProbe(now, true)
 	if h.BackingOff(now) {
-		t.Error("it accepts connections, and gets no requests")
+		t.Error("a replica that accepts connections gets no requests")
 	}
 }
 
-// A daemon that is cut off says of all replicas that they are unreachable. Its peers look
-// for themselves, and go on using those that answer them.
-func TestPeersWordIsChecked(t *testing.T) {
+// A partitioned daemon reports all replicas as unreachable. Its peers probe the replicas themselves, and
+// continue to use those that answer.
+func TestPeerReportOfDownReplicaIsVerified(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -185,41 +184,41 @@
 	}
 	for deadline := time.Now().Add(5 * time.Second); s.Get("alive").Health.BackingOff(time.Now()); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the one that answers is not used again")
+			t.Fatal("the replica that answers is not used again")
 		}
 	}
 	for deadline := time.Now().Add(5 * time.Second); !s.Get("dead").Health.ProbeDue(time.Now()); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the dead one is not probed again")
+			t.Fatal("the dead replica is not probed again")
 		}
 	}
 	if !s.Get("dead").Health.BackingOff(time.Now()) {
-		t.Error("the dead one is used")
+		t.Error("the dead replica is used")
 	}
 }
 
-// A replica takes an order to load weights and waits for long answers to end before it does.
-// It looks idle meanwhile and refuses all requests: 22 in 0.4 s, by daemons that did not
-// learn from one another. One refusal must be enough for all of them, and what the holder of
-// the rollout told, that it is busy for longer, stays.
-func TestRefusingReplicaIsLeftAlone(t *testing.T) {
+// A replica gets an order to load weights and first waits for long outputs to end. It looks idle
+// meanwhile and refuses all requests: 22 in 0.4 s, from daemons that did not share their refusals. One
+// refusal must suffice for all daemons, and must not shorten the longer busy time that the owner of the
+// rollout reported.
+func TestRefusingReplicaIsAvoided(t *testing.T) {
 	s := NewSet()
-	var told []request.TargetID
-	s.OnRefused(func(r *Replica) { told = append(told, r.Info().ID) })
+	var reported []request.TargetID
+	s.OnRefused(func(r *Replica) { reported = append(reported, r.Info().ID) })
 	s.Apply(time.Unix(0, 0), Change{Present: []Info{info("a")}})
 	r, now := s.Get("a"), time.Unix(1000, 0)
 	r.RecordRefusal(now)
-	if len(told) != 1 || !r.Busy(now) || r.Busy(now.Add(refusedFor)) {
-		t.Errorf("told %v, busy %t, after its time %t", told, r.Busy(now), r.Busy(now.Add(refusedFor)))
+	if len(reported) != 1 || !r.Busy(now) || r.Busy(now.Add(refusalBackoff)) {
+		t.Errorf("reported %v, busy %t, after the backoff %t", reported, r.Busy(now), r.Busy(now.Add(refusalBackoff)))
 	}
 	r.SetBusy(now.Add(time.Minute))
 	r.RecordRefusal(now)
 	if !r.Busy(now.Add(30 * time.Second)) {
-		t.Error("a refusal cut short what was known to last longer")
+		t.Error("a refusal shortened a longer busy time")
 	}
 	r.SetBusy(time.Time{}) // it serves its new weights
 	if r.Busy(now) {
-		t.Error("still left alone")
+		t.Error("the replica is still avoided")
 	}
 }
 
@@ -229,10 +228,10 @@
 	return i
 }
 
-// A replica crashes and is back under its id before its entry lapses. All that was believed
-// of it was of the dead process: that it loads weights, which it had after an order, what is
-// in flight there. Whoever still looks at the old one must not touch the new one.
-func TestRestartUnderTheSameIDIsAnotherReplica(t *testing.T) {
+// A replica crashes and restarts under its id before its entry expires. All assumed state, such as that it
+// loads weights or runs certain requests, was of the dead process. Holders of the old Replica must not
+// affect the new one.
+func TestRestartUnderSameIDIsAnotherReplica(t *testing.T) {
 	s, now := NewSet(), time.Unix(1000, 0)
 	s.Apply(now, Change{Full: true, Present: []Info{started("a", 500)}})
 	before := s.Get("a")
@@ -243,20 +242,20 @@
 	s.Apply(now, Change{Present: []Info{started("a", 400)}}) // its clock was set back
 	after := s.Get("a")
 	if after == before || after.Hash() == before.Hash() || s.View().ByHash[before.Hash()] != nil {
-		t.Fatal("the new start goes by the old one")
+		t.Fatal("the new start is taken for the old one")
 	}
 	if after.Weights("m") != 1 || after.Busy(now) || after.Load.Total(now).Requests != 0 || after.Health.BackingOff(now) {
-		t.Errorf("believed of the new start: weights %d, busy %t, load %+v", after.Weights("m"), after.Busy(now), after.Load.Total(now))
+		t.Errorf("assumed of the new start: weights %d, busy %t, load %+v", after.Weights("m"), after.Busy(now), after.Load.Total(now))
 	}
 	flight.End()
 	if got := after.Load.Total(now); got != (Work{}) {
-		t.Errorf("the end of an old request took from the new start's load: %+v", got)
+		t.Errorf("the end of an old request reduced the new start's load: %+v", got)
 	}
 }
 
-// A copy of the registry from before the crash arrives after the news of the new start, more
-// than once. The dead process must not come back.
-func TestLateWordOfAnEarlierStartRevivesNothing(t *testing.T) {
+// A copy of the registry from before the crash arrives several times after the new start is known. It must
+// not bring back the dead process.
+func TestDelayedEntryOfEarlierStartIsIgnored(t *testing.T) {
 	s, now := NewSet(), time.Unix(1000, 0)
 	for _, at := range []int64{500, 300, 900} {
 		s.Apply(now, Change{Present: []Info{started("a", at)}})
@@ -265,18 +264,18 @@
 	for _, late := range []int64{500, 300} {
 		s.Apply(now, Change{Full: true, Present: []Info{started("a", late)}})
 		if s.ObserveStart(newest, late) || s.Get("a") != newest || newest.Info().Started != 900 {
-			t.Fatalf("start %d is back", late)
+			t.Fatalf("the entry of start %d replaced the newest one", late)
 		}
 	}
 }
 
-// A replica says in an answer that it started again, before its entry tells.
-func TestReplicaTellsOfItsRestartFirst(t *testing.T) {
+// An answer reveals a restart before the replica's entry does.
+func TestAnswerRevealsRestartBeforeRegistry(t *testing.T) {
 	s, now := NewSet(), time.Unix(1000, 0)
 	s.Apply(now, Change{Present: []Info{started("a", 500)}})
 	before := s.Get("a")
 	if !s.ObserveStart(before, 500) || !s.ObserveStart(before, 0) || s.Get("a") != before {
-		t.Fatal("the same start, or none told, is taken for another")
+		t.Fatal("the same or an unknown start is taken for a new one")
 	}
 	if s.ObserveStart(before, 600) || s.Get("a") == before {
 		t.Fatal("the new start is taken for the old one")
@@ -284,24 +283,24 @@
 	after := s.Get("a")
 	s.Apply(now, Change{Present: []Info{started("a", 600)}})
 	if s.Get("a") != after || len(s.OfService("s")) != 1 {
-		t.Error("its entry makes it a third one")
+		t.Error("the entry of the known start made another Replica")
 	}
 }
 
-// Older replicas don't tell when they started: their entries change like before.
-func TestReplicaThatTellsNoStartIsTheSame(t *testing.T) {
+// Older replicas do not report when they started. Their rewritten entries do not count as a restart.
+func TestReplicaWithoutStartTimeIsUnchanged(t *testing.T) {
 	s, now := NewSet(), time.Unix(1000, 0)
 	s.Apply(now, Change{Present: []Info{info("a")}})
 	r := s.Get("a")
 	s.Apply(now, Change{Present: []Info{info("a")}})
 	if s.Get("a") != r {
-		t.Error("an entry written again is another replica")
+		t.Error("a rewritten entry made another Replica")
 	}
 }
 
-// Another writer overwrites the entry of a replica that serves, and adds one of a service
-// that there is not. Neither may take a replica out or bring one in.
-func TestStrangeEntriesNameNoReplica(t *testing.T) {
+// Another writer overwrites the entry of a serving replica, and adds one of an unknown service. Neither
+// may remove or add a replica.
+func TestInvalidEntriesDoNotChangeReplicas(t *testing.T) {
 	s, now := NewSet(), time.Unix(1000, 0)
 	s.SetServices(map[routing.ServiceID]bool{"s": true})
 	ghost := info("ghost")
@@ -313,10 +312,10 @@
 	r := s.Get("a")
 	s.Apply(now, Change{Full: true, Present: []Info{ghost}, Unreadable: []request.TargetID{"a", "b"}})
 	if s.Get("a") != r || count(s) != 1 || s.Get("b") != nil {
-		t.Error("unreadable entries changed what is known")
+		t.Error("unreadable entries changed the known replicas")
 	}
 	s.SetServices(map[routing.ServiceID]bool{"s": true, "nowhere": true})
 	if len(s.All()) != 2 {
-		t.Error("a service that came later has no replicas")
+		t.Error("a service that was added later has no replicas")
 	}
 }
