--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -1,9 +1,9 @@
-// Package loadshare tells daemons of each other's work at the replicas, so that each can
+// Package loadshare exchanges the load that each daemon puts on the replicas, so that each daemon can
 // place its requests as if it saw all of them.
 //
-// Datagrams carry the counts that changed, some times a second, and all of them less often. What
-// one that is lost told is made good by the next that carries all; a peer that falls silent is
-// forgotten. Nothing that must hold depends on them.
+// Datagrams carry the changed counts several times a second, and all counts less often. A lost
+// datagram is made up for by the next one with all counts. The load of a peer that stops reporting
+// expires. Correctness never depends on these datagrams.
 package loadshare
 
 import (
@@ -28,67 +28,68 @@
 )
 
 const (
-	// tellEvery bounds the age of what peers know. A prompt takes 30 ms to some hundred,
-	// so that most of them are known to all before they end.
-	tellEvery = 60 * time.Millisecond
-	// repeatEvery is how often all work is told, changed or not, before peers forget it.
-	repeatEvery = 400 * time.Millisecond
-	// maxDatagram keeps a datagram in one packet.
+	// reportInterval bounds the age of what peers know. A prompt takes 30 ms to some hundred, so that
+	// peers learn of most prompts before they end.
+	reportInterval = 60 * time.Millisecond
+	// fullReportInterval is how often all work is reported, changed or not. It is shorter than the time
+	// after which peers drop it.
+	fullReportInterval = 400 * time.Millisecond
+	// maxDatagram is the size up to which a datagram fits in one packet.
 	maxDatagram = 1400
 	maxPlaced   = 12 // prompts in one datagram, 40 to 60 bytes each
 	maxDeaths   = 8  // in one datagram, 50 bytes each
 	maxLimits   = 24 // in one datagram, 24 bytes each
 	readBuffer  = 64 << 10
-	// refusedFor is how long a replica is left alone that would not run a peer's request.
-	// The word of it is up to a tick old.
-	refusedFor = 240 * time.Millisecond
+	// refusalBackoff is how long a replica that refused to run a peer's request is avoided. The report
+	// of the refusal is up to one tick old.
+	refusalBackoff = 240 * time.Millisecond
 )
 
 // Options of New.
 type Options struct {
 	Self    request.DaemonID
-	Address string // to listen on, UDP
-	// Peers returns the daemons that use the same replicas, Others all others.
+	Address string // UDP address to listen on
+	// Peers returns the daemons that use the same replicas, and Others all other daemons.
 	Peers  func() []netip.AddrPort
 	Others func() []netip.AddrPort
 	Set    *replicas.Set
-	// Revisions returns the newest changes of the key-value service that are known here,
-	// and Heard is told those of a peer.
+	// Revisions returns the newest known changes of the key-value service. OnRevisions receives those
+	// of a peer.
 	Revisions   func() []uint64
 	OnRevisions func(peer string, revisions []uint64)
-	// Watches reports whether the service tells this daemon itself of changes, and HeardWatcher is
-	// called at the word of a peer that it tells that one; nil: nobody watches, or is told.
+	// Watches reports whether this daemon receives changes from the key-value service directly. OnWatcher
+	// is called when a peer reports that it does. Nil: the daemon has no watch, or reports are ignored.
 	Watches   func() bool
 	OnWatcher func()
-	// OnDeath is told of a replica that died while it ran a peer's request; nil: nobody.
+	// OnDeath is called for a replica that died while it ran a peer's request; nil: reports are ignored.
 	OnDeath func(quarantine.Sighting)
 	Logger  hclog.Logger
 }
 
-// Reporter is one daemon's part. It is safe for concurrent use.
+// Reporter reports this daemon's load to its peers and applies their reports. It is safe for concurrent use.
 type Reporter struct {
 	o      Options
 	conn   *net.UDPConn
-	Engine *placer.Engine // learns what peers placed; set before Run
+	Engine *placer.Engine // records what peers placed; must be set before Run
 
-	mu       sync.Mutex
-	placed   []*Placed
-	states   []*State            // told to all daemons: any may use the replica
-	down     []uint64            // replicas found unreachable; told to those that use them
-	refusing []uint64            // replicas that would not run a request; likewise
-	leaving  []uint64            // replicas that said so in answers; likewise
-	limits   []*replicas.Replica // whose rate limits are to be told
-	deaths   []*Death            // told to all daemons: the request may come again at any
-	last     map[uint64]*Work    // by replica, as told last
-	allTold  time.Time           // when all work was told last
+	mu             sync.Mutex
+	placed         []*Placed
+	states         []*State            // sent to all daemons, as any may use the replica
+	unreachable    []uint64            // replicas that accept no connections; sent to the daemons that use them
+	refusing       []uint64            // replicas that refused a request; sent to the daemons that use them
+	leaving        []uint64            // replicas that announced in answers that they are leaving; sent to the daemons that use them, and to one other
+	limits         []*replicas.Replica // replicas whose rate limits are to be sent
+	deaths         []*Death            // sent to all daemons, as any may receive the request again
+	lastWork       map[uint64]*Work    // as reported last, by replica
+	lastFullReport time.Time           // when all work was reported last
 
-	told map[request.DaemonID]map[uint64]bool // the replicas that each peer named last
+	peerReplicas map[request.DaemonID]map[uint64]bool // replicas in the last reports of each peer
 
-	revisions     []uint64
-	revisionsTold time.Time
+	revisions       []uint64
+	revisionsSentAt time.Time
 }
 
-// New listens and returns a share.
+// New starts to listen and returns a Reporter.
 func New(o Options) (*Reporter, error) {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
@@ -111,10 +112,10 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "loadshare: listen")
 	}
-	return &Reporter{o: o, conn: conn, told: map[request.DaemonID]map[uint64]bool{}}, nil
+	return &Reporter{o: o, conn: conn, peerReplicas: map[request.DaemonID]map[uint64]bool{}}, nil
 }
 
-// ReportPlaced notes a prompt for the next datagram.
+// ReportPlaced queues a placed prompt for the next datagram.
 func (s *Reporter) ReportPlaced(r *replicas.Replica, parts []placer.PlacedPart, other int) {
 	p := &Placed{Replica: r.Hash(), Other: int32(other)}
 	for _, part := range parts {
@@ -126,11 +127,11 @@
 	s.placed = append(s.placed, p)
 }
 
-// AnnounceState tells all daemons of a replica's state, within one tick.
+// AnnounceState reports a replica's state to all daemons within one tick.
 func (s *Reporter) AnnounceState(a weights.State) {
 	r := s.o.Set.Get(a.Replica)
 	if r == nil {
-		return // it has left, and daemons learn that from the registry
+		return // it was removed, and daemons learn that from the registry
 	}
 	state := &State{
 		Replica: r.Hash(), BusyMs: int32(a.Busy.Milliseconds()),
@@ -141,20 +142,20 @@
 	s.mu.Unlock()
 }
 
-// ReportUnreachable tells peers, within one tick, that no connection to a replica can be opened.
-func (s *Reporter) ReportUnreachable(r *replicas.Replica) { tellOnce(s, &s.down, r.Hash()) }
+// ReportUnreachable reports to peers, within one tick, that a replica accepts no connections.
+func (s *Reporter) ReportUnreachable(r *replicas.Replica) { enqueueOnce(s, &s.unreachable, r.Hash()) }
 
-// ReportRefusing tells peers, within one tick, that a replica would not run a request.
-func (s *Reporter) ReportRefusing(r *replicas.Replica) { tellOnce(s, &s.refusing, r.Hash()) }
+// ReportRefusing reports to peers, within one tick, that a replica refused to run a request.
+func (s *Reporter) ReportRefusing(r *replicas.Replica) { enqueueOnce(s, &s.refusing, r.Hash()) }
 
-// ReportLeaving tells peers, within one tick, that a replica said that it takes no new requests.
-func (s *Reporter) ReportLeaving(r *replicas.Replica) { tellOnce(s, &s.leaving, r.Hash()) }
+// ReportLeaving reports to peers, within one tick, that a replica announced that it is leaving.
+func (s *Reporter) ReportLeaving(r *replicas.Replica) { enqueueOnce(s, &s.leaving, r.Hash()) }
 
-// ReportLimit tells peers, within one tick, the rate limit that a replica named.
-func (s *Reporter) ReportLimit(r *replicas.Replica) { tellOnce(s, &s.limits, r) }
+// ReportLimit reports the rate limit of a replica to peers within one tick.
+func (s *Reporter) ReportLimit(r *replicas.Replica) { enqueueOnce(s, &s.limits, r) }
 
-// tellOnce adds a value to some that are to be told, unless it is among them.
-func tellOnce[T comparable](s *Reporter, to *[]T, value T) {
+// enqueueOnce adds a value to a queue unless the queue contains it.
+func enqueueOnce[T comparable](s *Reporter, to *[]T, value T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !slices.Contains(*to, value) {
@@ -162,11 +163,11 @@
 	}
 }
 
-// ReportDeath tells all daemons, within one tick, that a replica died while it ran a request.
+// ReportDeath reports to all daemons, within one tick, that a replica died while it ran a request.
 func (s *Reporter) ReportDeath(sighting quarantine.Sighting) {
 	fingerprint, err := hex.DecodeString(string(sighting.Fingerprint))
 	if err != nil {
-		s.o.Logger.Error("A fingerprint can not be told", "fingerprint", sighting.Fingerprint, "error", err)
+		s.o.Logger.Error("A fingerprint can not be decoded", "fingerprint", sighting.Fingerprint, "error", err)
 		return
 	}
 	s.mu.Lock()
@@ -174,24 +175,24 @@
 	s.deaths = append(s.deaths, &Death{Replica: string(sighting.Target), Started: sighting.Incarnation, Fingerprint: fingerprint})
 }
 
-// Run tells peers until ctx ends.
+// Run sends reports to peers until ctx ends.
 func (s *Reporter) Run(ctx context.Context) error {
-	go s.read(ctx)
+	go s.receive(ctx)
 	defer s.conn.Close()
-	tick := time.NewTicker(tellEvery)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case now := <-tick.C:
-			s.tell(now)
+			s.report(now)
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-func (s *Reporter) tell(now time.Time) {
-	r := s.next(now)
+func (s *Reporter) report(now time.Time) {
+	r := s.nextReport(now)
 	if r == nil {
 		return
 	}
@@ -201,8 +202,8 @@
 		return
 	}
 	if len(r.States)+len(r.Deaths) == 0 {
-		// One other daemon hears what is known here of the key-value service, and what
-		// replicas said of themselves, so that news pass from group to group.
+		// One other daemon gets the known changes of the key-value service and what replicas announced, so
+		// that they spread from group to group.
 		n := rand.IntN(len(others))
 		others = others[n : n+1]
 	}
@@ -219,37 +220,37 @@
 	}
 	for _, address := range to {
 		if _, err := s.conn.WriteToUDPAddrPort(raw, address); err != nil {
-			s.o.Logger.Debug("A daemon could not be told", "address", address, "error", err)
+			s.o.Logger.Debug("A report could not be sent to a daemon", "address", address, "error", err)
 		}
 	}
 }
 
-// next returns the next datagram, nil if there is nothing to tell.
-func (s *Reporter) next(now time.Time) *Report {
-	work := s.work()
+// nextReport returns the next datagram, nil if there is nothing to report.
+func (s *Reporter) nextReport(now time.Time) *Report {
+	work := s.localWork()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := min(len(s.placed), maxPlaced)
-	r := &Report{From: string(s.o.Self), Placed: s.placed[:n], States: s.states, Unreachable: s.down, Refusing: s.refusing, Leaving: s.leaving}
-	s.placed, s.states, s.down, s.refusing, s.leaving = s.placed[n:], nil, nil, nil, nil
+	r := &Report{From: string(s.o.Self), Placed: s.placed[:n], States: s.states, Unreachable: s.unreachable, Refusing: s.refusing, Leaving: s.leaving}
+	s.placed, s.states, s.unreachable, s.refusing, s.leaving = s.placed[n:], nil, nil, nil, nil
 	deaths := min(len(s.deaths), maxDeaths)
 	r.Deaths, s.deaths = s.deaths[:deaths], s.deaths[deaths:]
-	r.Limits = s.takeLimits(now)
-	s.tellWork(now, r, work)
+	r.Limits = s.dequeueLimits(now)
+	s.addWork(now, r, work)
 	revisions := s.o.Revisions()
-	newRevisions := !slices.Equal(revisions, s.revisions) || now.Sub(s.revisionsTold) >= repeatEvery
+	newRevisions := !slices.Equal(revisions, s.revisions) || now.Sub(s.revisionsSentAt) >= fullReportInterval
 	if !newRevisions && len(r.Work)+len(r.Placed)+len(r.States)+len(r.Unreachable)+len(r.Refusing)+len(r.Deaths)+len(r.Limits)+len(r.Leaving) == 0 {
 		return nil
 	}
 	if newRevisions {
 		r.Revisions, r.Address, r.Watches = revisions, s.o.Address, s.o.Watches()
-		s.revisions, s.revisionsTold = revisions, now
+		s.revisions, s.revisionsSentAt = revisions, now
 	}
 	return r
 }
 
-// takeLimits returns the limits that one datagram tells, and leaves the others for the next.
-func (s *Reporter) takeLimits(now time.Time) []*Limit {
+// dequeueLimits returns the limits for one datagram and leaves the others for the next.
+func (s *Reporter) dequeueLimits(now time.Time) []*Limit {
 	n := min(len(s.limits), maxLimits)
 	out := make([]*Limit, n)
 	for i, r := range s.limits[:n] {
@@ -260,12 +261,12 @@
 	return out
 }
 
-// tellWork adds to a report what changed in the work here, or all of it if that is due.
-func (s *Reporter) tellWork(now time.Time, r *Report, work map[uint64]*Work) {
-	before := s.last
-	s.last = work
-	if now.Sub(s.allTold) >= repeatEvery && len(work) > 0 {
-		s.allTold = now
+// addWork adds the changed work of this daemon to a report, or all of it if a full report is due.
+func (s *Reporter) addWork(now time.Time, r *Report, work map[uint64]*Work) {
+	before := s.lastWork
+	s.lastWork = work
+	if now.Sub(s.lastFullReport) >= fullReportInterval && len(work) > 0 {
+		s.lastFullReport = now
 		for _, w := range work {
 			r.Work = append(r.Work, w)
 		}
@@ -284,8 +285,8 @@
 	}
 }
 
-// work returns what this daemon has in flight, by replica.
-func (s *Reporter) work() map[uint64]*Work {
+// localWork returns what this daemon has in flight, by replica.
+func (s *Reporter) localWork() map[uint64]*Work {
 	out := map[uint64]*Work{}
 	for _, r := range s.o.Set.All() {
 		w := r.Load.Own()
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -16,33 +16,33 @@
 
 type node struct {
 	*Reporter
-	set   *replicas.Set
-	heard chan []uint64
-	died  chan quarantine.Sighting
-	peers []netip.AddrPort
+	set               *replicas.Set
+	receivedRevisions chan []uint64
+	receivedDeaths    chan quarantine.Sighting
+	peers             []netip.AddrPort
 }
 
 func start(t *testing.T, id request.DaemonID) *node {
 	t.Helper()
-	n := &node{set: replicas.NewSet(), heard: make(chan []uint64, 100), died: make(chan quarantine.Sighting, 1)}
+	n := &node{set: replicas.NewSet(), receivedRevisions: make(chan []uint64, 100), receivedDeaths: make(chan quarantine.Sighting, 1)}
 	n.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{ID: "r", Service: "s", Address: "127.0.0.1:1"}}})
-	share, err := New(Options{
+	reporter, err := New(Options{
 		Self: id, Address: "127.0.0.1:0", Set: n.set,
 		Peers: func() []netip.AddrPort { return n.peers }, Others: func() []netip.AddrPort { return nil },
 		Revisions:   func() []uint64 { return []uint64{7} },
-		OnRevisions: func(_ string, r []uint64) { n.heard <- r },
-		OnDeath:     func(s quarantine.Sighting) { n.died <- s },
+		OnRevisions: func(_ string, r []uint64) { n.receivedRevisions <- r },
+		OnDeath:     func(s quarantine.Sighting) { n.receivedDeaths <- s },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Reporter = share
-	share.Engine = &placer.Engine{Eligibility: placer.Eligibility{Set: n.set}, Assigned: func(routing.ServiceID) []*replicas.Replica { return nil }}
+	n.Reporter = reporter
+	reporter.Engine = &placer.Engine{Eligibility: placer.Eligibility{Set: n.set}, Assigned: func(routing.ServiceID) []*replicas.Replica { return nil }}
 	return n
 }
 
-// Two daemons place their requests at one replica as if it were idle, since neither knows
-// of the other's. Each must see the other's work soon, and its end.
+// Two daemons must not place their requests at one replica as if it were idle. Each must soon see the
+// other's work, and its end.
 func TestPeersSeeEachOthersWork(t *testing.T) {
 	a, b := start(t, "a"), start(t, "b")
 	a.peers = []netip.AddrPort{netip.MustParseAddrPort(b.conn.LocalAddr().String())}
@@ -84,81 +84,81 @@
 	a.ReportLimit(a.set.Get("r"))
 	await("its end", func() bool { limit, _ := b.set.Get("r").Limit(); return limit == 0 })
 	a.ReportLeaving(a.set.Get("r"))
-	await("that the replica leaves", b.set.Get("r").Leaving)
+	await("the replica is leaving", b.set.Get("r").Leaving)
 	a.ReportRefusing(a.set.Get("r"))
-	await("one that refused the peer gets none", func() bool { return b.set.Get("r").Busy(time.Now()) })
+	await("a replica that refused the peer is avoided", func() bool { return b.set.Get("r").Busy(time.Now()) })
 	death := quarantine.Sighting{Fingerprint: quarantine.Of("org", []byte("body")), Target: "r", Incarnation: 1}
 	a.ReportDeath(death)
-	if got := <-b.died; got != death {
-		t.Errorf("heard of %+v", got)
+	if got := <-b.receivedDeaths; got != death {
+		t.Errorf("received %+v", got)
 	}
-	a.ReportUnreachable(a.set.Get("r")) // nobody listens at its address
-	await("the peer leaves it alone", func() bool { return b.set.Get("r").Health.BackingOff(time.Now()) })
-	if r := <-b.heard; len(r) != 1 || r[0] != 7 {
-		t.Errorf("heard %v", r)
+	a.ReportUnreachable(a.set.Get("r")) // no process listens at its address
+	await("the peer avoids the replica", func() bool { return b.set.Get("r").Health.BackingOff(time.Now()) })
+	if r := <-b.receivedRevisions; len(r) != 1 || r[0] != 7 {
+		t.Errorf("received revisions %v", r)
 	}
 }
 
-// What does not decode, or names replicas that are unknown here, changes nothing.
-func TestStrangeDatagramsAreIgnored(t *testing.T) {
+// Reports about unknown replicas change nothing.
+func TestUnknownReplicasInReportAreIgnored(t *testing.T) {
 	n := start(t, "a")
 	defer n.conn.Close()
-	n.take(context.Background(), time.Now(), &Report{From: "x", Unreachable: []uint64{3}, Work: []*Work{{Replica: 1, Requests: 5}}, Placed: []*Placed{{Replica: 1, Parts: []uint64{1}}}, States: []*State{{Replica: 2, BusyMs: 9}}})
+	n.apply(context.Background(), time.Now(), &Report{From: "x", Unreachable: []uint64{3}, Work: []*Work{{Replica: 1, Requests: 5}}, Placed: []*Placed{{Replica: 1, Parts: []uint64{1}}}, States: []*State{{Replica: 2, BusyMs: 9}}})
 	if got := n.set.Get("r").Load.Total(time.Now()); got != (replicas.Work{}) {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// A peer tells of load, weights and refusals of a replica whose process has died meanwhile
-// and is back under its id. The word comes late, and was of the dead process.
-func TestWordOfAnEarlierStartIsIgnored(t *testing.T) {
+// A peer reports load, weights and refusals of a replica that has crashed meanwhile and restarted under
+// its id. The delayed report is of the dead process and must be ignored.
+func TestReportOfEarlierStartIsIgnored(t *testing.T) {
 	n := start(t, "a")
 	defer n.conn.Close()
 	before := n.set.Get("r")
 	n.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{ID: "r", Service: "s", Address: "127.0.0.1:1", Started: 5}}})
 	old := before.Hash()
-	n.take(context.Background(), time.Now(), &Report{
+	n.apply(context.Background(), time.Now(), &Report{
 		From: "x", Unreachable: []uint64{old}, Refusing: []uint64{old},
 		Work: []*Work{{Replica: old, Requests: 5}}, States: []*State{{Replica: old, BusyMs: 9000, Model: "m", Weights: 4}},
 	})
 	r, now := n.set.Get("r"), time.Now()
 	if r.Load.Total(now) != (replicas.Work{}) || r.Busy(now) || r.Health.BackingOff(now) || r.Weights("m") != 0 {
-		t.Errorf("believed of the new start: load %+v, busy %t, weights %d", r.Load.Total(now), r.Busy(now), r.Weights("m"))
+		t.Errorf("assumed of the new start: load %+v, busy %t, weights %d", r.Load.Total(now), r.Busy(now), r.Weights("m"))
 	}
 }
 
-// Datagrams tell what changed only. One that told of an end is lost: the replica would look busy
-// for good, but the next that tells all makes it good, and what did not change is not forgotten.
-func TestLostChangeIsMadeGood(t *testing.T) {
+// Datagrams carry only changes. If the one that reports an end is lost, the replica would look busy
+// forever: the next full report must correct this, and must not drop unchanged work.
+func TestLostChangeIsRepairedByFullReport(t *testing.T) {
 	a, b := start(t, "a"), start(t, "b")
 	defer a.conn.Close()
 	defer b.conn.Close()
 	begun := time.Now()
-	hear := func(after time.Duration, lost bool) *Report {
+	deliver := func(after time.Duration, lost bool) *Report {
 		now := begun.Add(after)
-		r := a.next(now)
+		r := a.nextReport(now)
 		if r != nil && !lost {
-			b.take(context.Background(), now, r)
-			<-b.heard
+			b.apply(context.Background(), now, r)
+			<-b.receivedRevisions
 		}
 		return r
 	}
 	flight := a.set.Get("r").Load.Begin(100, 60)
-	hear(repeatEvery, false)
+	deliver(fullReportInterval, false)
 	seen := func(after time.Duration) int { return b.set.Get("r").Load.Total(begun.Add(after)).Requests }
-	if seen(repeatEvery) != 1 {
+	if seen(fullReportInterval) != 1 {
 		t.Fatal("the request is not seen")
 	}
 	a.set.Get("r").Load.Begin(50, 0)
-	if r := hear(repeatEvery+tellEvery, true); r == nil || !r.ChangesOnly || len(r.Work) != 1 {
-		t.Fatalf("told %+v", r)
+	if r := deliver(fullReportInterval+reportInterval, true); r == nil || !r.ChangesOnly || len(r.Work) != 1 {
+		t.Fatalf("reported %+v", r)
 	}
-	hear(2*repeatEvery, false)
-	if seen(2*repeatEvery) != 2 {
-		t.Errorf("%d requests after all was told", seen(2*repeatEvery))
+	deliver(2*fullReportInterval, false)
+	if seen(2*fullReportInterval) != 2 {
+		t.Errorf("%d requests after a full report", seen(2*fullReportInterval))
 	}
 	flight.End()
-	if r := a.next(begun.Add(2*repeatEvery + tellEvery)); r == nil || len(r.Work) != 1 || r.Revisions != nil {
-		t.Errorf("told %+v", r)
+	if r := a.nextReport(begun.Add(2*fullReportInterval + reportInterval)); r == nil || len(r.Work) != 1 || r.Revisions != nil {
+		t.Errorf("reported %+v", r)
 	}
 }
--- a/internal/loadshare/take.go
+++ b/internal/loadshare/receive.go
@@ -16,7 +16,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-func (s *Reporter) read(ctx context.Context) {
+func (s *Reporter) receive(ctx context.Context) {
 	buffer := make([]byte, readBuffer)
 	for {
 		n, _, err := s.conn.ReadFromUDP(buffer)
@@ -31,12 +31,12 @@
 			s.o.Logger.Debug("A datagram can not be read", "error", err)
 			continue
 		}
-		s.take(ctx, time.Now(), &r)
+		s.apply(ctx, time.Now(), &r)
 	}
 }
 
-// take notes what a peer told.
-func (s *Reporter) take(ctx context.Context, now time.Time, r *Report) {
+// apply applies the report of a peer.
+func (s *Reporter) apply(ctx context.Context, now time.Time, r *Report) {
 	if len(r.Revisions) > 0 {
 		s.o.OnRevisions(r.Address, r.Revisions)
 	}
@@ -45,7 +45,7 @@
 	}
 	byHash := s.o.Set.View().ByHash
 	if len(r.Work) > 0 {
-		s.takeWork(now, r, byHash)
+		s.applyWork(now, r, byHash)
 	}
 	for _, p := range r.Placed {
 		replica := byHash[p.Replica]
@@ -63,9 +63,9 @@
 			Fingerprint: quarantine.Fingerprint(hex.EncodeToString(d.Fingerprint)), Target: request.TargetID(d.Replica), Incarnation: d.Started,
 		})
 	}
-	eachKnown(byHash, r.Unreachable, func(known *replicas.Replica) { known.Suspect(ctx) })
-	eachKnown(byHash, r.Refusing, func(known *replicas.Replica) { known.AvoidFor(now, refusedFor) })
-	eachKnown(byHash, r.Leaving, func(known *replicas.Replica) { known.MarkLeaving() })
+	forEachKnown(byHash, r.Unreachable, func(known *replicas.Replica) { known.Suspect(ctx) })
+	forEachKnown(byHash, r.Refusing, func(known *replicas.Replica) { known.AvoidFor(now, refusalBackoff) })
+	forEachKnown(byHash, r.Leaving, func(known *replicas.Replica) { known.MarkLeaving() })
 	for _, l := range r.Limits {
 		if replica := byHash[l.Replica]; replica != nil && l.PerSecond >= 0 {
 			replica.UpdateLimit(now.Add(-time.Duration(l.AgeMs)*time.Millisecond), l.PerSecond)
@@ -81,8 +81,8 @@
 	}
 }
 
-// eachKnown does something with those of some replicas that are known here.
-func eachKnown(byHash map[uint64]*replicas.Replica, hashes []uint64, do func(*replicas.Replica)) {
+// forEachKnown calls do for each hash of a replica that is known to this daemon.
+func forEachKnown(byHash map[uint64]*replicas.Replica, hashes []uint64, do func(*replicas.Replica)) {
 	for _, hash := range hashes {
 		if replica := byHash[hash]; replica != nil {
 			do(replica)
@@ -90,23 +90,23 @@
 	}
 }
 
-// takeWork notes a peer's work. Where it tells all, a replica that it names no more has none of it.
-func (s *Reporter) takeWork(now time.Time, r *Report, byHash map[uint64]*replicas.Replica) {
+// applyWork applies the work that a peer reported. In a full report a replica that is not listed has no work.
+func (s *Reporter) applyWork(now time.Time, r *Report, byHash map[uint64]*replicas.Replica) {
 	peer := request.DaemonID(r.From)
 	s.mu.Lock()
-	told := s.told[peer]
-	if told == nil || !r.ChangesOnly {
-		told = make(map[uint64]bool, len(r.Work))
+	reported := s.peerReplicas[peer]
+	if reported == nil || !r.ChangesOnly {
+		reported = make(map[uint64]bool, len(r.Work))
 	}
-	before := s.told[peer]
-	s.told[peer] = told
+	before := s.peerReplicas[peer]
+	s.peerReplicas[peer] = reported
 	s.mu.Unlock()
 	for _, w := range r.Work {
 		replica := byHash[w.Replica]
 		if replica == nil {
 			continue
 		}
-		told[w.Replica] = true
+		reported[w.Replica] = true
 		replica.Load.SetPeer(now, peer, replicas.Work{
 			Requests: int(w.Requests), Tokens: int(w.Tokens), Prefill: int(w.Prefill), LongTokens: int(w.Long),
 		})
@@ -115,7 +115,7 @@
 		return
 	}
 	for h := range before {
-		if replica := byHash[h]; replica != nil && !told[h] {
+		if replica := byHash[h]; replica != nil && !reported[h] {
 			replica.Load.SetPeer(now, peer, replicas.Work{})
 		}
 	}
