--- a/internal/contextstore/client.go
+++ b/internal/contextstore/client.go
@@ -103,9 +103,9 @@
 	stores    []*routing.Service
 }
 
-// Ask implements placer.Stores.
-func (c *Client) Ask(ctx context.Context, salt string, parts []relay.Part, resident []bool) ([]placer.Stored, int64) {
-	out := make([]placer.Stored, len(parts))
+// Claim implements placer.Stores.
+func (c *Client) Claim(ctx context.Context, salt string, parts []relay.Part, resident []bool) ([]placer.StoredPart, int64) {
+	out := make([]placer.StoredPart, len(parts))
 	claims := c.claimsByOwner(salt, parts, resident)
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -120,7 +120,7 @@
 	}
 	wg.Wait()
 	until := int64(0)
-	unused := make([]placer.Stored, len(parts))
+	unused := make([]placer.StoredPart, len(parts))
 	for i, q := range claims {
 		if answers[i] == nil || len(answers[i].Parts) != len(q.positions) {
 			continue
@@ -136,7 +136,7 @@
 
 // merge collects an owner's answers per part, and what is not used of them. A part may be
 // requested from two stores; a fetch takes precedence over a save.
-func (c *Client) merge(out, unused []placer.Stored, q *ownerClaim, r *ClaimResponse) {
+func (c *Client) merge(out, unused []placer.StoredPart, q *ownerClaim, r *ClaimResponse) {
 	for i, answer := range r.Parts {
 		store := q.stores[i]
 		c.recordStatus(string(store.ID), answer)
@@ -144,11 +144,11 @@
 			continue
 		}
 		position := q.positions[i]
-		got := placer.Stored{
+		got := placer.StoredPart{
 			Store: store.ID, Address: store.Store.Address, FailureDomain: store.Store.FailureDomain,
 			Fetch: answer.Fetch, Save: answer.Save && !answer.Fetch,
-			Takes: time.Duration(answer.TakesUs) * time.Microsecond,
-			Queue: time.Duration(answer.QueueUs) * time.Microsecond, Claim: answer.Claim,
+			FetchTime: time.Duration(answer.TakesUs) * time.Microsecond,
+			Queue:     time.Duration(answer.QueueUs) * time.Microsecond, Claim: answer.Claim,
 		}
 		if out[position].Fetch || out[position].Save && !got.Fetch {
 			unused[position] = got
@@ -238,24 +238,24 @@
 
 // sameClass reports whether two stores have the same speed and capacity.
 func sameClass(a, b *routing.Service) bool {
-	return a.Store.LinkMbps == b.Store.LinkMbps && a.Store.Tokens == b.Store.Tokens
+	return a.Store.LinkMbps == b.Store.LinkMbps && a.Store.CapacityTokens == b.Store.CapacityTokens
 }
 
 func preferred(a, b *routing.Service, part relay.Part) bool {
-	smallA := float64(part.Tokens) <= smallPartShare*float64(a.Store.Tokens)
-	smallB := float64(part.Tokens) <= smallPartShare*float64(b.Store.Tokens)
+	smallA := float64(part.Tokens) <= smallPartShare*float64(a.Store.CapacityTokens)
+	smallB := float64(part.Tokens) <= smallPartShare*float64(b.Store.CapacityTokens)
 	if smallA != smallB {
 		return smallA
 	}
 	if smallA && a.Store.LinkMbps != b.Store.LinkMbps {
 		return a.Store.LinkMbps > b.Store.LinkMbps
 	}
-	return a.Store.Tokens > b.Store.Tokens
+	return a.Store.CapacityTokens > b.Store.CapacityTokens
 }
 
-// Fetched implements placer.Stores. It notifies the owner at once: sent along with the next
+// ReportFetch implements placer.Stores. It notifies the owner at once: sent along with the next
 // claim, reports of a slow link reached the owner two seconds late.
-func (c *Client) Fetched(store routing.ServiceID, f storecache.FetchResult) {
+func (c *Client) ReportFetch(store routing.ServiceID, f storecache.FetchResult) {
 	h, reachable := c.holder(store)
 	if !reachable {
 		return
@@ -300,7 +300,7 @@
 }
 
 // Release implements placer.Stores. It does not wait for the owners.
-func (c *Client) Release(salt string, parts []relay.Part, unused []placer.Stored) {
+func (c *Client) Release(salt string, parts []relay.Part, unused []placer.StoredPart) {
 	requests := map[lease.Holder]*ReleaseRequest{}
 	for i, u := range unused {
 		if u.Claim == 0 {
--- a/internal/contextstore/contextstore_test.go
+++ b/internal/contextstore/contextstore_test.go
@@ -112,7 +112,7 @@
 
 func service(id string, tokens int, mbps float64) *routing.Service {
 	return &routing.Service{ID: routing.ServiceID(id), Store: &routing.ContextStore{
-		Address: id + ":1", Tokens: tokens, LinkMbps: mbps, Managed: true, FailureDomain: "d",
+		Address: id + ":1", CapacityTokens: tokens, LinkMbps: mbps, Managed: true, FailureDomain: "d",
 	}}
 }
 
@@ -162,7 +162,7 @@
 	t.Helper()
 	parts := []relay.Part{{ID: id, Tokens: 100}, {ID: "own", Tokens: 10}}
 	for deadline := time.Now().Add(8 * time.Second); ; {
-		got, _ := c.Ask(context.Background(), "w1", parts, []bool{false, false})
+		got, _ := c.Claim(context.Background(), "w1", parts, []bool{false, false})
 		if got[0].Fetch == fetch && got[0].Save == save {
 			return
 		}
@@ -182,7 +182,7 @@
 	waitForAnswer(t, c, "p", false, false) // the part is being written
 	store.save("w1", "p", 100)
 	waitForAnswer(t, c, "p", true, false)
-	got, until := c.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}}, []bool{false})
+	got, until := c.Claim(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}}, []bool{false})
 	if got[0].Address != "s:1" || got[0].FailureDomain != "d" {
 		t.Errorf("got %+v", got[0])
 	}
@@ -208,7 +208,7 @@
 	store.save("w1", "q", 100)
 	fake.SetDown(true)
 	for began := time.Now(); time.Since(began) < 3*ttl; time.Sleep(20 * time.Millisecond) {
-		got, _ := c.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own", Tokens: 10}}, []bool{false, false})
+		got, _ := c.Claim(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own", Tokens: 10}}, []bool{false, false})
 		if !got[0].Fetch {
 			t.Fatalf("part not fetchable %s into the outage", time.Since(began))
 		}
@@ -237,7 +237,7 @@
 	store.mu.Unlock()
 	c.opts.Local.HandleStall(minUnsafeStall)
 	for range 50 {
-		if got, _ := c.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own"}}, []bool{false, false}); got[0].Fetch {
+		if got, _ := c.Claim(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 100}, {ID: "own"}}, []bool{false, false}); got[0].Fetch {
 			t.Fatal("permit to fetch a part that was freed")
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -264,7 +264,7 @@
 	waitForAnswer(t, c, "old1", true, false)
 	for deadline := time.Now().Add(storecache.ReadOnlyGrace); ; time.Sleep(50 * time.Millisecond) {
 		// With new weights, parts of the old ones may be freed.
-		_, _ = c.Ask(context.Background(), "w2", []relay.Part{{ID: "n", Tokens: 100}, {ID: "own"}}, []bool{false, false})
+		_, _ = c.Claim(context.Background(), "w2", []relay.Part{{ID: "n", Tokens: 100}, {ID: "own"}}, []bool{false, false})
 		store.mu.Lock()
 		freed := len(store.freed)
 		store.mu.Unlock()
@@ -314,7 +314,7 @@
 	c.holders.Store(&map[string]lease.Holder{"s": {ID: "b", Address: "127.0.0.1:1"}})
 	for range 20 {
 		began := time.Now()
-		got, _ := c.Ask(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 10}}, []bool{false})
+		got, _ := c.Claim(context.Background(), "w1", []relay.Part{{ID: "p", Tokens: 10}}, []bool{false})
 		if got[0].Fetch || time.Since(began) > 3*claimTimeout {
 			t.Fatalf("%+v after %s", got[0], time.Since(began))
 		}
@@ -408,7 +408,7 @@
 	c := startOwner(t, newFakeStore(), service("shelf", 10_000, 1000))
 	parts := []relay.Part{{ID: "x", Tokens: 100}, {ID: "own", Tokens: 10}}
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		_, until := c.Ask(context.Background(), "w1", parts, []bool{false, false})
+		_, until := c.Claim(context.Background(), "w1", parts, []bool{false, false})
 		if until == 0 {
 			continue // the clock is not known yet
 		}
@@ -467,9 +467,9 @@
 	writeRecord(t, fake, "shelf", record{Epoch: 1, Seen: now - 60_000, OtherOwnerUntil: now + 8000})
 	c := startOwnerWith(t, fake, 10*time.Second, store, service("shelf", 1000, 1000))
 	parts := []relay.Part{{ID: "new", Tokens: 16}, {ID: "own", Tokens: 16}}
-	c.Ask(context.Background(), "w2", parts, []bool{false, false}) // all other parts are of old weights
+	c.Claim(context.Background(), "w2", parts, []bool{false, false}) // all other parts are of old weights
 	time.Sleep(storecache.ReadPermitTTL + time.Second)
-	c.Ask(context.Background(), "w2", parts, []bool{false, false})
+	c.Claim(context.Background(), "w2", parts, []bool{false, false})
 	if n := store.freedAfterMaintenance(); n > 0 {
 		t.Errorf("%d parts were freed while another owner may grant permits for them", n)
 	}
@@ -534,7 +534,7 @@
 	c.mu.Unlock()
 	const tokens = 160
 	parts := []relay.Part{{ID: "p", Tokens: tokens}, {ID: "last", Tokens: 16}}
-	got, _ := c.Ask(context.Background(), "w1", parts, []bool{false, false})
+	got, _ := c.Claim(context.Background(), "w1", parts, []bool{false, false})
 	if !got[0].Save {
 		t.Fatalf("no save is permitted: %+v", got[0])
 	}
--- a/internal/contextstore/owner.go
+++ b/internal/contextstore/owner.go
@@ -224,9 +224,9 @@
 func (o *Owner) startOwning(ctx context.Context, store *routing.Service, l *lease.Lease, tokenBytes int) {
 	const bitsPerByte = 8
 	owned := &ownedStore{
-		id: store.ID, address: store.Store.Address, capacityTokens: store.Store.Tokens, lease: l, leaseValidAt: time.Now(), api: o.opts.API, log: o.opts.Logger, metrics: o.opts.Metrics, records: recordStore{kv: o.opts.KV}, reasons: map[storecache.Reason]int{},
+		id: store.ID, address: store.Store.Address, capacityTokens: store.Store.CapacityTokens, lease: l, leaseValidAt: time.Now(), api: o.opts.API, log: o.opts.Logger, metrics: o.opts.Metrics, records: recordStore{kv: o.opts.KV}, reasons: map[storecache.Reason]int{},
 		cache: storecache.New(time.Now(), storecache.Params{
-			CapacityTokens: store.Store.Tokens, FirstByte: store.Store.FirstByte,
+			CapacityTokens: store.Store.CapacityTokens, FirstByte: store.Store.FirstByte,
 			TokensPerSec:         store.Store.LinkMbps * bitsPerMegabit / bitsPerByte / float64(tokenBytes),
 			PreviousLeaseExpired: l.ExpiredHolder() != "" && l.ExpiredHolder() != o.opts.Self,
 		}),
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -36,7 +36,7 @@
 		return false
 	}
 	a.outcome = mayHaveRun
-	a.placement.Replica.Health.Unreachable(time.Now())
+	a.placement.Replica.Health.RecordFailure(time.Now())
 	return false
 }
 
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -94,7 +94,7 @@
 	p.Meta.Org = j.OrgID()
 	p.Meta.TimeLeft = time.Until(j.Deadline)
 	a.cancelUnlessStarted()
-	p.Replica.Health.Try()
+	p.Replica.Health.BeginAttempt()
 	a.response, a.err = p.Replica.Pool.Do(ctx, &upstream.Request{
 		Method: j.Method, URI: j.URI, Host: j.Host, Body: j.Body,
 		Header:  s.o.Dialect.AttemptHeader(j.Header, p.Meta),
@@ -121,19 +121,19 @@
 func (s *Server) classifyError(ctx context.Context, p *Placement, err error) outcome {
 	switch {
 	case errors.Is(err, upstream.ErrNotSent) && ctx.Err() != nil:
-		p.Replica.Health.Abandoned()
+		p.Replica.Health.RecordAbandoned()
 		return notSent
 	case errors.Is(err, upstream.ErrUnreachable):
-		p.Replica.Unreachable(time.Now())
+		p.Replica.RecordUnreachable(time.Now())
 		return notSent
 	case errors.Is(err, upstream.ErrNotSent):
-		p.Replica.Health.Unreachable(time.Now())
+		p.Replica.Health.RecordFailure(time.Now())
 		return notSent
 	case ctx.Err() != nil:
-		p.Replica.Health.Abandoned()
+		p.Replica.Health.RecordAbandoned()
 		return cancelled
 	default:
-		p.Replica.Health.Unreachable(time.Now())
+		p.Replica.Health.RecordFailure(time.Now())
 		return mayHaveRun
 	}
 }
@@ -181,21 +181,21 @@
 func (s *Server) updateReplica(j *Job, a *attempt) {
 	r := a.placement.Replica
 	if j.Model != "" && a.meta.Weights > 0 {
-		r.SawWeights(j.Model, a.meta.Weights)
+		r.ObserveWeights(j.Model, a.meta.Weights)
 	}
 	switch a.outcome {
 	case answered:
-		r.Answered(time.Now(), false)
+		r.RecordAnswer(time.Now(), false)
 	case notRun:
-		r.Answered(time.Now(), false)
+		r.RecordAnswer(time.Now(), false)
 		if j.Model != "" {
-			r.Refused(time.Now())
+			r.RecordRefusal(time.Now())
 		}
 	case failed:
-		r.Answered(time.Now(), true)
+		r.RecordAnswer(time.Now(), true)
 	case mayHaveRun:
-		r.Health.Unreachable(time.Now())
+		r.Health.RecordFailure(time.Now())
 	case cancelled:
-		r.Health.Abandoned()
+		r.Health.RecordAbandoned()
 	}
 }
--- a/internal/relay/crashes.go
+++ b/internal/relay/crashes.go
@@ -43,7 +43,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 		defer cancel()
 		time.Sleep(crashCheckDelay)
-		if !r.Dead(ctx) {
+		if !r.IsDown(ctx) {
 			return
 		}
 		// A replica may restart under its id. The start time makes each of its crashes count once.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -151,7 +151,7 @@
 	f.t.Helper()
 	f.addReplica(func(net.Conn, string) {})
 	id := f.placer.replicas[len(f.placer.replicas)-1].Info().ID
-	f.set.Apply(time.Now(), replicas.Change{Gone: []request.TargetID{id}})
+	f.set.Apply(time.Now(), replicas.Change{Removed: []request.TargetID{id}})
 	f.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{ID: id, Service: "s", Address: "127.0.0.1:1"}}})
 	f.placer.replicas[len(f.placer.replicas)-1] = f.set.Get(id)
 }
@@ -578,7 +578,7 @@
 		t.Errorf("%q, %v", body, err)
 	}
 	for _, r := range f.placer.replicas[:maxUnsentAttempts-1] {
-		if !r.Health.Resting(time.Now()) {
+		if !r.Health.BackingOff(time.Now()) {
 			t.Errorf("unreachable replica %s is not backing off", r.Info().ID)
 		}
 	}
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -19,7 +19,7 @@
 	if a.meta.Invalid != nil {
 		s.o.Logger.Warn("The relay ignores an invalid header of a replica", "replica", r.Info().ID, "error", a.meta.Invalid)
 	}
-	if a.meta.Leaving && r.SawLeaving() {
+	if a.meta.Leaving && r.ObserveLeaving() {
 		s.o.Logger.Info("A replica reports that it is leaving", "replica", r.Info().ID)
 	}
 	if a.meta.RetryAfter > 0 {
@@ -35,7 +35,7 @@
 // applyRateLimit records the requests per second that a replica accepts; zero means no limit.
 func (s *Server) applyRateLimit(r *replicas.Replica, perSecond float64) {
 	before, _ := r.Limit()
-	if !r.SawLimit(time.Now(), perSecond) {
+	if !r.ObserveLimit(time.Now(), perSecond) {
 		return
 	}
 	switch {
--- a/internal/relay/signals_test.go
+++ b/internal/relay/signals_test.go
@@ -39,7 +39,7 @@
 			f := newFixture(t, route(routing.KindOnce))
 			f.addReplica(c.handle)
 			r := f.placer.replicas[0]
-			r.HeardLimit(time.Now(), known)
+			r.UpdateLimit(time.Now(), known)
 			if _, _, err := f.call(http.MethodPost, "/x", nil); err != nil {
 				t.Log(err) // responses of faulty replicas may be truncated
 			}
