--- a/internal/placer/plain.go
+++ b/internal/placer/plain.go
@@ -60,5 +60,5 @@
 }
 
 func noReplica() error {
-	return request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, noReplicaRetryAfter, "no replica accepts requests now")
+	return request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, noReplicaRetryAfter, "no replica takes requests now")
 }
