--- a/cmd/benchfair/admitters.go
+++ b/cmd/benchfair/admitters.go
@@ -25,7 +25,7 @@
 type stewards struct {
 	sc      scenario
 	engines []*engine
-	list    []*admission.Steward
+	list    []*admission.Coordinator
 	calls   map[request.ID]*call
 	seen    int
 	without decision
@@ -67,7 +67,7 @@
 }
 
 func (s *stewards) submit(now time.Time, c *call) {
-	ask := admission.Ask{
+	ask := admission.Request{
 		ID: request.ID(fmt.Sprint(c.id)), Org: request.OrgID(c.org), Weight: 1,
 		Tokens: int64(c.tokens), Deadline: c.arrived.Add(s.sc.patience),
 	}
@@ -106,7 +106,7 @@
 func (s *stewards) apply(target int, actions []admission.Action) {
 	for _, action := range actions {
 		if g, ok := action.(admission.Grant); ok {
-			c := s.calls[g.Ask.ID]
+			c := s.calls[g.Request.ID]
 			c.grant = g.ID
 			if s.without != priority {
 				c.priority = g.Priority
--- a/internal/controlbench/slopes_test.go
+++ b/internal/controlbench/slopes_test.go
@@ -98,7 +98,7 @@
 		b.Run(strconv.Itoa(organisations), func(b *testing.B) {
 			limits := limit.Limits{RequestsPerSecond: 1000, Burst: 1000, Concurrency: 100, TokensPerSecond: 1e7}
 			now := time.Unix(1_700_000_000, 0)
-			s := limit.NewSteward(now, limit.Params{})
+			s := limit.NewCoordinator(now, limit.Params{})
 			ids := make([]request.OrgID, organisations)
 			for i := range ids {
 				ids[i] = request.OrgID(fmt.Sprintf("org-%05d", i))
@@ -106,7 +106,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(100 * time.Microsecond)
-				s.Slice(now, "d1", ids[i%organisations], limits, limit.Want{Org: ids[i%organisations], Requests: 1, Concurrency: 1, Tokens: 1000})
+				s.Slice(now, "d1", ids[i%organisations], limits, limit.SliceRequest{Org: ids[i%organisations], Requests: 1, Concurrency: 1, Tokens: 1000})
 			}
 		})
 	}
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -64,7 +64,7 @@
 
 	mu      sync.Mutex
 	home    *limit.Home
-	steward *limit.Steward
+	steward *limit.Coordinator
 	changed map[request.OrgID]chan struct{} // closed when a slice has come or failed
 	live    []*peer.Member                  // as of the last tick
 	known   int
@@ -79,7 +79,7 @@
 		opts:    opts,
 		log:     opts.Logger.Named("limiter"),
 		home:    limit.NewHome(opts.Params, 1),
-		steward: limit.NewSteward(time.Now(), opts.Params),
+		steward: limit.NewCoordinator(time.Now(), opts.Params),
 		changed: map[request.OrgID]chan struct{}{},
 	}
 }
@@ -98,7 +98,7 @@
 func (l *Limiter) Admit(ctx context.Context, org *table.Organisation, tokens int64) *request.Error {
 	for {
 		decision, changed := l.ask(org, tokens)
-		switch decision.Verdict {
+		switch decision.Outcome {
 		case limit.Admitted:
 			return nil
 		case limit.Refused:
@@ -122,14 +122,14 @@
 		changed = make(chan struct{})
 		l.changed[org.ID] = changed
 	}
-	if decision.Ask != nil {
-		l.fetches.Go(func() { l.fetch(*decision.Ask) })
+	if decision.SliceRequest != nil {
+		l.fetches.Go(func() { l.fetch(*decision.SliceRequest) })
 	}
 	return decision, changed
 }
 
 // fetch asks the organisation's steward for a slice.
-func (l *Limiter) fetch(want limit.Want) {
+func (l *Limiter) fetch(want limit.SliceRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), sliceTimeout)
 	defer cancel()
 	slice, err := l.slice(ctx, want)
@@ -151,7 +151,7 @@
 	}
 }
 
-func (l *Limiter) slice(ctx context.Context, want limit.Want) (limit.Slice, error) {
+func (l *Limiter) slice(ctx context.Context, want limit.SliceRequest) (limit.Slice, error) {
 	place := l.opts.Members.Place(placeKey(want.Org))
 	if place == nil || place.Id == l.opts.Members.Self().Id {
 		return l.sliceHere(l.opts.Members.Self().Id, want), nil
@@ -177,7 +177,7 @@
 }
 
 // sliceHere leases a slice as the organisation's steward.
-func (l *Limiter) sliceHere(from string, want limit.Want) limit.Slice {
+func (l *Limiter) sliceHere(from string, want limit.SliceRequest) limit.Slice {
 	var limits limit.Limits
 	if org, ok := l.opts.Tables.Current().Organisation(want.Org); ok {
 		limits = limitsOf(org)
@@ -196,7 +196,7 @@
 
 // Slice serves peer.Steward.
 func (l *Limiter) Slice(_ context.Context, r *peer.SliceRequest) (*peer.SliceResponse, error) {
-	slice := l.sliceHere(r.From, limit.Want{
+	slice := l.sliceHere(r.From, limit.SliceRequest{
 		Org:         request.OrgID(r.Organisation),
 		Requests:    r.WantRequests,
 		Concurrency: r.WantConcurrency,
@@ -249,11 +249,11 @@
 		return
 	}
 	l.live, l.known = live, known
-	l.home.OnMembers(known)
-	l.steward.OnMembers(now, len(live), known)
-	l.steward.OnPlacesMoved(now)
+	l.home.OnMembershipChange(known)
+	l.steward.OnMembershipChange(now, len(live), known)
+	l.steward.OnAssignmentsChanged(now)
 	self := l.opts.Members.Self().Id
-	l.steward.Keep(now, func(org request.OrgID) bool {
+	l.steward.ConfirmRetained(now, func(org request.OrgID) bool {
 		return isPlace(before, org, self) && isPlace(live, org, self)
 	})
 }
--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -22,16 +22,16 @@
 
 // Defaults of Params.
 const (
-	DefaultGrantTTL        = 5 * time.Second
-	DefaultLoadTTL         = 5 * time.Second
-	DefaultPrefillRate     = 8000 // tokens a second
-	DefaultMaxQueue        = 256
-	DefaultMaxQueuePerOrg  = 128
-	DefaultMaxSuspects     = 8
-	DefaultSuspectPatience = 500 * time.Millisecond
-	DefaultSuspectMaxWait  = 10 * time.Second
-	DefaultMinRetryAfter   = 100 * time.Millisecond
-	DefaultMaxRetryAfter   = 30 * time.Second
+	DefaultGrantTTL          = 5 * time.Second
+	DefaultLoadTTL           = 5 * time.Second
+	DefaultPrefillRate       = 8000 // tokens a second
+	DefaultMaxQueue          = 256
+	DefaultMaxQueuePerOrg    = 128
+	DefaultMaxSuspects       = 8
+	DefaultSuspectDrainDelay = 500 * time.Millisecond
+	DefaultSuspectMaxWait    = 10 * time.Second
+	DefaultMinRetryAfter     = 100 * time.Millisecond
+	DefaultMaxRetryAfter     = 30 * time.Second
 )
 
 // reserveShare is the part of the places that is kept back: one in so many.
@@ -67,16 +67,16 @@
 	MaxQueue       int
 	MaxQueuePerOrg int
 
-	MaxSuspects     int           // suspects waiting at once
-	SuspectPatience time.Duration // wait after which the target is emptied for a suspect
-	SuspectMaxWait  time.Duration // wait after which a suspect is refused
+	MaxSuspects       int           // suspects waiting at once
+	SuspectDrainDelay time.Duration // wait after which the target is emptied for a suspect
+	SuspectMaxWait    time.Duration // wait after which a suspect is refused
 
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
 }
 
-// Ask asks for leave to send one request to the target.
-type Ask struct {
+// Request asks for leave to send one request to the target.
+type Request struct {
 	ID     request.ID
 	From   request.DaemonID
 	Org    request.OrgID
@@ -96,10 +96,10 @@
 
 // Grant allows one request to be sent to the target.
 type Grant struct {
-	Ask     Ask
-	ID      string
-	Expires time.Time // renewed by submitting the same request again
-	Alone   bool      // nothing else is in flight there
+	Request   Request
+	ID        string
+	Expires   time.Time // renewed by submitting the same request again
+	Exclusive bool      // nothing else is in flight there
 	// Priority is for the engine; lower runs first. It is PriorityOverShare for an
 	// organisation that uses more than its share of the target, so that the piece of
 	// prefill that comes next is one of the others.
@@ -112,24 +112,24 @@
 	PriorityOverShare   = 1
 )
 
-// Refuse is the final answer to an ask. Err says that the request did not run and
+// Refusal is the final answer to an ask. Err says that the request did not run and
 // when to come back.
-type Refuse struct {
-	Ask Ask
-	Err *request.Error
+type Refusal struct {
+	Request Request
+	Err     *request.Error
 }
 
-// Died lists what was in flight at the target when it died. Each is a suspect. The
+// TargetFailure lists what was in flight at the target when it died. Each is a suspect. The
 // daemons that sent them see their streams end as well, but one of them may have
 // died too.
-type Died struct {
+type TargetFailure struct {
 	Incarnation uint64 // of the target that died; zero: unknown
-	InFlight    []Ask
+	InFlight    []Request
 }
 
-func (Grant) isAction()  {}
-func (Refuse) isAction() {}
-func (Died) isAction()   {}
+func (Grant) isAction()         {}
+func (Refusal) isAction()       {}
+func (TargetFailure) isAction() {}
 
 // Outcome says how a granted request ended.
 type Outcome struct {
@@ -145,14 +145,14 @@
 	statusLeaving status = "leaving"
 )
 
-// Steward admits work to one target.
-type Steward struct {
+// Coordinator admits work to one target.
+type Coordinator struct {
 	params Params
 	status status
 	downAt time.Time
 
 	queue    *fairqueue.Queue
-	waiting  map[request.ID]Ask // asks in queue
+	waiting  map[request.ID]Request // asks in queue
 	suspects []waitingSuspect
 	alone    bool      // a suspect runs
 	aloneEnd time.Time // when the last suspect ended
@@ -169,13 +169,13 @@
 }
 
 // New returns the steward of one target, which is taken to be up.
-func New(p Params) *Steward {
+func New(p Params) *Coordinator {
 	p.setDefaults()
-	return &Steward{
+	return &Coordinator{
 		params:  p,
 		status:  statusUp,
 		queue:   fairqueue.New(fairqueue.Params{MaxItems: p.MaxQueue, MaxPerOrg: p.MaxQueuePerOrg}),
-		waiting: make(map[request.ID]Ask),
+		waiting: make(map[request.ID]Request),
 		grants:  make(map[request.ID]*grant),
 		meter:   newMeter(p.ServiceRate),
 		usage:   newUsage(),
@@ -195,7 +195,7 @@
 	setDefault(&p.MaxQueue, DefaultMaxQueue)
 	setDefault(&p.MaxQueuePerOrg, DefaultMaxQueuePerOrg)
 	setDefault(&p.MaxSuspects, DefaultMaxSuspects)
-	setDefault(&p.SuspectPatience, DefaultSuspectPatience)
+	setDefault(&p.SuspectDrainDelay, DefaultSuspectDrainDelay)
 	setDefault(&p.SuspectMaxWait, DefaultSuspectMaxWait)
 	setDefault(&p.MinRetryAfter, DefaultMinRetryAfter)
 	setDefault(&p.MaxRetryAfter, DefaultMaxRetryAfter)
--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -26,25 +26,25 @@
 			MaxQueuePerOrg:   5,
 		}
 		s, now, next := New(p), epoch, 0
-		open := make(map[request.ID]Ask)
+		open := make(map[request.ID]Request)
 		held := make(map[request.ID]Grant)
 		apply := func(actions []Action) {
 			for _, action := range actions {
 				switch a := action.(type) {
 				case Grant:
-					_, waited := open[a.Ask.ID]
-					_, renewed := held[a.Ask.ID]
+					_, waited := open[a.Request.ID]
+					_, renewed := held[a.Request.ID]
 					if !waited && !renewed {
-						rt.Fatalf("%s is granted after its answer", a.Ask.ID)
+						rt.Fatalf("%s is granted after its answer", a.Request.ID)
 					}
-					delete(open, a.Ask.ID)
-					held[a.Ask.ID] = a
-				case Refuse:
-					if _, ok := open[a.Ask.ID]; !ok || a.Err.Ran != request.NotRun || a.Err.RetryAfter <= 0 {
-						rt.Fatalf("%s gets a second answer, or a bad one: %v", a.Ask.ID, a.Err)
+					delete(open, a.Request.ID)
+					held[a.Request.ID] = a
+				case Refusal:
+					if _, ok := open[a.Request.ID]; !ok || a.Err.Ran != request.NotRun || a.Err.RetryAfter <= 0 {
+						rt.Fatalf("%s gets a second answer, or a bad one: %v", a.Request.ID, a.Err)
 					}
-					delete(open, a.Ask.ID)
-				case Died:
+					delete(open, a.Request.ID)
+				case TargetFailure:
 					for _, ask := range a.InFlight {
 						delete(held, ask.ID)
 					}
@@ -63,7 +63,7 @@
 			"submit": func(rt *rapid.T) {
 				step(rt)
 				next++
-				ask := Ask{
+				ask := Request{
 					ID: request.ID(fmt.Sprint(next)), Weight: rapid.IntRange(1, 5).Draw(rt, "weight"),
 					Org:    request.OrgID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "org")),
 					Tokens: rapid.Int64Range(1, 4000).Draw(rt, "tokens"), Suspect: rapid.IntRange(0, 9).Draw(rt, "suspect") == 0,
@@ -77,7 +77,7 @@
 			"renew": func(rt *rapid.T) {
 				step(rt)
 				for _, g := range held {
-					apply(s.Submit(now, g.Ask))
+					apply(s.Submit(now, g.Request))
 				}
 			},
 			"release": func(rt *rapid.T) {
@@ -112,8 +112,8 @@
 					rt.Fatalf("%d held, steward counts %d of %d", len(held), s.View(now).Granted, p.MaxRunning)
 				}
 				for _, g := range held {
-					if g.Alone && len(held) > 1 {
-						rt.Fatalf("suspect %s has company", g.Ask.ID)
+					if g.Exclusive && len(held) > 1 {
+						rt.Fatalf("suspect %s has company", g.Request.ID)
 					}
 				}
 				for _, ask := range open {
@@ -145,7 +145,7 @@
 		for _, org := range []request.OrgID{"large", "short"} {
 			id := request.ID(fmt.Sprintf("%s%d", org, i))
 			naive.Push(fairqueue.Item{ID: id, Org: org, Weight: 1, Cost: prompts[org]})
-			take(s.Submit(epoch, Ask{ID: id, Org: org, Tokens: prompts[org]}))
+			take(s.Submit(epoch, Request{ID: id, Org: org, Tokens: prompts[org]}))
 		}
 	}
 	const served = 200
@@ -158,7 +158,7 @@
 	for i := range served {
 		g := running[0]
 		running = running[1:]
-		if g.Ask.Org == "large" {
+		if g.Request.Org == "large" {
 			large++
 		}
 		take(s.Release(epoch.Add(hold*time.Duration(1+i/places)), g.ID, Outcome{}))
@@ -214,7 +214,7 @@
 func TestTwoStewardsCostEfficiencyOnly(t *testing.T) {
 	const steps, split, joined = 900, 200, 400
 	var naive, shared slowTarget
-	stewards := []*Steward{
+	stewards := []*Coordinator{
 		New(Params{Instance: "d1", MaxRunning: simPlaces, MaxQueue: 1000, MaxQueuePerOrg: 1000}),
 		New(Params{Instance: "d2", MaxRunning: simPlaces, MaxQueue: 1000, MaxQueuePerOrg: 1000}),
 	}
@@ -227,8 +227,8 @@
 		var apply func(actions []Action)
 		apply = func(actions []Action) {
 			for _, action := range actions {
-				if r, ok := action.(Refuse); ok && r.Err.Code == request.CodeNotHolder {
-					apply(stewards[0].Submit(now, r.Ask))
+				if r, ok := action.(Refusal); ok && r.Err.Code == request.CodeNotHolder {
+					apply(stewards[0].Submit(now, r.Request))
 					continue
 				}
 				g, ok := action.(Grant)
@@ -268,7 +268,7 @@
 				if i >= split && i < joined && n == 1 {
 					chosen = stewards[1]
 				}
-				apply(chosen.Submit(now, Ask{ID: request.ID(fmt.Sprint(asked)), Org: "a", Tokens: 10}))
+				apply(chosen.Submit(now, Request{ID: request.ID(fmt.Sprint(asked)), Org: "a", Tokens: 10}))
 			}
 		}
 		naiveMax = max(naiveMax, len(naive.ends))
--- a/internal/policy/admission/grants.go
+++ b/internal/policy/admission/grants.go
@@ -7,7 +7,7 @@
 
 // grant is a place at the target, held by one request until released or expired.
 type grant struct {
-	ask     Ask
+	ask     Request
 	id      string
 	alone   bool
 	cost    int64
@@ -18,7 +18,7 @@
 }
 
 func (g *grant) action() Grant {
-	out := Grant{Ask: g.ask, ID: g.id, Expires: g.expires, Alone: g.alone, Priority: PriorityWithinShare}
+	out := Grant{Request: g.ask, ID: g.id, Expires: g.expires, Exclusive: g.alone, Priority: PriorityWithinShare}
 	if g.over {
 		out.Priority = PriorityOverShare
 	}
@@ -33,7 +33,7 @@
 	return g.ended.IsZero() || g.ended.After(t)
 }
 
-func (s *Steward) grant(now time.Time, ask Ask, alone bool) Action {
+func (s *Coordinator) grant(now time.Time, ask Request, alone bool) Action {
 	s.seq++
 	g := &grant{
 		ask:     ask,
@@ -54,7 +54,7 @@
 
 // Release ends a grant. An id that is unknown, for example of an earlier steward,
 // is ignored.
-func (s *Steward) Release(now time.Time, grantID string, out Outcome) []Action {
+func (s *Coordinator) Release(now time.Time, grantID string, out Outcome) []Action {
 	actions := s.advance(now)
 	for _, g := range s.order {
 		if g.id == grantID {
@@ -69,7 +69,7 @@
 
 // expireGrants frees the places of daemons that died. Should the request still run
 // at the target, the next load report shows it as work of others.
-func (s *Steward) expireGrants(now time.Time) {
+func (s *Coordinator) expireGrants(now time.Time) {
 	for i := 0; i < len(s.order); {
 		g := s.order[i]
 		if g.expires.After(now) {
@@ -82,7 +82,7 @@
 	s.pruneEnded(now)
 }
 
-func (s *Steward) end(now time.Time, g *grant) {
+func (s *Coordinator) end(now time.Time, g *grant) {
 	g.ended = now
 	delete(s.grants, g.ask.ID)
 	for i, other := range s.order {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (s *Steward) pruneEnded(now time.Time) {
+func (s *Coordinator) pruneEnded(now time.Time) {
 	old := now.Add(-s.params.LoadTTL)
 	i := 0
 	for i < len(s.ended) && s.ended[i].ended.Before(old) {
@@ -111,7 +111,7 @@
 // for as long as one of its organisation is held, whichever is the larger part of the
 // target. Without the second, an organisation with short prompts and long answers
 // could hold most places within its share.
-func (s *Steward) cost(ask Ask) int64 {
+func (s *Coordinator) cost(ask Request) int64 {
 	hold := s.usage.hold(ask.Org).Seconds()
 	place := hold * s.params.PrefillRate / float64(s.params.MaxRunning)
 	return max(ask.Tokens, int64(place))
@@ -119,7 +119,7 @@
 
 // fits reports whether one more request of the given size may go to the target. over
 // says that its organisation is over its share.
-func (s *Steward) fits(now time.Time, tokens int64, over bool) bool {
+func (s *Coordinator) fits(now time.Time, tokens int64, over bool) bool {
 	places := s.params.MaxRunning
 	if over {
 		places -= s.params.Reserve
@@ -139,6 +139,6 @@
 
 // saturated reports whether the target is as busy as it may be, so that what is
 // served now measures its rate.
-func (s *Steward) saturated() bool {
+func (s *Coordinator) saturated() bool {
 	return len(s.waiting) > 0 || len(s.order) >= s.params.MaxRunning
 }
--- a/internal/policy/admission/load.go
+++ b/internal/policy/admission/load.go
@@ -18,7 +18,7 @@
 
 // OnLoad takes a report by the target. Reports lag: what it says is compared with
 // the grants that were live when it was taken, and later grants come on top.
-func (s *Steward) OnLoad(now time.Time, load engineapi.Load) []Action {
+func (s *Coordinator) OnLoad(now time.Time, load engineapi.Load) []Action {
 	actions := s.advance(now)
 	taken := now.Add(-time.Duration(load.AgeMillis) * time.Millisecond)
 	if taken.Before(s.report.taken) {
@@ -45,7 +45,7 @@
 
 // OnTargetDown is told that the target died or can't be reached. What waits is
 // refused at once.
-func (s *Steward) OnTargetDown(now time.Time) []Action {
+func (s *Coordinator) OnTargetDown(now time.Time) []Action {
 	actions := s.advance(now)
 	s.status = statusDown
 	s.downAt = now
@@ -55,7 +55,7 @@
 
 // OnTargetLeaving is told that the target stops. What waits is refused at once;
 // what is in flight goes on.
-func (s *Steward) OnTargetLeaving(now time.Time) []Action {
+func (s *Coordinator) OnTargetLeaving(now time.Time) []Action {
 	actions := s.advance(now)
 	if s.status == statusUp {
 		s.status = statusLeaving
@@ -65,7 +65,7 @@
 
 // OnTargetUp is told that a probe reached the target. It serves targets without
 // load reports.
-func (s *Steward) OnTargetUp(now time.Time) []Action {
+func (s *Coordinator) OnTargetUp(now time.Time) []Action {
 	actions := s.advance(now)
 	s.status = statusUp
 	return append(actions, s.pump(now)...)
@@ -74,18 +74,18 @@
 // Resign is told that another daemon is the steward now. What waits is refused with
 // CodeNotHolder, for its daemon to ask the new steward; grants live on until they
 // are released here, and the new steward sees them in the load reports.
-func (s *Steward) Resign(now time.Time) []Action {
+func (s *Coordinator) Resign(now time.Time) []Action {
 	actions := s.advance(now)
-	refuse := func(ask Ask) Action {
-		return Refuse{Ask: ask, Err: request.Refuse(request.CodeNotHolder, http.StatusServiceUnavailable,
+	refuse := func(ask Request) Action {
+		return Refusal{Request: ask, Err: request.Refuse(request.CodeNotHolder, http.StatusServiceUnavailable,
 			s.params.MinRetryAfter, "another daemon admits to target %s now", s.params.Target)}
 	}
 	return append(actions, s.refuseWaiting(refuse)...)
 }
 
 // died ends all grants and names their requests.
-func (s *Steward) died(now time.Time) []Action {
-	var inFlight []Ask
+func (s *Coordinator) died(now time.Time) []Action {
+	var inFlight []Request
 	for len(s.order) > 0 {
 		g := s.order[0]
 		inFlight = append(inFlight, g.ask)
@@ -98,10 +98,10 @@
 	if len(inFlight) == 0 {
 		return nil
 	}
-	return []Action{Died{Incarnation: incarnation, InFlight: inFlight}}
+	return []Action{TargetFailure{Incarnation: incarnation, InFlight: inFlight}}
 }
 
-func (s *Steward) refuseWaiting(refuse func(Ask) Action) []Action {
+func (s *Coordinator) refuseWaiting(refuse func(Request) Action) []Action {
 	var actions []Action
 	for _, item := range s.queue.Drain() {
 		actions = append(actions, refuse(s.waiting[item.ID]))
@@ -114,7 +114,7 @@
 	return actions
 }
 
-func (s *Steward) liveAt(t time.Time) int {
+func (s *Coordinator) liveAt(t time.Time) int {
 	n := 0
 	for _, g := range s.order {
 		if g.liveAt(t) {
@@ -129,13 +129,13 @@
 	return n
 }
 
-func (s *Steward) fresh(now time.Time) bool {
+func (s *Coordinator) fresh(now time.Time) bool {
 	return !s.report.taken.IsZero() && now.Sub(s.report.taken) <= s.params.LoadTTL
 }
 
 // running returns the requests that are taken to be at the target now: the grants
 // that live, and what the last report showed beyond them.
-func (s *Steward) running(now time.Time) int {
+func (s *Coordinator) running(now time.Time) int {
 	n := len(s.order)
 	if s.fresh(now) {
 		n += s.report.foreign
@@ -145,7 +145,7 @@
 
 // prefillBacklog estimates the tokens that wait for prefill at the target: what the
 // last report said and what was granted after it, less what was computed since.
-func (s *Steward) prefillBacklog(now time.Time) float64 {
+func (s *Coordinator) prefillBacklog(now time.Time) float64 {
 	var backlog float64
 	var at time.Time
 	if s.fresh(now) {
@@ -157,12 +157,12 @@
 
 // withinShareBacklog is the part of the backlog that is computed first. It is known
 // from the grants alone.
-func (s *Steward) withinShareBacklog(now time.Time) float64 {
+func (s *Coordinator) withinShareBacklog(now time.Time) float64 {
 	return s.foldBacklog(now, 0, time.Time{}, func(g *grant) bool { return !g.over })
 }
 
 // foldBacklog adds to a backlog of some time the grants since then.
-func (s *Steward) foldBacklog(now time.Time, backlog float64, at time.Time, counts func(*grant) bool) float64 {
+func (s *Coordinator) foldBacklog(now time.Time, backlog float64, at time.Time, counts func(*grant) bool) float64 {
 	since := at
 	for _, g := range s.order {
 		if !g.granted.After(since) || !counts(g) {
@@ -176,6 +176,6 @@
 }
 
 // computed returns what is left of a backlog after some time of prefill.
-func (s *Steward) computed(backlog float64, elapsed time.Duration) float64 {
+func (s *Coordinator) computed(backlog float64, elapsed time.Duration) float64 {
 	return max(0, backlog-elapsed.Seconds()*s.params.PrefillRate)
 }
--- a/internal/policy/admission/renew.go
+++ b/internal/policy/admission/renew.go
@@ -8,7 +8,7 @@
 
 // Renew extends a grant. It returns false if the request holds none, for example
 // because it lapsed or an earlier steward gave it.
-func (s *Steward) Renew(now time.Time, id request.ID) bool {
+func (s *Coordinator) Renew(now time.Time, id request.ID) bool {
 	g, ok := s.grants[id]
 	if !ok {
 		return false
--- a/internal/policy/admission/submit.go
+++ b/internal/policy/admission/submit.go
@@ -13,7 +13,7 @@
 //
 // Submit is idempotent by request id: a granted request gets its grant again with a
 // new expiry, which is how a grant is renewed, and one that waits goes on waiting.
-func (s *Steward) Submit(now time.Time, ask Ask) []Action {
+func (s *Coordinator) Submit(now time.Time, ask Request) []Action {
 	actions := s.advance(now)
 	ask.Weight = max(ask.Weight, 1)
 	ask.Tokens = max(ask.Tokens, 1)
@@ -44,7 +44,7 @@
 }
 
 // Cancel forgets a request whose caller has left, whether it waits or is granted.
-func (s *Steward) Cancel(now time.Time, id request.ID) []Action {
+func (s *Coordinator) Cancel(now time.Time, id request.ID) []Action {
 	actions := s.advance(now)
 	if ask, ok := s.waiting[id]; ok {
 		s.queue.Remove(ask.Org, id)
@@ -64,7 +64,7 @@
 
 // Tick drops expired grants and asks that can no longer make their deadline, and
 // grants what fits. Call it a few times a second while anything waits or runs.
-func (s *Steward) Tick(now time.Time) []Action {
+func (s *Coordinator) Tick(now time.Time) []Action {
 	actions := s.advance(now)
 	var next int64
 	if item, ok := s.queue.Peek(); ok {
@@ -76,14 +76,14 @@
 }
 
 // advance brings the steward to the present before an event is handled.
-func (s *Steward) advance(now time.Time) []Action {
+func (s *Coordinator) advance(now time.Time) []Action {
 	s.expireGrants(now)
 	s.meter.observe(now, s.saturated())
 	return s.expireSuspects(now)
 }
 
 // pump grants in fair order as long as the next in line fits.
-func (s *Steward) pump(now time.Time) []Action {
+func (s *Coordinator) pump(now time.Time) []Action {
 	actions := s.pumpSuspects(now)
 	for s.status == statusUp && !s.alone && !s.emptying(now) {
 		item, ok := s.nextFitting(now)
@@ -103,7 +103,7 @@
 // over its share that does not fit yet is passed by those within theirs, for which
 // room is kept; nothing else is passed, so that a large prompt is not kept out by
 // small ones.
-func (s *Steward) nextFitting(now time.Time) (fairqueue.Item, bool) {
+func (s *Coordinator) nextFitting(now time.Time) (fairqueue.Item, bool) {
 	for _, item := range s.queue.Heads() {
 		over := s.usage.over(now, item.Org, item.Weight)
 		if s.fits(now, s.waiting[item.ID].Tokens, over) {
@@ -116,7 +116,7 @@
 	return fairqueue.Item{}, false
 }
 
-func (s *Steward) isWaiting(id request.ID) bool {
+func (s *Coordinator) isWaiting(id request.ID) bool {
 	if _, ok := s.waiting[id]; ok {
 		return true
 	}
@@ -130,7 +130,7 @@
 
 // latestStart returns the last moment at which the ask can start and still have its
 // first token by its deadline.
-func (s *Steward) latestStart(ask Ask) time.Time {
+func (s *Coordinator) latestStart(ask Request) time.Time {
 	if ask.Deadline.IsZero() {
 		return time.Time{}
 	}
@@ -138,7 +138,7 @@
 }
 
 // expectedWait estimates how long a new ask would wait for its grant.
-func (s *Steward) expectedWait(now time.Time, ask Ask) time.Duration {
+func (s *Coordinator) expectedWait(now time.Time, ask Request) time.Duration {
 	ahead := s.queue.Ahead(ask.Org, ask.Weight)
 	over := s.usage.over(now, ask.Org, ask.Weight)
 	if ahead == 0 && !s.alone && s.fits(now, ask.Tokens, over) {
@@ -151,7 +151,7 @@
 // that is submitted now: its wait for a grant and for the prefill that comes first at
 // the target. It serves the choice between targets. The two waits overlap: while the
 // backlog is computed, places and room in the prefill bound come free.
-func (s *Steward) ExpectedWait(now time.Time, ask Ask) time.Duration {
+func (s *Coordinator) ExpectedWait(now time.Time, ask Request) time.Duration {
 	backlog := s.prefillBacklog(now)
 	if !s.usage.over(now, ask.Org, max(ask.Weight, 1)) {
 		backlog = min(backlog, s.withinShareBacklog(now))
@@ -160,7 +160,7 @@
 }
 
 // untilPlace estimates when the next in line may start, if it has the given tokens.
-func (s *Steward) untilPlace(now time.Time, tokens int64) time.Duration {
+func (s *Coordinator) untilPlace(now time.Time, tokens int64) time.Duration {
 	if s.running(now) >= s.params.MaxRunning || s.alone {
 		return fairqueue.Duration(s.meter.meanCost, s.meter.rate)
 	}
@@ -171,7 +171,7 @@
 	return fairqueue.Duration(s.prefillBacklog(now)-room, s.params.PrefillRate)
 }
 
-func (s *Steward) refuseDropped(now time.Time, dropped []fairqueue.Dropped) []Action {
+func (s *Coordinator) refuseDropped(now time.Time, dropped []fairqueue.Dropped) []Action {
 	var actions []Action
 	for _, d := range dropped {
 		ask := s.waiting[d.Item.ID]
@@ -188,28 +188,28 @@
 	return actions
 }
 
-func (s *Steward) refuseFull(now time.Time, ask Ask, status int, message string) Action {
+func (s *Coordinator) refuseFull(now time.Time, ask Request, status int, message string) Action {
 	s.count.refused++
-	return Refuse{Ask: ask, Err: request.Refuse(request.CodeOverloaded, status, s.retryAfter(now, ask), "%s", message)}
+	return Refusal{Request: ask, Err: request.Refuse(request.CodeOverloaded, status, s.retryAfter(now, ask), "%s", message)}
 }
 
-func (s *Steward) refuseLate(now time.Time, ask Ask) Action {
+func (s *Coordinator) refuseLate(now time.Time, ask Request) Action {
 	s.count.refused++
 	err := request.Refuse(request.CodeDeadline, http.StatusServiceUnavailable, s.retryAfter(now, ask),
 		"the first token would come after the deadline")
-	return Refuse{Ask: ask, Err: err}
+	return Refusal{Request: ask, Err: err}
 }
 
-func (s *Steward) refuseDown(ask Ask) Action {
+func (s *Coordinator) refuseDown(ask Request) Action {
 	s.count.refused++
 	err := request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, s.params.MinRetryAfter,
 		"target %s is %s", s.params.Target, s.status)
-	return Refuse{Ask: ask, Err: err}
+	return Refusal{Request: ask, Err: err}
 }
 
 // retryAfter returns when the work that is ahead of the ask now will be done, from
 // the measured rate.
-func (s *Steward) retryAfter(now time.Time, ask Ask) time.Duration {
+func (s *Coordinator) retryAfter(now time.Time, ask Request) time.Duration {
 	after := s.expectedWait(now, ask)
 	return min(max(after, s.params.MinRetryAfter), s.params.MaxRetryAfter)
 }
--- a/internal/policy/admission/suspect.go
+++ b/internal/policy/admission/suspect.go
@@ -9,7 +9,7 @@
 
 // waitingSuspect waits to have the target for itself.
 type waitingSuspect struct {
-	ask   Ask
+	ask   Request
 	since time.Time
 }
 
@@ -19,7 +19,7 @@
 // is owed its answer. One suspect after another can't keep the target empty:
 // patience starts anew when a suspect ends.
 
-func (s *Steward) submitSuspect(now time.Time, ask Ask) []Action {
+func (s *Coordinator) submitSuspect(now time.Time, ask Request) []Action {
 	if len(s.suspects) >= s.params.MaxSuspects {
 		return []Action{s.refuseSuspect(ask)}
 	}
@@ -29,7 +29,7 @@
 
 // emptying reports whether the target takes nothing new because a suspect has
 // waited long enough.
-func (s *Steward) emptying(now time.Time) bool {
+func (s *Coordinator) emptying(now time.Time) bool {
 	if len(s.suspects) == 0 {
 		return false
 	}
@@ -37,10 +37,10 @@
 	if s.aloneEnd.After(since) {
 		since = s.aloneEnd
 	}
-	return now.Sub(since) >= s.params.SuspectPatience
+	return now.Sub(since) >= s.params.SuspectDrainDelay
 }
 
-func (s *Steward) pumpSuspects(now time.Time) []Action {
+func (s *Coordinator) pumpSuspects(now time.Time) []Action {
 	if s.status != statusUp || len(s.suspects) == 0 || s.running(now) > 0 {
 		return nil
 	}
@@ -52,7 +52,7 @@
 	return []Action{s.grant(now, ask, true)}
 }
 
-func (s *Steward) expireSuspects(now time.Time) []Action {
+func (s *Coordinator) expireSuspects(now time.Time) []Action {
 	var actions []Action
 	kept := s.suspects[:0]
 	for _, w := range s.suspects {
@@ -67,9 +67,9 @@
 	return actions
 }
 
-func (s *Steward) refuseSuspect(ask Ask) Action {
+func (s *Coordinator) refuseSuspect(ask Request) Action {
 	s.count.refused++
 	err := request.Refuse(request.CodeOverloaded, http.StatusServiceUnavailable, s.params.SuspectMaxWait,
 		"no target could be kept free for this request")
-	return Refuse{Ask: ask, Err: err}
+	return Refusal{Request: ask, Err: err}
 }
--- a/internal/policy/admission/table_test.go
+++ b/internal/policy/admission/table_test.go
@@ -15,7 +15,7 @@
 
 func TestTable(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var s *Steward
+		var s *Coordinator
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var ms, tokens int64
 			d.MaybeScanArgs(t, "at", &ms)
@@ -36,7 +36,7 @@
 				s = New(p)
 				return ""
 			case "submit":
-				ask := Ask{ID: request.ID(id), Org: request.OrgID(org), Tokens: tokens, Suspect: d.HasArg("suspect")}
+				ask := Request{ID: request.ID(id), Org: request.OrgID(org), Tokens: tokens, Suspect: d.HasArg("suspect")}
 				var deadline int64
 				d.MaybeScanArgs(t, "deadline", &deadline)
 				if deadline > 0 {
@@ -72,17 +72,17 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Grant:
-			fmt.Fprintf(&out, "grant %s to %s until %s", a.ID, a.Ask.ID, a.Expires.Sub(epoch))
-			if a.Alone {
+			fmt.Fprintf(&out, "grant %s to %s until %s", a.ID, a.Request.ID, a.Expires.Sub(epoch))
+			if a.Exclusive {
 				out.WriteString(" alone")
 			}
 			if a.Priority == PriorityOverShare {
 				out.WriteString(" over share")
 			}
 			out.WriteString("\n")
-		case Refuse:
-			fmt.Fprintf(&out, "refuse %s: %s %d %s after %s\n", a.Ask.ID, a.Err.Code, a.Err.Status, a.Err.Ran, a.Err.RetryAfter)
-		case Died:
+		case Refusal:
+			fmt.Fprintf(&out, "refuse %s: %s %d %s after %s\n", a.Request.ID, a.Err.Code, a.Err.Status, a.Err.Ran, a.Err.RetryAfter)
+		case TargetFailure:
 			fmt.Fprintf(&out, "died %d:", a.Incarnation)
 			for _, ask := range a.InFlight {
 				fmt.Fprintf(&out, " %s", ask.ID)
--- a/internal/policy/admission/view.go
+++ b/internal/policy/admission/view.go
@@ -27,7 +27,7 @@
 }
 
 // View returns the present state.
-func (s *Steward) View(now time.Time) View {
+func (s *Coordinator) View(now time.Time) View {
 	v := View{
 		Running:             s.running(now),
 		Granted:             len(s.order),
--- a/internal/policy/limit/fallback.go
+++ b/internal/policy/limit/fallback.go
@@ -33,7 +33,7 @@
 func (h *Home) admitLost(now time.Time, org request.OrgID, a *account, tokens int64) Decision {
 	var d Decision
 	if !a.asking && now.Sub(a.askedAt) >= h.params.SliceTTL {
-		d.Ask = h.ask(now, org, a)
+		d.SliceRequest = h.ask(now, org, a)
 	}
 	f := a.lost
 	share := a.limits.scaled(1 / float64(h.daemons))
@@ -56,13 +56,13 @@
 		wait = max(wait, h.params.SliceTTL)
 	}
 	if wait > 0 {
-		d.Verdict, d.RetryAfter = Refused, h.params.clamp(wait)
+		d.Outcome, d.RetryAfter = Refused, h.params.clamp(wait)
 		return d
 	}
 	f.requests.level--
 	f.tokens.level -= float64(tokens)
 	a.running++
-	d.Verdict = Admitted
+	d.Outcome = Admitted
 	return d
 }
 
@@ -79,6 +79,6 @@
 	return l
 }
 
-func sortWants(wants []Want) {
+func sortWants(wants []SliceRequest) {
 	sort.Slice(wants, func(i, j int) bool { return wants[i].Org < wants[j].Org })
 }
--- a/internal/policy/limit/home.go
+++ b/internal/policy/limit/home.go
@@ -7,25 +7,25 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Verdict says what becomes of a request.
-type Verdict string
+// Outcome says what becomes of a request.
+type Outcome string
 
 const (
 	// Admitted lets the request pass. Done must follow.
-	Admitted Verdict = "admitted"
+	Admitted Outcome = "admitted"
 	// Pending means that a slice is needed first. Admit again after OnSlice or
 	// OnSliceFailed.
-	Pending Verdict = "pending"
+	Pending Outcome = "pending"
 	// Refused is final: the organisation is over its limit.
-	Refused Verdict = "refused"
+	Refused Outcome = "refused"
 )
 
 // Decision answers Admit.
 type Decision struct {
-	Verdict    Verdict
+	Outcome    Outcome
 	RetryAfter time.Duration // with Refused
-	// Ask is to be sent to the steward now, whatever the verdict. Nil: nothing.
-	Ask *Want
+	// SliceRequest is to be sent to the steward now, whatever the verdict. Nil: nothing.
+	SliceRequest *SliceRequest
 }
 
 // Home admits requests of organisations on one daemon.
@@ -68,15 +68,15 @@
 	return &Home{params: params, daemons: max(daemons, 1), accounts: make(map[request.OrgID]*account)}
 }
 
-// OnMembers is told the size of the fleet, counted as for Steward.OnMembers.
-func (h *Home) OnMembers(known int) { h.daemons = max(known, 1) }
+// OnMembershipChange is told the size of the fleet, counted as for Steward.OnMembers.
+func (h *Home) OnMembershipChange(known int) { h.daemons = max(known, 1) }
 
 // Admit decides on a request of the given number of prompt tokens.
 func (h *Home) Admit(now time.Time, org request.OrgID, limits Limits, tokens int64) Decision {
 	a := h.account(now, org, limits)
 	if limits == (Limits{}) {
 		a.running++
-		return Decision{Verdict: Admitted}
+		return Decision{Outcome: Admitted}
 	}
 	h.checkAnswer(now, a)
 	if a.lost != nil {
@@ -85,17 +85,17 @@
 	if a.covers(now, tokens) {
 		a.take(tokens)
 		a.demand.add(now, tokens)
-		return Decision{Verdict: Admitted, Ask: h.askAhead(now, org, a)}
+		return Decision{Outcome: Admitted, SliceRequest: h.askAhead(now, org, a)}
 	}
 	if now.Before(a.refusedUntil) {
-		return Decision{Verdict: Refused, RetryAfter: h.params.clamp(a.refusedUntil.Sub(now))}
+		return Decision{Outcome: Refused, RetryAfter: h.params.clamp(a.refusedUntil.Sub(now))}
 	}
 	a.waiting++
 	a.waitSize += tokens
 	if a.asking {
-		return Decision{Verdict: Pending}
+		return Decision{Outcome: Pending}
 	}
-	return Decision{Verdict: Pending, Ask: h.ask(now, org, a)}
+	return Decision{Outcome: Pending, SliceRequest: h.ask(now, org, a)}
 }
 
 // OnSlice takes the steward's answer. The slice counts from when it was asked for,
@@ -147,8 +147,8 @@
 // Tick returns the asks that are due without a request: places in use are renewed
 // before they lapse, and output tokens are paid. It forgets idle organisations.
 // Call it several times within SliceTTL.
-func (h *Home) Tick(now time.Time) []Want {
-	var asks []Want
+func (h *Home) Tick(now time.Time) []SliceRequest {
+	var asks []SliceRequest
 	for org, a := range h.accounts {
 		h.checkAnswer(now, a)
 		due := a.limits.Concurrency > 0 && a.running > 0 && a.placesUntil.Sub(now) < h.params.SliceTTL/2
@@ -184,13 +184,13 @@
 	}
 }
 
-func (h *Home) ask(now time.Time, org request.OrgID, a *account) *Want {
+func (h *Home) ask(now time.Time, org request.OrgID, a *account) *SliceRequest {
 	a.asking = true
 	a.askedAt = now
 	requests, tokens := a.demand.ahead(now, h.params.SliceTTL)
 	spare := min(requests, 1+a.running/4)
 	haveRequests, haveTokens := a.have()
-	want := &Want{
+	want := &SliceRequest{
 		Org:         org,
 		Requests:    max(0, a.waiting+requests-haveRequests),
 		Tokens:      max(0, a.waitSize+tokens+a.debt-haveTokens),
@@ -204,7 +204,7 @@
 
 // askAhead asks before a busy organisation runs out, so that its requests do not
 // wait for the steward. One with little demand asks when it needs something.
-func (h *Home) askAhead(now time.Time, org request.OrgID, a *account) *Want {
+func (h *Home) askAhead(now time.Time, org request.OrgID, a *account) *SliceRequest {
 	requests, _ := a.demand.ahead(now, h.params.SliceTTL)
 	if a.asking || requests < 1 || now.Before(a.refusedUntil) {
 		return nil
--- a/internal/policy/limit/keep_test.go
+++ b/internal/policy/limit/keep_test.go
@@ -13,20 +13,20 @@
 // this steward before and has it still needs no such care.
 func TestChangeElsewhereDoesNotThrottle(t *testing.T) {
 	limits := Limits{RequestsPerSecond: 100, Burst: 50, Concurrency: 40}
-	want := Want{Org: "a", Requests: 20, Concurrency: 10}
+	want := SliceRequest{Org: "a", Requests: 20, Concurrency: 10}
 	granted := func(kept bool) int64 {
 		now := time.Unix(1_700_000_000, 0)
-		s := NewSteward(now, Params{})
-		s.OnMembers(now, 8, 8)
+		s := NewCoordinator(now, Params{})
+		s.OnMembershipChange(now, 8, 8)
 		now = now.Add(time.Minute)
 		s.Slice(now, "d1", "a", limits, want)
 		now = now.Add(time.Minute)
 		s.Tick(now.Add(-time.Second))
 		s.Slice(now, "d1", "a", limits, want)
 		now = now.Add(10 * time.Millisecond)
-		s.OnMembers(now, 7, 8)
-		s.OnPlacesMoved(now)
-		s.Keep(now, func(request.OrgID) bool { return kept })
+		s.OnMembershipChange(now, 7, 8)
+		s.OnAssignmentsChanged(now)
+		s.ConfirmRetained(now, func(request.OrgID) bool { return kept })
 		return s.Slice(now, "d2", "a", limits, want).Concurrency
 	}
 	if got := granted(false); got > 1 {
@@ -45,24 +45,24 @@
 func TestPlaceAskedAheadRefusesNobody(t *testing.T) {
 	limits := Limits{RequestsPerSecond: 1000, Burst: 1000, Concurrency: 500, TokensPerSecond: 100_000_000}
 	now := epoch
-	s := NewSteward(now, Params{})
-	s.OnMembers(now, 2, 2)
+	s := NewCoordinator(now, Params{})
+	s.OnMembershipChange(now, 2, 2)
 	h := NewHome(Params{}, 2)
 	admit := func() Decision {
 		d := h.Admit(now, "a", limits, 100)
-		if d.Ask != nil {
-			h.OnSlice(now, "a", s.Slice(now, "d1", "a", limits, *d.Ask))
+		if d.SliceRequest != nil {
+			h.OnSlice(now, "a", s.Slice(now, "d1", "a", limits, *d.SliceRequest))
 		}
 		return d
 	}
 	const quick, slow = 5 * time.Millisecond, 1100 * time.Millisecond
 	for n, took := range []time.Duration{quick, quick, quick, slow, quick, quick, quick, quick} {
 		d := admit()
-		for d.Verdict == Pending {
+		for d.Outcome == Pending {
 			d = admit()
 		}
-		if d.Verdict != Admitted {
-			t.Fatalf("prompt %d is %s, come back in %s", n, d.Verdict, d.RetryAfter)
+		if d.Outcome != Admitted {
+			t.Fatalf("prompt %d is %s, come back in %s", n, d.Outcome, d.RetryAfter)
 		}
 		now = now.Add(took)
 		h.Done(now, "a", 4)
--- a/internal/policy/limit/limit.go
+++ b/internal/policy/limit/limit.go
@@ -84,8 +84,8 @@
 	return min(max(d, p.MinRetryAfter), p.MaxRetryAfter)
 }
 
-// Want is what a home asks of a steward. It corresponds to peer.SliceRequest.
-type Want struct {
+// SliceRequest is what a home asks of a steward. It corresponds to peer.SliceRequest.
+type SliceRequest struct {
 	Org         request.OrgID
 	Requests    int64
 	Concurrency int64 // places in all, those in use included
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -24,7 +24,7 @@
 	at      int // step of arrival
 	home    int
 	steward int
-	want    Want
+	want    SliceRequest
 	answer  *Slice // nil: an ask
 	failed  bool
 }
@@ -40,7 +40,7 @@
 	limits   Limits
 	rng      *rand.Rand
 	homes    []*Home
-	stewards []*Steward
+	stewards []*Coordinator
 	cut      []bool // homes that reach nobody
 	chosen   []int  // the steward that each home asks
 	waiting  [][]pendingCall
@@ -63,8 +63,8 @@
 	f.waiting = make([][]pendingCall, homes)
 	for range homes {
 		f.homes = append(f.homes, NewHome(Params{}, homes))
-		s := NewSteward(epoch.Add(-time.Hour), Params{})
-		s.OnMembers(epoch.Add(-time.Hour), homes, homes)
+		s := NewCoordinator(epoch.Add(-time.Hour), Params{})
+		s.OnMembershipChange(epoch.Add(-time.Hour), homes, homes)
 		f.stewards = append(f.stewards, s)
 	}
 	return f
@@ -72,7 +72,7 @@
 
 func (f *fleet) now(step int) time.Time { return epoch.Add(time.Duration(step) * simStep) }
 
-func (f *fleet) send(step, home int, want *Want) {
+func (f *fleet) send(step, home int, want *SliceRequest) {
 	if want == nil {
 		return
 	}
@@ -118,8 +118,8 @@
 
 func (f *fleet) call(step, home int, c pendingCall) {
 	d := f.homes[home].Admit(f.now(step), "a", f.limits, c.tokens)
-	f.send(step, home, d.Ask)
-	switch d.Verdict {
+	f.send(step, home, d.SliceRequest)
+	switch d.Outcome {
 	case Admitted:
 		f.admitted = append(f.admitted, f.now(step))
 		f.tokens = append(f.tokens, c.tokens)
@@ -201,7 +201,7 @@
 				changedAt = i
 				changes++
 				for s := range f.stewards {
-					f.stewards[s].OnPlacesMoved(f.now(i))
+					f.stewards[s].OnAssignmentsChanged(f.now(i))
 				}
 			}
 			if changedAt >= 0 && i-changedAt <= settle { // the homes learn it one by one
@@ -284,14 +284,14 @@
 	for i := range 6000 {
 		now := epoch.Add(time.Duration(i) * simStep)
 		d := h.Admit(now, "a", limits, 1)
-		if d.Ask != nil {
+		if d.SliceRequest != nil {
 			h.OnSliceFailed(now, "a")
 		}
-		if d.Verdict == Admitted {
+		if d.Outcome == Admitted {
 			admitted[now.Sub(epoch) < DefaultFallbackTTL]++
 			h.Done(now, "a", 0)
 		}
-		if d.Verdict == Refused && d.RetryAfter <= 0 {
+		if d.Outcome == Refused && d.RetryAfter <= 0 {
 			t.Fatal("refused without a time to come back")
 		}
 	}
@@ -309,10 +309,10 @@
 	limits := Limits{RequestsPerSecond: 100, Burst: 10}
 	total := int64(0)
 	for _, live := range []int{3, 5} {
-		s := NewSteward(epoch, Params{})
-		s.OnMembers(epoch, live, 8)
+		s := NewCoordinator(epoch, Params{})
+		s.OnMembershipChange(epoch, live, 8)
 		for i := range 1000 {
-			total += s.Slice(epoch.Add(time.Duration(i)*simStep), "d", "a", limits, Want{Requests: 5}).Requests
+			total += s.Slice(epoch.Add(time.Duration(i)*simStep), "d", "a", limits, SliceRequest{Requests: 5}).Requests
 		}
 	}
 	if total < 980 || total > 1000+2*10 {
--- a/internal/policy/limit/steward.go
+++ b/internal/policy/limit/steward.go
@@ -6,8 +6,8 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Steward leases slices of organisations' limits to homes.
-type Steward struct {
+// Coordinator leases slices of organisations' limits to homes.
+type Coordinator struct {
 	params  Params
 	changed time.Time // last change of membership
 	live    int
@@ -32,21 +32,21 @@
 	expires time.Time
 }
 
-// NewSteward returns the steward's part of one daemon. It serves any organisation
+// NewCoordinator returns the steward's part of one daemon. It serves any organisation
 // that the daemon is asked for.
-func NewSteward(now time.Time, params Params) *Steward {
+func NewCoordinator(now time.Time, params Params) *Coordinator {
 	params.setDefaults()
-	return &Steward{params: params, changed: now, live: 1, known: 1, ledgers: make(map[request.OrgID]*ledger)}
+	return &Coordinator{params: params, changed: now, live: 1, known: 1, ledgers: make(map[request.OrgID]*ledger)}
 }
 
-// OnMembers is told how many daemons this one sees alive, itself included, and how
+// OnMembershipChange is told how many daemons this one sees alive, itself included, and how
 // many there are: those alive in the last minute or on the VM list, whichever is
 // more.
 //
 // A steward gives out the share live/known of each limit. When the network splits,
 // each side has a steward of its own; without this each would give out the whole
 // limit.
-func (s *Steward) OnMembers(now time.Time, live, known int) {
+func (s *Coordinator) OnMembershipChange(now time.Time, live, known int) {
 	live = max(live, 1)
 	known = max(known, live)
 	if live != s.live || known != s.known {
@@ -55,15 +55,15 @@
 	s.live, s.known = live, known
 }
 
-// OnPlacesMoved is told that organisations may have another steward than before,
+// OnAssignmentsChanged is told that organisations may have another steward than before,
 // although as many daemons live: one left while another came.
-func (s *Steward) OnPlacesMoved(now time.Time) { s.changed = now }
+func (s *Coordinator) OnAssignmentsChanged(now time.Time) { s.changed = now }
 
-// Keep is told, after a change, which organisations had this steward before it and have
+// ConfirmRetained is told, after a change, which organisations had this steward before it and have
 // it still. Nobody else can have given out anything of theirs. Without this every change
 // of membership, several an hour in a large fleet, would hold all organisations to one
 // place at a time for SettleTTL.
-func (s *Steward) Keep(now time.Time, kept func(request.OrgID) bool) {
+func (s *Coordinator) ConfirmRetained(now time.Time, kept func(request.OrgID) bool) {
 	for org, l := range s.ledgers {
 		if kept(org) && !l.asked.Before(l.cautious) {
 			l.asked = now
@@ -73,14 +73,14 @@
 
 // Resign forgets an organisation that another daemon is now the steward of. It only
 // saves memory: an organisation that comes back is treated as a new one.
-func (s *Steward) Resign(org request.OrgID) { delete(s.ledgers, org) }
+func (s *Coordinator) Resign(org request.OrgID) { delete(s.ledgers, org) }
 
 // Orgs returns how many organisations have a ledger.
-func (s *Steward) Orgs() int { return len(s.ledgers) }
+func (s *Coordinator) Orgs() int { return len(s.ledgers) }
 
 // Slice answers a home. Requests and tokens are taken from the organisation's
 // buckets, so that what lapses unused is lost and never given twice.
-func (s *Steward) Slice(now time.Time, from request.DaemonID, org request.OrgID, limits Limits, want Want) Slice {
+func (s *Coordinator) Slice(now time.Time, from request.DaemonID, org request.OrgID, limits Limits, want SliceRequest) Slice {
 	l := s.ledger(now, org, limits)
 	l.limits = limits
 	out := Slice{TTL: s.params.SliceTTL}
@@ -99,7 +99,7 @@
 
 // Tick forgets organisations whose buckets are full and places free, as a new
 // ledger would be.
-func (s *Steward) Tick(now time.Time) {
+func (s *Coordinator) Tick(now time.Time) {
 	for org, l := range s.ledgers {
 		l.requests.fill(now, l.limits.RequestsPerSecond*s.share(), l.limits.burst())
 		l.tokens.fill(now, l.limits.TokensPerSecond*s.share(), l.limits.tokenBurst())
@@ -112,7 +112,7 @@
 	}
 }
 
-func (s *Steward) share() float64 { return float64(s.live) / float64(s.known) }
+func (s *Coordinator) share() float64 { return float64(s.live) / float64(s.known) }
 
 // ledger returns an organisation's ledger, to be asked now.
 //
@@ -120,7 +120,7 @@
 // just have given out a full burst. What has filled since the change is this one's to
 // give; the one request on top lets a quiet organisation go on at once. Without this a
 // steward that got its place back would give a burst that another has given already.
-func (s *Steward) ledger(now time.Time, org request.OrgID, limits Limits) *ledger {
+func (s *Coordinator) ledger(now time.Time, org request.OrgID, limits Limits) *ledger {
 	l, ok := s.ledgers[org]
 	if !ok {
 		l = &ledger{places: make(map[request.DaemonID]placeLease)}
@@ -148,7 +148,7 @@
 
 // sliceRequests gives at most half of what there is, and at least one, so that one
 // home's reserve does not leave the others without.
-func (s *Steward) sliceRequests(now time.Time, l *ledger, limits Limits, want int64) (int64, time.Duration) {
+func (s *Coordinator) sliceRequests(now time.Time, l *ledger, limits Limits, want int64) (int64, time.Duration) {
 	if limits.RequestsPerSecond <= 0 || want <= 0 {
 		return max(want, 0), 0
 	}
@@ -168,7 +168,7 @@
 // sliceTokens gives what is asked while there is anything, and lets the bucket go
 // below zero: a prompt is not divisible, and one larger than the bucket must pass.
 // The debt is paid off before anything else is given.
-func (s *Steward) sliceTokens(now time.Time, l *ledger, limits Limits, want int64) (int64, time.Duration) {
+func (s *Coordinator) sliceTokens(now time.Time, l *ledger, limits Limits, want int64) (int64, time.Duration) {
 	if limits.TokensPerSecond <= 0 || want <= 0 {
 		return max(want, 0), 0
 	}
@@ -184,7 +184,7 @@
 // slicePlaces leases places up to the limit, less what other homes hold. A home gets
 // at most half of what is free above what it uses, and keeps what it holds unless it
 // asks for less: it may have admitted requests since it sent its ask.
-func (s *Steward) slicePlaces(now time.Time, l *ledger, from request.DaemonID, limits Limits, want Want) (int64, time.Duration) {
+func (s *Coordinator) slicePlaces(now time.Time, l *ledger, from request.DaemonID, limits Limits, want SliceRequest) (int64, time.Duration) {
 	if limits.Concurrency <= 0 {
 		return max(want.Concurrency, 0), 0
 	}
--- a/internal/policy/limit/table_test.go
+++ b/internal/policy/limit/table_test.go
@@ -13,7 +13,7 @@
 func TestTable(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var h *Home
-		var s *Steward
+		var s *Coordinator
 		var limits Limits
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var ms, tokens, want, places, used int64
@@ -37,19 +37,19 @@
 				if d.HasArg("settled") {
 					started = epoch.Add(-time.Hour)
 				}
-				s = NewSteward(started, Params{})
-				s.OnMembers(started, 4, 4)
+				s = NewCoordinator(started, Params{})
+				s.OnMembershipChange(started, 4, 4)
 				return ""
 			case "admit":
 				return describe(h.Admit(now, "a", limits, tokens))
 			case "answer":
-				slice := s.Slice(now, request.DaemonID(home), "a", limits, Want{
+				slice := s.Slice(now, request.DaemonID(home), "a", limits, SliceRequest{
 					Org: "a", Requests: want, Tokens: tokens, Concurrency: places, Used: used,
 				})
 				h.OnSlice(now, "a", slice)
 				return describeSlice(slice)
 			case "slice":
-				return describeSlice(s.Slice(now, request.DaemonID(home), "a", limits, Want{
+				return describeSlice(s.Slice(now, request.DaemonID(home), "a", limits, SliceRequest{
 					Org: "a", Requests: want, Tokens: tokens, Concurrency: places, Used: used,
 				}))
 			case "failed":
@@ -71,18 +71,18 @@
 }
 
 func describe(d Decision) string {
-	out := string(d.Verdict)
+	out := string(d.Outcome)
 	if d.RetryAfter > 0 {
 		out += fmt.Sprintf(" after %s", d.RetryAfter)
 	}
 	out += "\n"
-	if d.Ask != nil {
-		out += describeWant(*d.Ask)
+	if d.SliceRequest != nil {
+		out += describeWant(*d.SliceRequest)
 	}
 	return out
 }
 
-func describeWant(w Want) string {
+func describeWant(w SliceRequest) string {
 	return fmt.Sprintf("ask requests %d, tokens %d, places %d, used %d\n", w.Requests, w.Tokens, w.Concurrency, w.Used)
 }
 
--- a/internal/steward/acquire.go
+++ b/internal/steward/acquire.go
@@ -183,8 +183,8 @@
 	return 1
 }
 
-func (s *Service) coreAsk(ask gateway.Ask, from string) admission.Ask {
-	return admission.Ask{
+func (s *Service) coreAsk(ask gateway.Ask, from string) admission.Request {
+	return admission.Request{
 		ID:       ask.Request,
 		From:     request.DaemonID(from),
 		Org:      ask.Org,
@@ -201,7 +201,7 @@
 	switch a := a.(type) {
 	case admission.Grant:
 		return gateway.Grant{ID: a.ID, Target: k.row.ID, Incarnation: k.incarnation.Load(), Priority: a.Priority}, nil
-	case admission.Refuse:
+	case admission.Refusal:
 		return gateway.Grant{}, a.Err
 	default:
 		return gateway.Grant{}, errMoved()
--- a/internal/steward/keeper.go
+++ b/internal/steward/keeper.go
@@ -36,7 +36,7 @@
 // Messages of a keeper's actor.
 type (
 	submitMsg struct {
-		ask    admission.Ask
+		ask    admission.Request
 		answer answerTo
 	}
 	cancelMsg  struct{ id request.ID }
@@ -75,7 +75,7 @@
 	incarnation atomic.Uint64 // of the target, as reported last
 
 	// Owned by the actor.
-	core      *admission.Steward
+	core      *admission.Coordinator
 	residency *residency
 	load      engineapi.Load
 	waiting   map[request.ID][]answerTo
@@ -197,10 +197,10 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case admission.Grant:
-			k.answer(a.Ask.ID, a)
-		case admission.Refuse:
-			k.answer(a.Ask.ID, a)
-		case admission.Died:
+			k.answer(a.Request.ID, a)
+		case admission.Refusal:
+			k.answer(a.Request.ID, a)
+		case admission.TargetFailure:
 			k.witness(a)
 		}
 	}
@@ -208,7 +208,7 @@
 
 // witness reports the requests that a dead target had in flight. Their senders report
 // it too, unless they died with it.
-func (k *keeper) witness(d admission.Died) {
+func (k *keeper) witness(d admission.TargetFailure) {
 	var fingerprints []quarantine.Fingerprint
 	for _, ask := range d.InFlight {
 		if ask.Fingerprint != "" {
@@ -229,7 +229,7 @@
 
 func (k *keeper) refuseAll() {
 	for id := range k.waiting {
-		k.answer(id, admission.Refuse{Err: errMoved()})
+		k.answer(id, admission.Refusal{Err: errMoved()})
 	}
 }
 
@@ -242,7 +242,7 @@
 // organisation's queue is not in the way of one within its share.
 func (k *keeper) view(now time.Time, m *lookMsg) view {
 	v := k.core.View(now)
-	ask := admission.Ask{Org: m.org, Weight: k.service.weightOf(m.org), Tokens: m.tokens}
+	ask := admission.Request{Org: m.org, Weight: k.service.weightOf(m.org), Tokens: m.tokens}
 	return view{
 		target:   k.row.ID,
 		wait:     k.core.ExpectedWait(now, ask),
