--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -1,15 +1,17 @@
-// Package admission decides who may send a request to one target, and when.
+// Package admission controls which requests are sent to a target, and when.
 //
-// Several daemons place work on one target, and the target reports its load with a
-// lag. One daemon, chosen by rendezvous hash, is therefore the target's steward: it
-// holds a weighted fair queue between organisations and hands out grants up to the
-// target's capacity, adding what it granted since the last report to that report.
+// Several daemons place work on one target, and the target's load reports lag behind
+// its load. One daemon, chosen by rendezvous hash, is therefore the target's
+// coordinator. The coordinator keeps a weighted fair queue between organisations and
+// issues grants up to the target's capacity. It adds the grants that it issued since
+// the last load report to the load in that report.
 //
-// The steward is a soft place. While two daemons both believe to hold it, the
-// target may get up to twice its capacity; its own queue absorbs that, and the next
-// load reports show each of them the other's work. Nothing rests on there being one.
+// The coordinator is a hashed assignment and correctness does not depend on its being
+// unique. While two daemons both act as coordinator, the target may receive up to twice
+// its capacity. The target's own queue absorbs the excess, and the next load reports
+// show each coordinator the other's work.
 //
-// The package is pure: it holds no clock, I/O, goroutine or randomness. A Steward is
+// The package is pure: it has no clock, I/O, goroutine or randomness. A Coordinator is
 // not safe for concurrent use.
 package admission
 
@@ -34,75 +36,78 @@
 	DefaultMaxRetryAfter     = 30 * time.Second
 )
 
-// reserveShare is the part of the places that is kept back: one in so many.
-const reserveShare = 8
+// reserveDivisor sets the default of Params.Reserve: MaxRunning divided by it.
+const reserveDivisor = 8
 
-// Params describes one target and the bounds of its queue. Zero values take the
+// Params describes one target and the bounds of its queue. Zero values select the
 // defaults above.
 type Params struct {
 	Target request.TargetID
-	// Instance makes grant ids of this steward differ from those of any other, for
-	// example the daemon's id and incarnation.
+	// Instance distinguishes this coordinator's grant ids from those of any other
+	// coordinator, for example the daemon's id and incarnation.
 	Instance string
-	// MaxRunning is the number of requests at once; below 1 counts as 1.
+	// MaxRunning is the number of slots: the requests that the target runs
+	// concurrently. Values below 1 count as 1.
 	MaxRunning int
-	// Reserve is how many of them are kept for organisations within their share, so
-	// that one that comes back finds a place. Zero: an eighth; negative: none.
+	// Reserve is the number of slots reserved for organisations within their share,
+	// so that an organisation finds a free slot when it becomes active again. Zero
+	// selects an eighth of MaxRunning; a negative value disables the reserve.
 	Reserve int
 	// MaxPrefillTokens bounds the prompt tokens that wait for prefill at the target.
-	// Zero: no bound. A larger prompt goes when nothing waits. Organisations within
-	// their share have this bound for themselves, since theirs are computed first.
+	// Zero means no bound. A larger prompt is admitted when no prompt waits for prefill.
+	// For organisations within their share the bound covers only the work of such
+	// organisations, since the target computes their prompts first.
 	MaxPrefillTokens int64
 	// PrefillRate is the target's prefill speed in tokens a second.
 	PrefillRate float64
-	// ServiceRate is the tokens a second taken from the queue, as long as nothing
-	// has been measured. Zero: PrefillRate.
+	// ServiceRate is the initial estimate of the tokens a second served from the
+	// queue, used until a rate has been measured. Zero selects PrefillRate.
 	ServiceRate float64
-	// GrantTTL is how long a grant lives unless renewed. It frees the places of a
-	// daemon that died.
+	// GrantTTL is the time after which a grant expires unless renewed. Expiry frees
+	// the slots of a daemon that died.
 	GrantTTL time.Duration
-	// LoadTTL is the age at which a load report no longer counts.
+	// LoadTTL is the age above which the coordinator ignores a load report.
 	LoadTTL time.Duration
 
 	MaxQueue       int
 	MaxQueuePerOrg int
 
-	MaxSuspects       int           // suspects waiting at once
-	SuspectDrainDelay time.Duration // wait after which the target is emptied for a suspect
+	MaxSuspects       int           // suspects in the queue
+	SuspectDrainDelay time.Duration // wait after which the target is drained for a suspect
 	SuspectMaxWait    time.Duration // wait after which a suspect is refused
 
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
 }
 
-// Request asks for leave to send one request to the target.
+// Request asks for a grant to send one request to the target.
 type Request struct {
 	ID     request.ID
 	From   request.DaemonID
 	Org    request.OrgID
 	Weight int
-	Tokens int64 // prompt tokens to compute; below 1 counts as 1
-	// Deadline is when the first token must come. Zero: none.
+	Tokens int64 // prompt tokens to compute; values below 1 count as 1
+	// Deadline is the time by which the first token must arrive. Zero means none.
 	Deadline time.Time
-	// Suspect asks for the target with nothing else in flight: a target died with
-	// this request in flight.
+	// Suspect marks a request that was in flight when a target died. It runs only
+	// while the target has nothing else in flight.
 	Suspect bool
-	// Fingerprint is handed back when the target dies; see Died.
+	// Fingerprint is returned in TargetFailure if the target dies.
 	Fingerprint string
 }
 
-// Action is a decision for the caller to carry out: Grant, Refuse or Died.
+// Action is a decision for the caller to carry out: Grant, Refusal or TargetFailure.
 type Action interface{ isAction() }
 
 // Grant allows one request to be sent to the target.
 type Grant struct {
 	Request   Request
 	ID        string
-	Expires   time.Time // renewed by submitting the same request again
-	Exclusive bool      // nothing else is in flight there
-	// Priority is for the engine; lower runs first. It is PriorityOverShare for an
-	// organisation that uses more than its share of the target, so that the piece of
-	// prefill that comes next is one of the others.
+	Expires   time.Time // extended by submitting the same request again
+	Exclusive bool      // nothing else is in flight at the target
+	// Priority is passed to the engine, which runs lower values first. An organisation
+	// that uses more than its share of the target gets PriorityOverShare, so that the
+	// engine schedules the prefill chunks of other organisations before its own.
 	Priority int
 }
 
@@ -112,18 +117,18 @@
 	PriorityOverShare   = 1
 )
 
-// Refusal is the final answer to an ask. Err says that the request did not run and
-// when to come back.
+// Refusal is the final answer to a request. Err states that the request did not run
+// and when to retry.
 type Refusal struct {
 	Request Request
 	Err     *request.Error
 }
 
-// TargetFailure lists what was in flight at the target when it died. Each is a suspect. The
-// daemons that sent them see their streams end as well, but one of them may have
-// died too.
+// TargetFailure lists the requests that were in flight at the target when it died. Each
+// of them is a suspect. The daemons that sent them also see their streams end, but one
+// of those daemons may have died too.
 type TargetFailure struct {
-	Incarnation uint64 // of the target that died; zero: unknown
+	Incarnation uint64 // of the failed target; zero if unknown
 	InFlight    []Request
 }
 
@@ -131,12 +136,12 @@
 func (Refusal) isAction()       {}
 func (TargetFailure) isAction() {}
 
-// Outcome says how a granted request ended.
+// Outcome describes how a granted request ended.
 type Outcome struct {
-	PrefillTokens int64 // tokens that were recomputed
+	PrefillTokens int64 // prompt tokens that were recomputed
 }
 
-// status says whether the target takes work.
+// status states whether the target accepts work.
 type status string
 
 const (
@@ -145,30 +150,30 @@
 	statusLeaving status = "leaving"
 )
 
-// Coordinator admits work to one target.
+// Coordinator admits requests to one target.
 type Coordinator struct {
 	params Params
 	status status
 	downAt time.Time
 
-	queue    *fairqueue.Queue
-	waiting  map[request.ID]Request // asks in queue
-	suspects []waitingSuspect
-	alone    bool      // a suspect runs
-	aloneEnd time.Time // when the last suspect ended
+	queue        *fairqueue.Queue
+	waiting      map[request.ID]Request // requests in queue
+	suspects     []waitingSuspect
+	exclusive    bool      // a suspect is running
+	exclusiveEnd time.Time // when the last suspect ended
 
-	grants map[request.ID]*grant
-	order  []*grant // live grants, oldest first
-	ended  []*grant // grants that ended within LoadTTL, to read late reports by
-	seq    uint64
+	grants      map[request.ID]*grant
+	liveGrants  []*grant // live grants, oldest first
+	endedGrants []*grant // grants that ended within LoadTTL, to interpret lagging reports
+	seq         uint64
 
 	report report
 	meter  meter
 	usage  usage
-	count  counts
+	counts counts
 }
 
-// New returns the steward of one target, which is taken to be up.
+// New returns the coordinator of one target, which is assumed to be up.
 func New(p Params) *Coordinator {
 	p.setDefaults()
 	return &Coordinator{
@@ -185,7 +190,7 @@
 func (p *Params) setDefaults() {
 	p.MaxRunning = max(p.MaxRunning, 1)
 	if p.Reserve == 0 {
-		p.Reserve = p.MaxRunning / reserveShare
+		p.Reserve = p.MaxRunning / reserveDivisor
 	}
 	p.Reserve = min(max(p.Reserve, 0), p.MaxRunning-1)
 	setDefault(&p.PrefillRate, DefaultPrefillRate)
--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -13,9 +13,10 @@
 	_ "github.com/bluebellscale/bluebellscale/internal/testseed" // the same seeds in each run
 )
 
-// Over any schedule: grants never exceed the capacity, a suspect never has company,
-// each ask gets one answer, and none waits past the moment it could still start.
-func TestSteward(t *testing.T) {
+// Checks the invariants of a coordinator over random schedules: grants never exceed the
+// capacity, a suspect always runs exclusively, each request gets exactly one answer, and
+// no request waits past its latest start.
+func TestCoordinatorInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := Params{
 			Instance:         "d1",
@@ -35,18 +36,18 @@
 					_, waited := open[a.Request.ID]
 					_, renewed := held[a.Request.ID]
 					if !waited && !renewed {
-						rt.Fatalf("%s is granted after its answer", a.Request.ID)
+						rt.Fatalf("%s is granted after it was answered", a.Request.ID)
 					}
 					delete(open, a.Request.ID)
 					held[a.Request.ID] = a
 				case Refusal:
 					if _, ok := open[a.Request.ID]; !ok || a.Err.Ran != request.NotRun || a.Err.RetryAfter <= 0 {
-						rt.Fatalf("%s gets a second answer, or a bad one: %v", a.Request.ID, a.Err)
+						rt.Fatalf("%s gets a second or an invalid answer: %v", a.Request.ID, a.Err)
 					}
 					delete(open, a.Request.ID)
 				case TargetFailure:
-					for _, ask := range a.InFlight {
-						delete(held, ask.ID)
+					for _, req := range a.InFlight {
+						delete(held, req.ID)
 					}
 				}
 			}
@@ -63,16 +64,16 @@
 			"submit": func(rt *rapid.T) {
 				step(rt)
 				next++
-				ask := Request{
+				req := Request{
 					ID: request.ID(fmt.Sprint(next)), Weight: rapid.IntRange(1, 5).Draw(rt, "weight"),
 					Org:    request.OrgID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "org")),
 					Tokens: rapid.Int64Range(1, 4000).Draw(rt, "tokens"), Suspect: rapid.IntRange(0, 9).Draw(rt, "suspect") == 0,
 				}
 				if rapid.Bool().Draw(rt, "deadline") {
-					ask.Deadline = now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(rt, "deadline ms")) * time.Millisecond)
+					req.Deadline = now.Add(time.Duration(rapid.IntRange(1, 9000).Draw(rt, "deadline ms")) * time.Millisecond)
 				}
-				open[ask.ID] = ask
-				apply(s.Submit(now, ask))
+				open[req.ID] = req
+				apply(s.Submit(now, req))
 			},
 			"renew": func(rt *rapid.T) {
 				step(rt)
@@ -109,16 +110,16 @@
 			"": func(rt *rapid.T) {
 				apply(s.Tick(now))
 				if len(held) > p.MaxRunning || s.View(now).Granted != len(held) {
-					rt.Fatalf("%d held, steward counts %d of %d", len(held), s.View(now).Granted, p.MaxRunning)
+					rt.Fatalf("%d grants held, coordinator counts %d of %d", len(held), s.View(now).Granted, p.MaxRunning)
 				}
 				for _, g := range held {
 					if g.Exclusive && len(held) > 1 {
-						rt.Fatalf("suspect %s has company", g.Request.ID)
+						rt.Fatalf("suspect %s does not run exclusively", g.Request.ID)
 					}
 				}
-				for _, ask := range open {
-					if late := s.latestStart(ask); !late.IsZero() && late.Before(now) {
-						rt.Fatalf("%s is held although it can't make its deadline", ask.ID)
+				for _, req := range open {
+					if latest := s.latestStart(req); !latest.IsZero() && latest.Before(now) {
+						rt.Fatalf("%s still waits although it cannot meet its deadline", req.ID)
 					}
 				}
 			},
@@ -126,15 +127,15 @@
 	})
 }
 
-// A quiet organisation with large prompts waits many seconds although it uses little of
-// a target: another one sends short prompts with long answers, and holds nearly all
-// places within its share of tokens. Cause: the fair queue counts prompts only. The
-// naive twin is the queue with prompt tokens as cost.
-func TestPlacesAreSharedToo(t *testing.T) {
-	const places, each, hold = 4, 400, time.Second
+// Guards against starvation by slot occupancy. With prompt tokens as the only cost, an
+// organisation with short prompts and long answers holds nearly all slots while within
+// its share of tokens, and an organisation with large prompts waits many seconds. The
+// naive baseline is the fair queue with prompt tokens as cost.
+func TestHeldSlotsCountTowardsShare(t *testing.T) {
+	const slots, each, hold = 4, 400, time.Second
 	prompts := map[request.OrgID]int64{"large": 1000, "short": 10}
 	naive := fairqueue.New(fairqueue.Params{MaxItems: 2 * each, MaxPerOrg: each})
-	s := New(Params{Instance: "d1", MaxRunning: places, MaxQueue: 2 * each, MaxQueuePerOrg: each})
+	s := New(Params{Instance: "d1", MaxRunning: slots, MaxQueue: 2 * each, MaxQueuePerOrg: each})
 	var running []Grant
 	take := func(actions []Action) {
 		for _, action := range actions {
@@ -161,42 +162,42 @@
 		if g.Request.Org == "large" {
 			large++
 		}
-		take(s.Release(epoch.Add(hold*time.Duration(1+i/places)), g.ID, Outcome{}))
+		take(s.Release(epoch.Add(hold*time.Duration(1+i/slots)), g.ID, Outcome{}))
 	}
 	if naiveLarge > served/20 {
-		t.Fatalf("the naive twin served %d of %d; the test shows nothing", naiveLarge, served)
+		t.Fatalf("the naive baseline served %d of %d; the test proves nothing", naiveLarge, served)
 	}
 	if large < served/3 {
-		t.Errorf("large prompts got %d of %d places", large, served)
+		t.Errorf("large prompts got %d of %d slots", large, served)
 	}
-	t.Logf("large prompts got %d of %d places, naive %d", large, served, naiveLarge)
+	t.Logf("large prompts got %d of %d slots, naive %d", large, served, naiveLarge)
 }
 
-// slowTarget runs what it is sent and reports with a lag.
+// slowTarget runs all requests that it receives and reports its load with a lag.
 type slowTarget struct {
-	ends    []time.Time // of what runs
-	history []int       // running, one entry a step
+	ends    []time.Time // of running requests
+	history []int       // running requests, one entry per step
 }
 
 const (
-	simStep   = 10 * time.Millisecond
-	simLag    = 20 // steps
-	simRun    = time.Second
-	simPlaces = 8
+	simStep  = 10 * time.Millisecond
+	simLag   = 20 // steps
+	simRun   = time.Second
+	simSlots = 8
 )
 
 func (tg *slowTarget) step(now time.Time) {
-	kept := tg.ends[:0]
+	remaining := tg.ends[:0]
 	for _, end := range tg.ends {
 		if end.After(now) {
-			kept = append(kept, end)
+			remaining = append(remaining, end)
 		}
 	}
-	tg.ends = kept
+	tg.ends = remaining
 	tg.history = append(tg.history, len(tg.ends))
 }
 
-// load returns the newest report, or the lag's age of it.
+// load returns the load of simLag steps ago, or false before the first report.
 func (tg *slowTarget) load() (engineapi.Load, bool) {
 	i := len(tg.history) - 1 - simLag
 	if i < 0 {
@@ -205,30 +206,31 @@
 	return engineapi.Load{Incarnation: 1, Running: tg.history[i], AgeMillis: int64(simLag * simStep / time.Millisecond)}, true
 }
 
-// During a change of membership two daemons hold the queue of one target. Callers
-// see some waits; nothing is lost, and once the daemons agree the target is back
-// within its capacity. Cause: the rendezvous hash over two lists of live daemons.
+// During a membership change two daemons coordinate one target, because they compute
+// the rendezvous hash over different lists of live daemons. No request may be lost, the
+// target may get at most twice its capacity, and it must be back within its capacity
+// once the daemons agree.
 //
-// The naive twin, in which each daemon sends while the reported load is below the
-// capacity, goes far over it without any disagreement, because the report lags.
-func TestTwoStewardsCostEfficiencyOnly(t *testing.T) {
-	const steps, split, joined = 900, 200, 400
-	var naive, shared slowTarget
-	stewards := []*Coordinator{
-		New(Params{Instance: "d1", MaxRunning: simPlaces, MaxQueue: 1000, MaxQueuePerOrg: 1000}),
-		New(Params{Instance: "d2", MaxRunning: simPlaces, MaxQueue: 1000, MaxQueuePerOrg: 1000}),
+// In the naive baseline each daemon sends while the reported load is below the capacity.
+// It exceeds the capacity by far even without a conflict, because the report lags.
+func TestTwoCoordinatorsStayWithinTwiceTheCapacity(t *testing.T) {
+	const steps, conflictStart, conflictEnd = 900, 200, 400
+	var naive, coordinated slowTarget
+	coordinators := []*Coordinator{
+		New(Params{Instance: "d1", MaxRunning: simSlots, MaxQueue: 1000, MaxQueuePerOrg: 1000}),
+		New(Params{Instance: "d2", MaxRunning: simSlots, MaxQueue: 1000, MaxQueuePerOrg: 1000}),
 	}
 	ending := make(map[time.Time][]Grant)
-	naiveMax, splitMax, laterMax, answered, asked, naiveQueue := 0, 0, 0, 0, 0, 0
+	naiveMax, conflictMax, laterMax, answered, asked, naiveQueue := 0, 0, 0, 0, 0, 0
 	for i := range steps {
 		now := epoch.Add(time.Duration(i) * simStep)
 		naive.step(now)
-		shared.step(now)
+		coordinated.step(now)
 		var apply func(actions []Action)
 		apply = func(actions []Action) {
 			for _, action := range actions {
 				if r, ok := action.(Refusal); ok && r.Err.Code == request.CodeNotHolder {
-					apply(stewards[0].Submit(now, r.Request))
+					apply(coordinators[0].Submit(now, r.Request))
 					continue
 				}
 				g, ok := action.(Grant)
@@ -236,57 +238,57 @@
 					t.Fatalf("step %d: %v", i, action)
 				}
 				end := now.Add(simRun)
-				shared.ends = append(shared.ends, end)
+				coordinated.ends = append(coordinated.ends, end)
 				ending[end] = append(ending[end], g)
 			}
 		}
 		for _, g := range ending[now] {
 			answered++
-			for _, s := range stewards {
+			for _, s := range coordinators {
 				apply(s.Release(now, g.ID, Outcome{}))
 			}
 		}
 		if load, ok := naive.load(); ok {
-			for naiveQueue > 0 && load.Running < simPlaces {
+			for naiveQueue > 0 && load.Running < simSlots {
 				naive.ends = append(naive.ends, now.Add(simRun))
 				naiveQueue--
 			}
 		}
-		if load, ok := shared.load(); ok {
-			for _, s := range stewards {
+		if load, ok := coordinated.load(); ok {
+			for _, s := range coordinators {
 				apply(s.OnLoad(now, load))
 			}
 		}
-		if i == joined {
-			apply(stewards[1].Resign(now))
+		if i == conflictEnd {
+			apply(coordinators[1].Resign(now))
 		}
-		if i%20 == 0 && i < 600 { // 10 requests a second in twos, capacity 8 a second
+		if i%20 == 0 && i < 600 { // 10 requests a second in pairs, capacity 8 a second
 			for n := range 2 {
 				asked++
 				naiveQueue++
-				chosen := stewards[0]
-				if i >= split && i < joined && n == 1 {
-					chosen = stewards[1]
+				chosen := coordinators[0]
+				if i >= conflictStart && i < conflictEnd && n == 1 {
+					chosen = coordinators[1]
 				}
 				apply(chosen.Submit(now, Request{ID: request.ID(fmt.Sprint(asked)), Org: "a", Tokens: 10}))
 			}
 		}
 		naiveMax = max(naiveMax, len(naive.ends))
 		switch {
-		case i >= split && i < joined:
-			splitMax = max(splitMax, len(shared.ends))
-		case i < split || i > joined+simLag+int(simRun/simStep):
-			laterMax = max(laterMax, len(shared.ends))
+		case i >= conflictStart && i < conflictEnd:
+			conflictMax = max(conflictMax, len(coordinated.ends))
+		case i < conflictStart || i > conflictEnd+simLag+int(simRun/simStep):
+			laterMax = max(laterMax, len(coordinated.ends))
 		}
 	}
-	if naiveMax <= simPlaces {
-		t.Errorf("the naive twin kept to %d of %d; the test shows nothing", naiveMax, simPlaces)
+	if naiveMax <= simSlots {
+		t.Errorf("the naive baseline ran at most %d of %d; the test proves nothing", naiveMax, simSlots)
 	}
-	if laterMax > simPlaces || splitMax > 2*simPlaces {
-		t.Errorf("running at most %d, while split %d; want %d and %d", laterMax, splitMax, simPlaces, 2*simPlaces)
+	if laterMax > simSlots || conflictMax > 2*simSlots {
+		t.Errorf("running at most %d, %d during the conflict; want %d and %d", laterMax, conflictMax, simSlots, 2*simSlots)
 	}
 	if answered != asked {
 		t.Errorf("%d of %d answered", answered, asked)
 	}
-	t.Logf("at most %d running of %d, %d while split; naive %d", laterMax, simPlaces, splitMax, naiveMax)
+	t.Logf("at most %d running of %d, %d during the conflict; naive %d", laterMax, simSlots, conflictMax, naiveMax)
 }
--- a/internal/policy/admission/grants.go
+++ b/internal/policy/admission/grants.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// grant is a place at the target, held by one request until released or expired.
+// grant is a slot at the target, held by one request until released or expired.
 type grant struct {
-	ask     Request
-	id      string
-	alone   bool
-	cost    int64
-	over    bool // its organisation was over its share
-	granted time.Time
-	expires time.Time
-	ended   time.Time // zero while live
+	req       Request
+	id        string
+	exclusive bool
+	cost      int64
+	overShare bool // the organisation was over its share when the grant was issued
+	granted   time.Time
+	expires   time.Time
+	ended     time.Time // zero while live
 }
 
 func (g *grant) action() Grant {
-	out := Grant{Request: g.ask, ID: g.id, Expires: g.expires, Exclusive: g.alone, Priority: PriorityWithinShare}
-	if g.over {
+	out := Grant{Request: g.req, ID: g.id, Expires: g.expires, Exclusive: g.exclusive, Priority: PriorityWithinShare}
+	if g.overShare {
 		out.Priority = PriorityOverShare
 	}
 	return out
@@ -33,112 +33,112 @@
 	return g.ended.IsZero() || g.ended.After(t)
 }
 
-func (s *Coordinator) grant(now time.Time, ask Request, alone bool) Action {
-	s.seq++
+func (c *Coordinator) issueGrant(now time.Time, req Request, alone bool) Action {
+	c.seq++
 	g := &grant{
-		ask:     ask,
-		id:      s.params.Instance + "." + strconv.FormatUint(s.seq, 10),
-		alone:   alone,
-		cost:    s.cost(ask),
-		over:    s.usage.over(now, ask.Org, ask.Weight),
-		granted: now,
-		expires: now.Add(s.params.GrantTTL),
+		req:       req,
+		id:        c.params.Instance + "." + strconv.FormatUint(c.seq, 10),
+		exclusive: alone,
+		cost:      c.cost(req),
+		overShare: c.usage.isOverShare(now, req.Org, req.Weight),
+		granted:   now,
+		expires:   now.Add(c.params.GrantTTL),
 	}
-	s.usage.add(now, ask.Org, ask.Weight, g.cost)
-	s.grants[ask.ID] = g
-	s.order = append(s.order, g)
-	s.alone = s.alone || alone
-	s.count.granted++
+	c.usage.add(now, req.Org, req.Weight, g.cost)
+	c.grants[req.ID] = g
+	c.liveGrants = append(c.liveGrants, g)
+	c.exclusive = c.exclusive || alone
+	c.counts.granted++
 	return g.action()
 }
 
-// Release ends a grant. An id that is unknown, for example of an earlier steward,
-// is ignored.
-func (s *Coordinator) Release(now time.Time, grantID string, out Outcome) []Action {
-	actions := s.advance(now)
-	for _, g := range s.order {
+// Release ends a grant. Unknown ids, for example those of an earlier coordinator, are
+// ignored.
+func (c *Coordinator) Release(now time.Time, grantID string, out Outcome) []Action {
+	actions := c.advance(now)
+	for _, g := range c.liveGrants {
 		if g.id == grantID {
-			s.meter.served(g.cost)
-			s.usage.held(g.ask.Org, now.Sub(g.granted))
-			s.end(now, g)
+			c.meter.addServed(g.cost)
+			c.usage.recordHold(g.req.Org, now.Sub(g.granted))
+			c.endGrant(now, g)
 			break
 		}
 	}
-	return append(actions, s.pump(now)...)
+	return append(actions, c.pump(now)...)
 }
 
-// expireGrants frees the places of daemons that died. Should the request still run
-// at the target, the next load report shows it as work of others.
-func (s *Coordinator) expireGrants(now time.Time) {
-	for i := 0; i < len(s.order); {
-		g := s.order[i]
+// expireGrants frees the slots of daemons that died. If the request still runs at the
+// target, the next load report counts it as foreign.
+func (c *Coordinator) expireGrants(now time.Time) {
+	for i := 0; i < len(c.liveGrants); {
+		g := c.liveGrants[i]
 		if g.expires.After(now) {
 			i++
 			continue
 		}
-		s.end(now, g)
-		s.count.expired++
+		c.endGrant(now, g)
+		c.counts.expired++
 	}
-	s.pruneEnded(now)
+	c.pruneEnded(now)
 }
 
-func (s *Coordinator) end(now time.Time, g *grant) {
+func (c *Coordinator) endGrant(now time.Time, g *grant) {
 	g.ended = now
-	delete(s.grants, g.ask.ID)
-	for i, other := range s.order {
+	delete(c.grants, g.req.ID)
+	for i, other := range c.liveGrants {
 		if other == g {
-			s.order = append(s.order[:i], s.order[i+1:]...)
+			c.liveGrants = append(c.liveGrants[:i], c.liveGrants[i+1:]...)
 			break
 		}
 	}
-	s.ended = append(s.ended, g)
-	if g.alone {
-		s.alone = false
-		s.aloneEnd = now
+	c.endedGrants = append(c.endedGrants, g)
+	if g.exclusive {
+		c.exclusive = false
+		c.exclusiveEnd = now
 	}
 }
 
-func (s *Coordinator) pruneEnded(now time.Time) {
-	old := now.Add(-s.params.LoadTTL)
+func (c *Coordinator) pruneEnded(now time.Time) {
+	old := now.Add(-c.params.LoadTTL)
 	i := 0
-	for i < len(s.ended) && s.ended[i].ended.Before(old) {
+	for i < len(c.endedGrants) && c.endedGrants[i].ended.Before(old) {
 		i++
 	}
-	s.ended = s.ended[i:]
+	c.endedGrants = c.endedGrants[i:]
 }
 
-// cost returns what a request takes of the target, in tokens: its prompt, or its place
-// for as long as one of its organisation is held, whichever is the larger part of the
-// target. Without the second, an organisation with short prompts and long answers
-// could hold most places within its share.
-func (s *Coordinator) cost(ask Request) int64 {
-	hold := s.usage.hold(ask.Org).Seconds()
-	place := hold * s.params.PrefillRate / float64(s.params.MaxRunning)
-	return max(ask.Tokens, int64(place))
+// cost returns the cost of a request in tokens. It is the larger of the prompt tokens
+// and the prefill capacity that corresponds to occupying one slot for the organisation's
+// expected hold time. With prompt tokens alone, an organisation with short prompts and
+// long answers could hold most slots while within its share.
+func (c *Coordinator) cost(req Request) int64 {
+	hold := c.usage.expectedHold(req.Org).Seconds()
+	slotCost := hold * c.params.PrefillRate / float64(c.params.MaxRunning)
+	return max(req.Tokens, int64(slotCost))
 }
 
-// fits reports whether one more request of the given size may go to the target. over
-// says that its organisation is over its share.
-func (s *Coordinator) fits(now time.Time, tokens int64, over bool) bool {
-	places := s.params.MaxRunning
+// fits reports whether one more request of the given size may be sent to the target.
+// over states that its organisation is over its share.
+func (c *Coordinator) fits(now time.Time, tokens int64, over bool) bool {
+	slots := c.params.MaxRunning
 	if over {
-		places -= s.params.Reserve
+		slots -= c.params.Reserve
 	}
-	if s.running(now) >= places {
+	if c.running(now) >= slots {
 		return false
 	}
-	if s.params.MaxPrefillTokens <= 0 {
+	if c.params.MaxPrefillTokens <= 0 {
 		return true
 	}
-	backlog := s.prefillBacklog(now)
+	backlog := c.prefillBacklog(now)
 	if !over {
-		backlog = min(backlog, s.withinShareBacklog(now))
+		backlog = min(backlog, c.withinShareBacklog(now))
 	}
-	return backlog < 1 || backlog+float64(tokens) <= float64(s.params.MaxPrefillTokens)
+	return backlog < 1 || backlog+float64(tokens) <= float64(c.params.MaxPrefillTokens)
 }
 
-// saturated reports whether the target is as busy as it may be, so that what is
-// served now measures its rate.
-func (s *Coordinator) saturated() bool {
-	return len(s.waiting) > 0 || len(s.order) >= s.params.MaxRunning
+// saturated reports whether the target runs at capacity, in which case its throughput
+// measures its service rate.
+func (c *Coordinator) saturated() bool {
+	return len(c.waiting) > 0 || len(c.liveGrants) >= c.params.MaxRunning
 }
--- a/internal/policy/admission/load.go
+++ b/internal/policy/admission/load.go
@@ -8,120 +8,122 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// report is the newest load report, read together with the grants of its time.
+// report is the newest load report, evaluated against the grants live at its time.
 type report struct {
-	taken       time.Time // zero: none
+	takenAt     time.Time // zero: no report
 	incarnation uint64
-	foreign     int   // requests there that were not granted here
-	prefill     int64 // tokens waiting for prefill when taken
+	foreign     int   // requests at the target without a grant of this coordinator
+	prefill     int64 // tokens that waited for prefill at takenAt
 }
 
-// OnLoad takes a report by the target. Reports lag: what it says is compared with
-// the grants that were live when it was taken, and later grants come on top.
-func (s *Coordinator) OnLoad(now time.Time, load engineapi.Load) []Action {
-	actions := s.advance(now)
+// OnLoad processes a load report of the target. Since reports lag, its counts are
+// compared with the grants that were live when the report was taken; later grants are
+// added to them.
+func (c *Coordinator) OnLoad(now time.Time, load engineapi.Load) []Action {
+	actions := c.advance(now)
 	taken := now.Add(-time.Duration(load.AgeMillis) * time.Millisecond)
-	if taken.Before(s.report.taken) {
+	if taken.Before(c.report.takenAt) {
 		return actions
 	}
-	if s.status == statusDown && !taken.After(s.downAt) {
+	if c.status == statusDown && !taken.After(c.downAt) {
 		return actions
 	}
-	if s.report.incarnation != 0 && load.Incarnation != s.report.incarnation {
-		actions = append(actions, s.died(now)...)
+	if c.report.incarnation != 0 && load.Incarnation != c.report.incarnation {
+		actions = append(actions, c.failTarget(now)...)
 	}
-	s.report = report{
-		taken:       taken,
+	c.report = report{
+		takenAt:     taken,
 		incarnation: load.Incarnation,
-		foreign:     max(0, load.Running+load.Queued-s.liveAt(taken)),
+		foreign:     max(0, load.Running+load.Queued-c.liveGrantsAt(taken)),
 		prefill:     int64(load.PrefillTokens),
 	}
 	if load.Leaving {
-		return append(actions, s.OnTargetLeaving(now)...)
+		return append(actions, c.OnTargetLeaving(now)...)
 	}
-	s.status = statusUp
-	return append(actions, s.pump(now)...)
+	c.status = statusUp
+	return append(actions, c.pump(now)...)
 }
 
-// OnTargetDown is told that the target died or can't be reached. What waits is
-// refused at once.
-func (s *Coordinator) OnTargetDown(now time.Time) []Action {
-	actions := s.advance(now)
-	s.status = statusDown
-	s.downAt = now
-	actions = append(actions, s.died(now)...)
-	return append(actions, s.refuseWaiting(s.refuseDown)...)
+// OnTargetDown handles a target that died or is unreachable. Waiting requests are
+// refused immediately.
+func (c *Coordinator) OnTargetDown(now time.Time) []Action {
+	actions := c.advance(now)
+	c.status = statusDown
+	c.downAt = now
+	actions = append(actions, c.failTarget(now)...)
+	return append(actions, c.refuseWaiting(c.refuseUnavailable)...)
 }
 
-// OnTargetLeaving is told that the target stops. What waits is refused at once;
-// what is in flight goes on.
-func (s *Coordinator) OnTargetLeaving(now time.Time) []Action {
-	actions := s.advance(now)
-	if s.status == statusUp {
-		s.status = statusLeaving
+// OnTargetLeaving handles a target that is shutting down. Waiting requests are refused
+// immediately; requests in flight continue.
+func (c *Coordinator) OnTargetLeaving(now time.Time) []Action {
+	actions := c.advance(now)
+	if c.status == statusUp {
+		c.status = statusLeaving
 	}
-	return append(actions, s.refuseWaiting(s.refuseDown)...)
+	return append(actions, c.refuseWaiting(c.refuseUnavailable)...)
 }
 
-// OnTargetUp is told that a probe reached the target. It serves targets without
-// load reports.
-func (s *Coordinator) OnTargetUp(now time.Time) []Action {
-	actions := s.advance(now)
-	s.status = statusUp
-	return append(actions, s.pump(now)...)
+// OnTargetUp handles a successful probe of the target. It is meant for targets that
+// send no load reports.
+func (c *Coordinator) OnTargetUp(now time.Time) []Action {
+	actions := c.advance(now)
+	c.status = statusUp
+	return append(actions, c.pump(now)...)
 }
 
-// Resign is told that another daemon is the steward now. What waits is refused with
-// CodeNotHolder, for its daemon to ask the new steward; grants live on until they
-// are released here, and the new steward sees them in the load reports.
-func (s *Coordinator) Resign(now time.Time) []Action {
-	actions := s.advance(now)
-	refuse := func(ask Request) Action {
-		return Refusal{Request: ask, Err: request.Refuse(request.CodeNotHolder, http.StatusServiceUnavailable,
-			s.params.MinRetryAfter, "another daemon admits to target %s now", s.params.Target)}
-	}
-	return append(actions, s.refuseWaiting(refuse)...)
+// Resign handles the move of the target to another coordinator. Waiting requests are
+// refused with CodeNotHolder, so that their daemons submit them to the new coordinator.
+// Existing grants remain valid until they are released here, and the new coordinator
+// sees them in the load reports.
+func (c *Coordinator) Resign(now time.Time) []Action {
+	actions := c.advance(now)
+	refuse := func(req Request) Action {
+		return Refusal{Request: req, Err: request.Refuse(request.CodeNotHolder, http.StatusServiceUnavailable,
+			c.params.MinRetryAfter, "another daemon admits to target %s now", c.params.Target)}
+	}
+	return append(actions, c.refuseWaiting(refuse)...)
 }
 
-// died ends all grants and names their requests.
-func (s *Coordinator) died(now time.Time) []Action {
+// failTarget ends all grants and reports their requests in a TargetFailure.
+func (c *Coordinator) failTarget(now time.Time) []Action {
 	var inFlight []Request
-	for len(s.order) > 0 {
-		g := s.order[0]
-		inFlight = append(inFlight, g.ask)
-		s.end(now, g)
-	}
-	// Work of the dead incarnation must not be taken for work of the next one.
-	s.ended = nil
-	incarnation := s.report.incarnation
-	s.report = report{taken: s.report.taken}
+	for len(c.liveGrants) > 0 {
+		g := c.liveGrants[0]
+		inFlight = append(inFlight, g.req)
+		c.endGrant(now, g)
+	}
+	// Work of the failed incarnation must not count as work of its successor.
+	c.endedGrants = nil
+	incarnation := c.report.incarnation
+	c.report = report{takenAt: c.report.takenAt}
 	if len(inFlight) == 0 {
 		return nil
 	}
 	return []Action{TargetFailure{Incarnation: incarnation, InFlight: inFlight}}
 }
 
-func (s *Coordinator) refuseWaiting(refuse func(Request) Action) []Action {
+func (c *Coordinator) refuseWaiting(refuse func(Request) Action) []Action {
 	var actions []Action
-	for _, item := range s.queue.Drain() {
-		actions = append(actions, refuse(s.waiting[item.ID]))
-		delete(s.waiting, item.ID)
+	for _, item := range c.queue.Drain() {
+		actions = append(actions, refuse(c.waiting[item.ID]))
+		delete(c.waiting, item.ID)
 	}
-	for _, w := range s.suspects {
-		actions = append(actions, refuse(w.ask))
+	for _, w := range c.suspects {
+		actions = append(actions, refuse(w.req))
 	}
-	s.suspects = nil
+	c.suspects = nil
 	return actions
 }
 
-func (s *Coordinator) liveAt(t time.Time) int {
+func (c *Coordinator) liveGrantsAt(t time.Time) int {
 	n := 0
-	for _, g := range s.order {
+	for _, g := range c.liveGrants {
 		if g.liveAt(t) {
 			n++
 		}
 	}
-	for _, g := range s.ended {
+	for _, g := range c.endedGrants {
 		if g.liveAt(t) {
 			n++
 		}
@@ -129,53 +131,54 @@
 	return n
 }
 
-func (s *Coordinator) fresh(now time.Time) bool {
-	return !s.report.taken.IsZero() && now.Sub(s.report.taken) <= s.params.LoadTTL
+func (c *Coordinator) reportIsFresh(now time.Time) bool {
+	return !c.report.takenAt.IsZero() && now.Sub(c.report.takenAt) <= c.params.LoadTTL
 }
 
-// running returns the requests that are taken to be at the target now: the grants
-// that live, and what the last report showed beyond them.
-func (s *Coordinator) running(now time.Time) int {
-	n := len(s.order)
-	if s.fresh(now) {
-		n += s.report.foreign
+// running estimates the number of requests at the target: the live grants and the
+// foreign requests of the last report.
+func (c *Coordinator) running(now time.Time) int {
+	n := len(c.liveGrants)
+	if c.reportIsFresh(now) {
+		n += c.report.foreign
 	}
 	return n
 }
 
-// prefillBacklog estimates the tokens that wait for prefill at the target: what the
-// last report said and what was granted after it, less what was computed since.
-func (s *Coordinator) prefillBacklog(now time.Time) float64 {
+// prefillBacklog estimates the tokens that wait for prefill at the target: those in the
+// last report and those granted after it, less those computed since.
+func (c *Coordinator) prefillBacklog(now time.Time) float64 {
 	var backlog float64
 	var at time.Time
-	if s.fresh(now) {
-		backlog = float64(s.report.prefill)
-		at = s.report.taken
+	if c.reportIsFresh(now) {
+		backlog = float64(c.report.prefill)
+		at = c.report.takenAt
 	}
-	return s.foldBacklog(now, backlog, at, func(*grant) bool { return true })
+	return c.addGrantsToBacklog(now, backlog, at, func(*grant) bool { return true })
 }
 
-// withinShareBacklog is the part of the backlog that is computed first. It is known
-// from the grants alone.
-func (s *Coordinator) withinShareBacklog(now time.Time) float64 {
-	return s.foldBacklog(now, 0, time.Time{}, func(g *grant) bool { return !g.over })
+// withinShareBacklog estimates the backlog of organisations within their share, which
+// the target computes first. The estimate uses the grants alone.
+func (c *Coordinator) withinShareBacklog(now time.Time) float64 {
+	return c.addGrantsToBacklog(now, 0, time.Time{}, func(g *grant) bool { return !g.overShare })
 }
 
-// foldBacklog adds to a backlog of some time the grants since then.
-func (s *Coordinator) foldBacklog(now time.Time, backlog float64, at time.Time, counts func(*grant) bool) float64 {
+// addGrantsToBacklog projects a backlog from time at to now. It adds the grants issued
+// since at that counts selects, and subtracts the tokens computed in the meantime.
+func (c *Coordinator) addGrantsToBacklog(now time.Time, backlog float64, at time.Time, counts func(*grant) bool) float64 {
 	since := at
-	for _, g := range s.order {
+	for _, g := range c.liveGrants {
 		if !g.granted.After(since) || !counts(g) {
 			continue
 		}
-		backlog = s.computed(backlog, g.granted.Sub(at))
-		backlog += float64(g.ask.Tokens)
+		backlog = c.remainingBacklog(backlog, g.granted.Sub(at))
+		backlog += float64(g.req.Tokens)
 		at = g.granted
 	}
-	return s.computed(backlog, now.Sub(at))
+	return c.remainingBacklog(backlog, now.Sub(at))
 }
 
-// computed returns what is left of a backlog after some time of prefill.
-func (s *Coordinator) computed(backlog float64, elapsed time.Duration) float64 {
-	return max(0, backlog-elapsed.Seconds()*s.params.PrefillRate)
+// remainingBacklog returns the backlog that remains after the elapsed time of prefill.
+func (c *Coordinator) remainingBacklog(backlog float64, elapsed time.Duration) float64 {
+	return max(0, backlog-elapsed.Seconds()*c.params.PrefillRate)
 }
--- a/internal/policy/admission/meter.go
+++ b/internal/policy/admission/meter.go
@@ -3,27 +3,28 @@
 import "time"
 
 const (
-	meterWindow   = time.Second            // length of one measurement
-	meterShortest = 200 * time.Millisecond // shortest one that counts
-	meterGain     = 0.3                    // weight of a new measurement
-	meterFloor    = 0.01                   // lowest rate, as a share of the start
+	meterWindow     = time.Second            // length of one measurement
+	meterMinWindow  = 200 * time.Millisecond // shorter measurements are discarded
+	meterGain       = 0.3                    // weight of a new measurement
+	meterFloorShare = 0.01                   // lowest rate, as a share of the initial rate
 )
 
-// meter measures the tokens a second that a saturated target serves. An idle one
-// would show its demand instead of its speed.
+// meter measures the tokens a second that a saturated target serves. An unsaturated
+// target would show the demand instead of its service rate.
 type meter struct {
 	rate     float64
-	meanCost float64 // tokens of one request
+	meanCost float64 // mean tokens per request
 	floor    float64
-	since    time.Time // start of the measurement; zero: none
+	since    time.Time // start of the measurement; zero if none
 	tokens   int64
 }
 
 func newMeter(start float64) meter {
-	return meter{rate: start, floor: start * meterFloor}
+	return meter{rate: start, floor: start * meterFloorShare}
 }
 
-// observe is told whether the target is saturated from now on.
+// observe records whether the target is saturated from now on, and starts and ends
+// measurements accordingly.
 func (m *meter) observe(now time.Time, saturated bool) {
 	if m.since.IsZero() {
 		if saturated {
@@ -35,7 +36,7 @@
 	if saturated && elapsed < meterWindow {
 		return
 	}
-	if elapsed >= meterShortest {
+	if elapsed >= meterMinWindow {
 		measured := float64(m.tokens) / elapsed.Seconds()
 		m.rate = max(m.floor, m.rate+meterGain*(measured-m.rate))
 	}
@@ -45,7 +46,7 @@
 	}
 }
 
-func (m *meter) served(tokens int64) {
+func (m *meter) addServed(tokens int64) {
 	if !m.since.IsZero() {
 		m.tokens += tokens
 	}
--- a/internal/policy/admission/renew.go
+++ b/internal/policy/admission/renew.go
@@ -6,13 +6,13 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Renew extends a grant. It returns false if the request holds none, for example
-// because it lapsed or an earlier steward gave it.
-func (s *Coordinator) Renew(now time.Time, id request.ID) bool {
-	g, ok := s.grants[id]
+// Renew extends a grant. It returns false if the request holds no grant, for example
+// because the grant expired or was issued by an earlier coordinator.
+func (c *Coordinator) Renew(now time.Time, id request.ID) bool {
+	g, ok := c.grants[id]
 	if !ok {
 		return false
 	}
-	g.expires = now.Add(s.params.GrantTTL)
+	g.expires = now.Add(c.params.GrantTTL)
 	return true
 }
--- a/internal/policy/admission/submit.go
+++ b/internal/policy/admission/submit.go
@@ -8,105 +8,106 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Submit enters an ask and returns what follows from it, for this ask or others. An
-// ask without an action waits; its answer comes from a later call.
+// Submit adds a request and returns the resulting actions, for this request or others.
+// A request without an action waits in the queue; a later call returns its answer.
 //
-// Submit is idempotent by request id: a granted request gets its grant again with a
-// new expiry, which is how a grant is renewed, and one that waits goes on waiting.
-func (s *Coordinator) Submit(now time.Time, ask Request) []Action {
-	actions := s.advance(now)
-	ask.Weight = max(ask.Weight, 1)
-	ask.Tokens = max(ask.Tokens, 1)
-	if g, ok := s.grants[ask.ID]; ok {
-		g.expires = now.Add(s.params.GrantTTL)
+// Submit is idempotent by request id. A granted request receives its grant again with a
+// new expiry, which renews the grant. A waiting request continues to wait.
+func (c *Coordinator) Submit(now time.Time, req Request) []Action {
+	actions := c.advance(now)
+	req.Weight = max(req.Weight, 1)
+	req.Tokens = max(req.Tokens, 1)
+	if g, ok := c.grants[req.ID]; ok {
+		g.expires = now.Add(c.params.GrantTTL)
 		actions = append(actions, g.action())
-		return append(actions, s.pump(now)...)
+		return append(actions, c.pump(now)...)
 	}
-	if s.isWaiting(ask.ID) {
-		return append(actions, s.pump(now)...)
+	if c.isWaiting(req.ID) {
+		return append(actions, c.pump(now)...)
 	}
-	if s.status != statusUp {
-		return append(actions, s.refuseDown(ask))
+	if c.status != statusUp {
+		return append(actions, c.refuseUnavailable(req))
 	}
-	if ask.Suspect {
-		return append(actions, s.submitSuspect(now, ask)...)
+	if req.Suspect {
+		return append(actions, c.submitSuspect(now, req)...)
 	}
-	wait := s.expectedWait(now, ask)
-	if late := s.latestStart(ask); !late.IsZero() && now.Add(wait).After(late) {
-		return append(actions, s.refuseLate(now, ask))
+	wait := c.expectedGrantWait(now, req)
+	if latest := c.latestStart(req); !latest.IsZero() && now.Add(wait).After(latest) {
+		return append(actions, c.refuseDeadline(now, req))
 	}
-	s.waiting[ask.ID] = ask
-	dropped := s.queue.Push(fairqueue.Item{
-		ID: ask.ID, Org: ask.Org, Weight: ask.Weight, Cost: s.cost(ask), LatestStart: s.latestStart(ask),
+	c.waiting[req.ID] = req
+	dropped := c.queue.Push(fairqueue.Item{
+		ID: req.ID, Org: req.Org, Weight: req.Weight, Cost: c.cost(req), LatestStart: c.latestStart(req),
 	})
-	actions = append(actions, s.refuseDropped(now, dropped)...)
-	return append(actions, s.pump(now)...)
+	actions = append(actions, c.refuseDropped(now, dropped)...)
+	return append(actions, c.pump(now)...)
 }
 
-// Cancel forgets a request whose caller has left, whether it waits or is granted.
-func (s *Coordinator) Cancel(now time.Time, id request.ID) []Action {
-	actions := s.advance(now)
-	if ask, ok := s.waiting[id]; ok {
-		s.queue.Remove(ask.Org, id)
-		delete(s.waiting, id)
+// Cancel removes a request whose caller has disconnected, whether waiting or granted.
+func (c *Coordinator) Cancel(now time.Time, id request.ID) []Action {
+	actions := c.advance(now)
+	if req, ok := c.waiting[id]; ok {
+		c.queue.Remove(req.Org, id)
+		delete(c.waiting, id)
 	}
-	for i, w := range s.suspects {
-		if w.ask.ID == id {
-			s.suspects = append(s.suspects[:i], s.suspects[i+1:]...)
+	for i, w := range c.suspects {
+		if w.req.ID == id {
+			c.suspects = append(c.suspects[:i], c.suspects[i+1:]...)
 			break
 		}
 	}
-	if g, ok := s.grants[id]; ok {
-		s.end(now, g)
+	if g, ok := c.grants[id]; ok {
+		c.endGrant(now, g)
 	}
-	return append(actions, s.pump(now)...)
+	return append(actions, c.pump(now)...)
 }
 
-// Tick drops expired grants and asks that can no longer make their deadline, and
-// grants what fits. Call it a few times a second while anything waits or runs.
-func (s *Coordinator) Tick(now time.Time) []Action {
-	actions := s.advance(now)
+// Tick removes expired grants, refuses requests that can no longer meet their deadline
+// and grants the requests that fit. Call it a few times a second while requests wait or
+// run.
+func (c *Coordinator) Tick(now time.Time) []Action {
+	actions := c.advance(now)
 	var next int64
-	if item, ok := s.queue.Peek(); ok {
-		next = s.waiting[item.ID].Tokens
+	if item, ok := c.queue.Peek(); ok {
+		next = c.waiting[item.ID].Tokens
 	}
-	dropped := s.queue.Expire(now, s.meter.rate, s.untilPlace(now, next))
-	actions = append(actions, s.refuseDropped(now, dropped)...)
-	return append(actions, s.pump(now)...)
+	dropped := c.queue.Expire(now, c.meter.rate, c.timeUntilSlot(now, next))
+	actions = append(actions, c.refuseDropped(now, dropped)...)
+	return append(actions, c.pump(now)...)
 }
 
-// advance brings the steward to the present before an event is handled.
-func (s *Coordinator) advance(now time.Time) []Action {
-	s.expireGrants(now)
-	s.meter.observe(now, s.saturated())
-	return s.expireSuspects(now)
+// advance applies the passage of time before an event is handled.
+func (c *Coordinator) advance(now time.Time) []Action {
+	c.expireGrants(now)
+	c.meter.observe(now, c.saturated())
+	return c.expireSuspects(now)
 }
 
-// pump grants in fair order as long as the next in line fits.
-func (s *Coordinator) pump(now time.Time) []Action {
-	actions := s.pumpSuspects(now)
-	for s.status == statusUp && !s.alone && !s.emptying(now) {
-		item, ok := s.nextFitting(now)
+// pump issues grants in fair order while the next request fits.
+func (c *Coordinator) pump(now time.Time) []Action {
+	actions := c.pumpSuspects(now)
+	for c.status == statusUp && !c.exclusive && !c.draining(now) {
+		item, ok := c.nextFitting(now)
 		if !ok {
 			break
 		}
-		ask := s.waiting[item.ID]
-		s.queue.PopOrg(item.Org, s.cost(ask))
-		delete(s.waiting, item.ID)
-		actions = append(actions, s.grant(now, ask, false))
+		req := c.waiting[item.ID]
+		c.queue.PopOrg(item.Org, c.cost(req))
+		delete(c.waiting, item.ID)
+		actions = append(actions, c.issueGrant(now, req, false))
 	}
-	s.meter.observe(now, s.saturated())
+	c.meter.observe(now, c.saturated())
 	return actions
 }
 
-// nextFitting returns the next item in fair order if it fits. One of an organisation
-// over its share that does not fit yet is passed by those within theirs, for which
-// room is kept; nothing else is passed, so that a large prompt is not kept out by
-// small ones.
-func (s *Coordinator) nextFitting(now time.Time) (fairqueue.Item, bool) {
-	for _, item := range s.queue.Heads() {
-		over := s.usage.over(now, item.Org, item.Weight)
-		if s.fits(now, s.waiting[item.ID].Tokens, over) {
+// nextFitting returns the next item in fair order if it fits. If it does not fit and its
+// organisation is over its share, items of organisations within their share may overtake
+// it, since capacity is reserved for them. No other item is overtaken, so that small
+// prompts do not starve a large one.
+func (c *Coordinator) nextFitting(now time.Time) (fairqueue.Item, bool) {
+	for _, item := range c.queue.Heads() {
+		over := c.usage.isOverShare(now, item.Org, item.Weight)
+		if c.fits(now, c.waiting[item.ID].Tokens, over) {
 			return item, true
 		}
 		if !over {
@@ -116,100 +117,102 @@
 	return fairqueue.Item{}, false
 }
 
-func (s *Coordinator) isWaiting(id request.ID) bool {
-	if _, ok := s.waiting[id]; ok {
+func (c *Coordinator) isWaiting(id request.ID) bool {
+	if _, ok := c.waiting[id]; ok {
 		return true
 	}
-	for _, w := range s.suspects {
-		if w.ask.ID == id {
+	for _, w := range c.suspects {
+		if w.req.ID == id {
 			return true
 		}
 	}
 	return false
 }
 
-// latestStart returns the last moment at which the ask can start and still have its
-// first token by its deadline.
-func (s *Coordinator) latestStart(ask Request) time.Time {
-	if ask.Deadline.IsZero() {
+// latestStart returns the latest time at which the request can start and still deliver
+// its first token by its deadline.
+func (c *Coordinator) latestStart(req Request) time.Time {
+	if req.Deadline.IsZero() {
 		return time.Time{}
 	}
-	return ask.Deadline.Add(-fairqueue.Duration(float64(ask.Tokens), s.params.PrefillRate))
+	return req.Deadline.Add(-fairqueue.Duration(float64(req.Tokens), c.params.PrefillRate))
 }
 
-// expectedWait estimates how long a new ask would wait for its grant.
-func (s *Coordinator) expectedWait(now time.Time, ask Request) time.Duration {
-	ahead := s.queue.Ahead(ask.Org, ask.Weight)
-	over := s.usage.over(now, ask.Org, ask.Weight)
-	if ahead == 0 && !s.alone && s.fits(now, ask.Tokens, over) {
+// expectedGrantWait estimates how long a new request would wait for its grant.
+func (c *Coordinator) expectedGrantWait(now time.Time, req Request) time.Duration {
+	ahead := c.queue.Ahead(req.Org, req.Weight)
+	over := c.usage.isOverShare(now, req.Org, req.Weight)
+	if ahead == 0 && !c.exclusive && c.fits(now, req.Tokens, over) {
 		return 0
 	}
-	return s.untilPlace(now, ask.Tokens) + fairqueue.Duration(float64(ahead), s.meter.rate)
+	return c.timeUntilSlot(now, req.Tokens) + fairqueue.Duration(float64(ahead), c.meter.rate)
 }
 
-// ExpectedWait estimates how long after now the target would begin to compute an ask
-// that is submitted now: its wait for a grant and for the prefill that comes first at
-// the target. It serves the choice between targets. The two waits overlap: while the
-// backlog is computed, places and room in the prefill bound come free.
-func (s *Coordinator) ExpectedWait(now time.Time, ask Request) time.Duration {
-	backlog := s.prefillBacklog(now)
-	if !s.usage.over(now, ask.Org, max(ask.Weight, 1)) {
-		backlog = min(backlog, s.withinShareBacklog(now))
+// ExpectedWait estimates how long the target would take to start computing a request
+// that is submitted now. Placement uses it to choose between targets. The estimate is
+// the longer of the wait for a grant and the wait for earlier prefill at the target. The
+// two overlap, because slots and prefill capacity become free while the target computes
+// its backlog.
+func (c *Coordinator) ExpectedWait(now time.Time, req Request) time.Duration {
+	backlog := c.prefillBacklog(now)
+	if !c.usage.isOverShare(now, req.Org, max(req.Weight, 1)) {
+		backlog = min(backlog, c.withinShareBacklog(now))
 	}
-	return max(s.expectedWait(now, ask), fairqueue.Duration(backlog, s.params.PrefillRate))
+	return max(c.expectedGrantWait(now, req), fairqueue.Duration(backlog, c.params.PrefillRate))
 }
 
-// untilPlace estimates when the next in line may start, if it has the given tokens.
-func (s *Coordinator) untilPlace(now time.Time, tokens int64) time.Duration {
-	if s.running(now) >= s.params.MaxRunning || s.alone {
-		return fairqueue.Duration(s.meter.meanCost, s.meter.rate)
+// timeUntilSlot estimates the time until the next request in fair order may start, given
+// its prompt tokens.
+func (c *Coordinator) timeUntilSlot(now time.Time, tokens int64) time.Duration {
+	if c.running(now) >= c.params.MaxRunning || c.exclusive {
+		return fairqueue.Duration(c.meter.meanCost, c.meter.rate)
 	}
-	if s.params.MaxPrefillTokens <= 0 {
+	if c.params.MaxPrefillTokens <= 0 {
 		return 0
 	}
-	room := float64(s.params.MaxPrefillTokens - min(tokens, s.params.MaxPrefillTokens))
-	return fairqueue.Duration(s.prefillBacklog(now)-room, s.params.PrefillRate)
+	available := float64(c.params.MaxPrefillTokens - min(tokens, c.params.MaxPrefillTokens))
+	return fairqueue.Duration(c.prefillBacklog(now)-available, c.params.PrefillRate)
 }
 
-func (s *Coordinator) refuseDropped(now time.Time, dropped []fairqueue.Dropped) []Action {
+func (c *Coordinator) refuseDropped(now time.Time, dropped []fairqueue.Dropped) []Action {
 	var actions []Action
 	for _, d := range dropped {
-		ask := s.waiting[d.Item.ID]
-		delete(s.waiting, d.Item.ID)
+		req := c.waiting[d.Item.ID]
+		delete(c.waiting, d.Item.ID)
 		switch d.Reason {
 		case fairqueue.TooLate:
-			actions = append(actions, s.refuseLate(now, ask))
+			actions = append(actions, c.refuseDeadline(now, req))
 		case fairqueue.OrgFull:
-			actions = append(actions, s.refuseFull(now, ask, http.StatusTooManyRequests, "the organisation's queue is full"))
+			actions = append(actions, c.refuseFull(now, req, http.StatusTooManyRequests, "the organisation's queue is full"))
 		case fairqueue.QueueFull:
-			actions = append(actions, s.refuseFull(now, ask, http.StatusServiceUnavailable, "the target's queue is full"))
+			actions = append(actions, c.refuseFull(now, req, http.StatusServiceUnavailable, "the target's queue is full"))
 		}
 	}
 	return actions
 }
 
-func (s *Coordinator) refuseFull(now time.Time, ask Request, status int, message string) Action {
-	s.count.refused++
-	return Refusal{Request: ask, Err: request.Refuse(request.CodeOverloaded, status, s.retryAfter(now, ask), "%s", message)}
+func (c *Coordinator) refuseFull(now time.Time, req Request, status int, message string) Action {
+	c.counts.refused++
+	return Refusal{Request: req, Err: request.Refuse(request.CodeOverloaded, status, c.retryAfter(now, req), "%s", message)}
 }
 
-func (s *Coordinator) refuseLate(now time.Time, ask Request) Action {
-	s.count.refused++
-	err := request.Refuse(request.CodeDeadline, http.StatusServiceUnavailable, s.retryAfter(now, ask),
+func (c *Coordinator) refuseDeadline(now time.Time, req Request) Action {
+	c.counts.refused++
+	err := request.Refuse(request.CodeDeadline, http.StatusServiceUnavailable, c.retryAfter(now, req),
 		"the first token would come after the deadline")
-	return Refusal{Request: ask, Err: err}
+	return Refusal{Request: req, Err: err}
 }
 
-func (s *Coordinator) refuseDown(ask Request) Action {
-	s.count.refused++
-	err := request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, s.params.MinRetryAfter,
-		"target %s is %s", s.params.Target, s.status)
-	return Refusal{Request: ask, Err: err}
+func (c *Coordinator) refuseUnavailable(req Request) Action {
+	c.counts.refused++
+	err := request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, c.params.MinRetryAfter,
+		"target %s is %s", c.params.Target, c.status)
+	return Refusal{Request: req, Err: err}
 }
 
-// retryAfter returns when the work that is ahead of the ask now will be done, from
-// the measured rate.
-func (s *Coordinator) retryAfter(now time.Time, ask Request) time.Duration {
-	after := s.expectedWait(now, ask)
-	return min(max(after, s.params.MinRetryAfter), s.params.MaxRetryAfter)
+// retryAfter estimates, from the measured rate, the time until the work ahead of the
+// request is done.
+func (c *Coordinator) retryAfter(now time.Time, req Request) time.Duration {
+	after := c.expectedGrantWait(now, req)
+	return min(max(after, c.params.MinRetryAfter), c.params.MaxRetryAfter)
 }
--- a/internal/policy/admission/suspect.go
+++ b/internal/policy/admission/suspect.go
@@ -7,69 +7,69 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// waitingSuspect waits to have the target for itself.
+// waitingSuspect is a suspect that waits for exclusive use of the target.
 type waitingSuspect struct {
-	ask   Request
+	req   Request
 	since time.Time
 }
 
-// A suspect runs alone, so that a crash takes nobody else's request with it and
-// proves what caused it. It takes an idle target at once. On a busy one it waits;
-// after SuspectPatience the target is emptied for it, since it may be innocent and
-// is owed its answer. One suspect after another can't keep the target empty:
-// patience starts anew when a suspect ends.
+// A suspect runs exclusively, so that a crash affects no other request and proves which
+// request caused it. On an idle target it starts immediately. On a busy target it waits
+// for SuspectDrainDelay; the coordinator then drains the target, because the suspect may
+// be harmless and is entitled to an answer. The delay restarts when a suspect ends, so
+// that a series of suspects cannot keep the target drained.
 
-func (s *Coordinator) submitSuspect(now time.Time, ask Request) []Action {
-	if len(s.suspects) >= s.params.MaxSuspects {
-		return []Action{s.refuseSuspect(ask)}
+func (c *Coordinator) submitSuspect(now time.Time, req Request) []Action {
+	if len(c.suspects) >= c.params.MaxSuspects {
+		return []Action{c.refuseSuspect(req)}
 	}
-	s.suspects = append(s.suspects, waitingSuspect{ask: ask, since: now})
-	return s.pump(now)
+	c.suspects = append(c.suspects, waitingSuspect{req: req, since: now})
+	return c.pump(now)
 }
 
-// emptying reports whether the target takes nothing new because a suspect has
-// waited long enough.
-func (s *Coordinator) emptying(now time.Time) bool {
-	if len(s.suspects) == 0 {
+// draining reports whether the coordinator issues no ordinary grants because a suspect
+// has waited for SuspectDrainDelay.
+func (c *Coordinator) draining(now time.Time) bool {
+	if len(c.suspects) == 0 {
 		return false
 	}
-	since := s.suspects[0].since
-	if s.aloneEnd.After(since) {
-		since = s.aloneEnd
+	since := c.suspects[0].since
+	if c.exclusiveEnd.After(since) {
+		since = c.exclusiveEnd
 	}
-	return now.Sub(since) >= s.params.SuspectDrainDelay
+	return now.Sub(since) >= c.params.SuspectDrainDelay
 }
 
-func (s *Coordinator) pumpSuspects(now time.Time) []Action {
-	if s.status != statusUp || len(s.suspects) == 0 || s.running(now) > 0 {
+func (c *Coordinator) pumpSuspects(now time.Time) []Action {
+	if c.status != statusUp || len(c.suspects) == 0 || c.running(now) > 0 {
 		return nil
 	}
-	if s.queue.Len() > 0 && !s.emptying(now) {
+	if c.queue.Len() > 0 && !c.draining(now) {
 		return nil
 	}
-	ask := s.suspects[0].ask
-	s.suspects = s.suspects[1:]
-	return []Action{s.grant(now, ask, true)}
+	req := c.suspects[0].req
+	c.suspects = c.suspects[1:]
+	return []Action{c.issueGrant(now, req, true)}
 }
 
-func (s *Coordinator) expireSuspects(now time.Time) []Action {
+func (c *Coordinator) expireSuspects(now time.Time) []Action {
 	var actions []Action
-	kept := s.suspects[:0]
-	for _, w := range s.suspects {
-		late := s.latestStart(w.ask)
-		if now.Sub(w.since) < s.params.SuspectMaxWait && (late.IsZero() || !now.After(late)) {
-			kept = append(kept, w)
+	remaining := c.suspects[:0]
+	for _, w := range c.suspects {
+		latest := c.latestStart(w.req)
+		if now.Sub(w.since) < c.params.SuspectMaxWait && (latest.IsZero() || !now.After(latest)) {
+			remaining = append(remaining, w)
 			continue
 		}
-		actions = append(actions, s.refuseSuspect(w.ask))
+		actions = append(actions, c.refuseSuspect(w.req))
 	}
-	s.suspects = kept
+	c.suspects = remaining
 	return actions
 }
 
-func (s *Coordinator) refuseSuspect(ask Request) Action {
-	s.count.refused++
-	err := request.Refuse(request.CodeOverloaded, http.StatusServiceUnavailable, s.params.SuspectMaxWait,
+func (c *Coordinator) refuseSuspect(req Request) Action {
+	c.counts.refused++
+	err := request.Refuse(request.CodeOverloaded, http.StatusServiceUnavailable, c.params.SuspectMaxWait,
 		"no target could be kept free for this request")
-	return Refusal{Request: ask, Err: err}
+	return Refusal{Request: req, Err: err}
 }
--- a/internal/policy/admission/table_test.go
+++ b/internal/policy/admission/table_test.go
@@ -36,13 +36,13 @@
 				s = New(p)
 				return ""
 			case "submit":
-				ask := Request{ID: request.ID(id), Org: request.OrgID(org), Tokens: tokens, Suspect: d.HasArg("suspect")}
+				req := Request{ID: request.ID(id), Org: request.OrgID(org), Tokens: tokens, Suspect: d.HasArg("suspect")}
 				var deadline int64
 				d.MaybeScanArgs(t, "deadline", &deadline)
 				if deadline > 0 {
-					ask.Deadline = epoch.Add(time.Duration(deadline) * time.Millisecond)
+					req.Deadline = epoch.Add(time.Duration(deadline) * time.Millisecond)
 				}
-				actions = s.Submit(now, ask)
+				actions = s.Submit(now, req)
 			case "release":
 				actions = s.Release(now, "d1."+id, Outcome{})
 			case "cancel":
@@ -84,8 +84,8 @@
 			fmt.Fprintf(&out, "refuse %s: %s %d %s after %s\n", a.Request.ID, a.Err.Code, a.Err.Status, a.Err.Ran, a.Err.RetryAfter)
 		case TargetFailure:
 			fmt.Fprintf(&out, "died %d:", a.Incarnation)
-			for _, ask := range a.InFlight {
-				fmt.Fprintf(&out, " %s", ask.ID)
+			for _, req := range a.InFlight {
+				fmt.Fprintf(&out, " %s", req.ID)
 			}
 			out.WriteString("\n")
 		}
--- a/internal/policy/admission/usage.go
+++ b/internal/policy/admission/usage.go
@@ -8,45 +8,46 @@
 )
 
 const (
-	usageWindow = 30 * time.Second // over which usage decays
-	usageLeast  = 1                // tokens below which an organisation is idle
-	// overShare is how far above the mean of all, by weight, an organisation is over
-	// its share. Above 1, since equal ones differ by chance.
-	overShare = 1.5
+	usageWindow    = 30 * time.Second // time constant of the exponential decay of usage
+	usageMinTokens = 1                // tokens below which an organisation counts as idle
+	// overShareFactor is the multiple of the mean usage per weight above which an
+	// organisation is over its share. It exceeds 1 because equal organisations differ
+	// by chance.
+	overShareFactor = 1.5
 )
 
-// holdGain is the weight of a new measurement of how long a place is held.
+// holdGain is the weight of a new measurement of the time that a slot is held.
 const holdGain = 0.2
 
-// usage measures what each organisation took of the target lately.
+// usage measures each organisation's recent use of the target.
 type usage struct {
-	orgs    map[request.OrgID]*orgUsage
-	at      time.Time
-	tokens  float64       // over all
-	weights int           // over all
-	mean    time.Duration // for which a place is held, over all
+	orgs      map[request.OrgID]*orgUsage
+	decayedAt time.Time
+	tokens    float64       // of all organisations
+	weights   int           // of all organisations
+	meanHold  time.Duration // time that a slot is held, mean of all organisations
 }
 
 type orgUsage struct {
-	tokens float64 // cost of what was granted, decaying
+	tokens float64 // decaying sum of the costs of grants
 	weight int
-	hold   time.Duration // zero: none has ended
+	hold   time.Duration // mean time that a slot is held; zero until a request has ended
 }
 
-// held is told how long a request had its place.
-func (u *usage) held(org request.OrgID, d time.Duration) {
-	u.mean = smooth(u.mean, d)
+// recordHold records how long a request held its slot.
+func (u *usage) recordHold(org request.OrgID, d time.Duration) {
+	u.meanHold = smooth(u.meanHold, d)
 	if o, ok := u.orgs[org]; ok {
 		o.hold = smooth(o.hold, d)
 	}
 }
 
-// hold returns how long a request of the organisation is expected to have its place.
-func (u *usage) hold(org request.OrgID) time.Duration {
+// expectedHold returns how long a request of the organisation is expected to hold its slot.
+func (u *usage) expectedHold(org request.OrgID) time.Duration {
 	if o, ok := u.orgs[org]; ok && o.hold > 0 {
 		return o.hold
 	}
-	return u.mean
+	return u.meanHold
 }
 
 func smooth(mean, d time.Duration) time.Duration {
@@ -72,15 +73,15 @@
 }
 
 func (u *usage) decay(now time.Time) {
-	elapsed := now.Sub(u.at)
-	u.at = now
+	elapsed := now.Sub(u.decayedAt)
+	u.decayedAt = now
 	if elapsed <= 0 {
 		return
 	}
 	factor := math.Exp(-elapsed.Seconds() / usageWindow.Seconds())
 	u.tokens = 0
 	for id, o := range u.orgs {
-		if o.tokens *= factor; o.tokens < usageLeast {
+		if o.tokens *= factor; o.tokens < usageMinTokens {
 			u.weights -= o.weight
 			delete(u.orgs, id)
 			continue
@@ -89,9 +90,10 @@
 	}
 }
 
-// over reports whether an organisation uses more than its share. One that is alone is
-// over it too: what is kept back then is for whoever comes back.
-func (u *usage) over(now time.Time, org request.OrgID, weight int) bool {
+// isOverShare reports whether an organisation uses more than its share. An organisation
+// that is the only active one counts as over its share, so that the reserve stays free
+// for organisations that become active again.
+func (u *usage) isOverShare(now time.Time, org request.OrgID, weight int) bool {
 	u.decay(now)
 	o, ok := u.orgs[org]
 	if !ok {
@@ -101,5 +103,5 @@
 		return true
 	}
 	mean := u.tokens / float64(u.weights)
-	return o.tokens/float64(weight) > overShare*mean
+	return o.tokens/float64(weight) > overShareFactor*mean
 }
--- a/internal/policy/admission/view.go
+++ b/internal/policy/admission/view.go
@@ -8,43 +8,44 @@
 	expired uint64
 }
 
-// View is what a steward knows about its target, for placement and for the dump.
+// View is a coordinator's estimate of its target's state, for placement and for the
+// state dump.
 type View struct {
-	Running             int   // reported or granted
-	Granted             int   // grants that live
-	Foreign             int   // requests that the last report showed beyond them
-	Waiting             int   // asks in the queue, suspects included
-	WaitingTokens       int64 // their cost: prompt tokens, or more if places are scarce
-	QueuedPrefillTokens int64 // at the target: reported plus granted since the report
+	Running             int   // live grants and foreign requests
+	Granted             int   // live grants
+	Foreign             int   // requests in the last report without a grant of this coordinator
+	Waiting             int   // requests in the queue, suspects included
+	WaitingTokens       int64 // their cost: prompt tokens, or more if slots are scarce
+	QueuedPrefillTokens int64 // at the target: estimated from the last report and the grants since
 	ServiceRate         float64
 	Down                bool
 	Leaving             bool
-	ReportAge           time.Duration // negative: no report
-	// Counts since the steward started.
+	ReportAge           time.Duration // negative without a report
+	// Counts since the coordinator started.
 	GrantedTotal uint64
 	RefusedTotal uint64
 	ExpiredTotal uint64
 }
 
-// View returns the present state.
-func (s *Coordinator) View(now time.Time) View {
+// View returns the state at time now.
+func (c *Coordinator) View(now time.Time) View {
 	v := View{
-		Running:             s.running(now),
-		Granted:             len(s.order),
-		Waiting:             s.queue.Len() + len(s.suspects),
-		WaitingTokens:       s.queue.Cost(),
-		QueuedPrefillTokens: int64(s.prefillBacklog(now)),
-		ServiceRate:         s.meter.rate,
-		Down:                s.status == statusDown,
-		Leaving:             s.status == statusLeaving,
+		Running:             c.running(now),
+		Granted:             len(c.liveGrants),
+		Waiting:             c.queue.Len() + len(c.suspects),
+		WaitingTokens:       c.queue.Cost(),
+		QueuedPrefillTokens: int64(c.prefillBacklog(now)),
+		ServiceRate:         c.meter.rate,
+		Down:                c.status == statusDown,
+		Leaving:             c.status == statusLeaving,
 		ReportAge:           -1,
-		GrantedTotal:        s.count.granted,
-		RefusedTotal:        s.count.refused,
-		ExpiredTotal:        s.count.expired,
+		GrantedTotal:        c.counts.granted,
+		RefusedTotal:        c.counts.refused,
+		ExpiredTotal:        c.counts.expired,
 	}
 	v.Foreign = v.Running - v.Granted
-	if !s.report.taken.IsZero() {
-		v.ReportAge = now.Sub(s.report.taken)
+	if !c.report.takenAt.IsZero() {
+		v.ReportAge = now.Sub(c.report.takenAt)
 	}
 	return v
 }
