--- a/internal/policy/fairqueue/deadline.go
+++ b/internal/policy/fairqueue/deadline.go
@@ -6,9 +6,9 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Ahead estimates the tokens that will be served before an item of the given
-// organisation and weight that would be pushed now. It counts what starts earlier
-// in virtual time, and so may be short by one item of each other organisation.
+// Ahead estimates the tokens that would be served before an item of the given
+// organisation and weight pushed now. It counts the items that start earlier in
+// virtual time, so the estimate may be short by one item per other organisation.
 func (q *Queue) Ahead(org request.OrgID, weight int) int64 {
 	var own int64
 	start := q.virtual
@@ -20,8 +20,8 @@
 	return own + q.othersAhead(org, start)
 }
 
-// othersAhead estimates what other organisations are served before virtual time
-// reaches start. None is served more than it has waiting.
+// othersAhead estimates the tokens served to other organisations before virtual time
+// reaches start. The estimate for each organisation is capped at its queued tokens.
 func (q *Queue) othersAhead(org request.OrgID, start float64) int64 {
 	var ahead int64
 	for _, o := range q.order {
@@ -34,11 +34,11 @@
 	return ahead
 }
 
-// Expire removes the items that can no longer start in time. An item leaves as
-// soon as the estimate of its wait passes its latest start, and not only at its
-// deadline, so that its caller can go elsewhere while that still helps.
+// Expire removes the items that can no longer start in time. It removes an item as
+// soon as the item's estimated wait exceeds its latest start, rather than at its
+// deadline, so that the caller can still retry at another target in time.
 //
-// rate is the tokens a second at which the queue is served, and busy the time
+// rate is the service rate of the queue in tokens a second, and busy is the time
 // until the next item may start.
 func (q *Queue) Expire(now time.Time, rate float64, busy time.Duration) []Dropped {
 	var dropped []Dropped
@@ -58,15 +58,15 @@
 			i++
 		}
 	}
-	q.settle()
+	q.endBusyPeriod()
 	return dropped
 }
 
-// maxDuration keeps estimates at very low rates from overflowing.
+// maxDuration caps estimates, which would overflow at very low rates.
 const maxDuration = 24 * time.Hour
 
-// Duration returns how long serving an amount takes at a rate a second, at most
-// one day.
+// Duration returns the time to serve an amount at a rate per second, at most one
+// day.
 func Duration(amount, rate float64) time.Duration {
 	if amount <= 0 {
 		return 0
--- a/internal/policy/fairqueue/fairqueue_test.go
+++ b/internal/policy/fairqueue/fairqueue_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// fifo is the naive twin: one bounded list in order of arrival.
+// fifo is the naive baseline: one bounded list in order of arrival.
 type fifo struct {
 	max   int
 	items []Item
@@ -87,21 +87,21 @@
 	return true
 }
 
-// A quiet organisation's prompt is refused although it sends one request a minute:
-// another organisation has filled the queue. In a plain list the flood holds every
-// place, so whoever comes later is turned away or waits behind all of it.
-func TestFloodDoesNotPushOthersOut(t *testing.T) {
-	const places = 32
-	naive := &fifo{max: places}
-	q := New(Params{MaxItems: places, MaxPerOrg: places})
-	for i := range 10 * places {
+// Guards against a flood by one organisation that fills the queue. In a plain list the
+// flood occupies every slot, so an organisation that sends one request a minute is
+// refused or waits behind the entire flood.
+func TestFloodDoesNotEvictOtherOrganisations(t *testing.T) {
+	const slots = 32
+	naive := &fifo{max: slots}
+	q := New(Params{MaxItems: slots, MaxPerOrg: slots})
+	for i := range 10 * slots {
 		item := Item{ID: request.ID(fmt.Sprintf("loud%d", i)), Org: "loud", Weight: 1, Cost: 100}
 		naive.push(item)
 		q.Push(item)
 	}
 	quiet := Item{ID: "quiet", Org: "quiet", Weight: 1, Cost: 20_000}
 	if naive.push(quiet) {
-		t.Fatal("the naive list took the quiet request; the test shows nothing")
+		t.Fatal("the naive list accepted the quiet request; the test proves nothing")
 	}
 	dropped := q.Push(quiet)
 	if len(dropped) != 1 || dropped[0].Item.Org != "loud" {
@@ -127,10 +127,10 @@
 	return orgs
 }
 
-// Stated bound of start-time fair queueing: while two organisations both wait, what
-// they were served, divided by their weights, differs by at most one item of each.
-// It bounds starvation too: an organisation that waits is served before any other
-// gets more than that.
+// Checks the bound of start-time fair queueing: while two organisations both wait, their
+// served tokens divided by their weights differ by at most one item of each. The bound
+// also limits starvation, since a waiting organisation is served before any other
+// organisation exceeds it.
 func TestWeightedShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		orgs := drawOrgs(rt)
@@ -170,10 +170,10 @@
 	return true
 }
 
-// Over any mix of pushes, pops, removals and expiry, each item leaves exactly once,
-// the bounds hold, and no organisation within its weighted share of the places
+// Over random sequences of pushes, pops, removals and expiry, each item leaves exactly
+// once, the bounds hold, and no organisation within its weighted share of the slots
 // loses an item because the queue is full.
-func TestConservationAndShareOfPlaces(t *testing.T) {
+func TestItemsLeaveOnceAndSharesHold(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		orgs := drawOrgs(rt)
 		p := Params{MaxItems: rapid.IntRange(1, 30).Draw(rt, "items"), MaxPerOrg: rapid.IntRange(1, 30).Draw(rt, "per org")}
@@ -181,7 +181,7 @@
 		waiting := make(map[request.ID]Item)
 		leave := func(item Item) {
 			if _, ok := waiting[item.ID]; !ok {
-				rt.Fatalf("%s left twice or never came", item.ID)
+				rt.Fatalf("%s left twice or was never pushed", item.ID)
 			}
 			delete(waiting, item.ID)
 		}
@@ -220,7 +220,7 @@
 				}
 				for _, item := range waiting {
 					if !item.LatestStart.IsZero() && item.LatestStart.Before(now) {
-						rt.Fatalf("%s is held past its latest start", item.ID)
+						rt.Fatalf("%s still waits past its latest start", item.ID)
 					}
 				}
 			},
@@ -254,6 +254,6 @@
 		}
 	}
 	if held*weights <= p.MaxItems*victim.Weight {
-		rt.Fatalf("%s lost an item while holding %d of %d places at weight %d of %d", victim.Org, held, p.MaxItems, victim.Weight, weights)
+		rt.Fatalf("%s lost an item while holding %d of %d slots at weight %d of %d", victim.Org, held, p.MaxItems, victim.Weight, weights)
 	}
 }
