--- a/internal/policy/limit/bucket.go
+++ b/internal/policy/limit/bucket.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// bucket fills at a rate up to a size. It may be overdrawn, and then fills from
-// below zero.
+// bucket is a token bucket. Its level may become negative when it is overdrawn, and
+// then refills from below zero.
 type bucket struct {
-	level float64
-	at    time.Time
+	level    float64
+	filledAt time.Time
 }
 
 func (b *bucket) fill(now time.Time, rate, size float64) {
-	if b.at.IsZero() {
-		b.at = now
+	if b.filledAt.IsZero() {
+		b.filledAt = now
 	}
-	if elapsed := now.Sub(b.at); elapsed > 0 {
+	if elapsed := now.Sub(b.filledAt); elapsed > 0 {
 		b.level += rate * elapsed.Seconds()
-		b.at = now
+		b.filledAt = now
 	}
 	b.level = min(b.level, size)
 }
 
-// until returns how long the bucket takes to reach a level.
-func (b *bucket) until(level, rate float64) time.Duration {
+// timeToReach returns the time until the bucket reaches a level, at most one hour.
+func (b *bucket) timeToReach(level, rate float64) time.Duration {
 	missing := level - b.level
 	if missing <= 0 {
 		return 0
--- a/internal/policy/limit/fallback.go
+++ b/internal/policy/limit/fallback.go
@@ -7,37 +7,39 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// fallback admits by this home's share of the limits while the steward can't be
-// reached: limit/daemons for FallbackTTL, then FloorShare of that. If all homes lose
-// their stewards at once they admit the limits together, and no more.
+// fallback is the state of a home that admits requests by its own share of the limits
+// while the coordinator is unreachable. The share is limit/daemons for FallbackTTL, then
+// FloorShare of that. If all homes lose their coordinators at the same time, they
+// together admit at most the limits.
 type fallback struct {
-	since    time.Time
-	requests bucket
-	tokens   bucket
+	startedAt time.Time
+	requests  bucket
+	tokens    bucket
 }
 
-func (h *Home) lose(now time.Time, a *account) {
-	a.answered()
-	if a.lost != nil {
+func (h *Home) enterFallback(now time.Time, a *account) {
+	a.endRequest()
+	if a.fallback != nil {
 		return
 	}
 	share := a.limits.scaled(1 / float64(h.daemons))
-	a.lost = &fallback{
-		since:    now,
-		requests: bucket{level: 1, at: now},
-		tokens:   bucket{level: share.tokenBurst(), at: now},
+	a.fallback = &fallback{
+		startedAt: now,
+		requests:  bucket{level: 1, filledAt: now},
+		tokens:    bucket{level: share.tokenBurst(), filledAt: now},
 	}
 }
 
-// admitLost decides without the steward, and asks it again once in SliceTTL.
-func (h *Home) admitLost(now time.Time, org request.OrgID, a *account, tokens int64) Decision {
+// admitInFallback decides without the coordinator, and retries the coordinator once per
+// SliceTTL.
+func (h *Home) admitInFallback(now time.Time, org request.OrgID, a *account, tokens int64) Decision {
 	var d Decision
-	if !a.asking && now.Sub(a.askedAt) >= h.params.SliceTTL {
-		d.SliceRequest = h.ask(now, org, a)
+	if !a.requesting && now.Sub(a.requestedAt) >= h.params.SliceTTL {
+		d.SliceRequest = h.requestSlice(now, org, a)
 	}
-	f := a.lost
+	f := a.fallback
 	share := a.limits.scaled(1 / float64(h.daemons))
-	if now.Sub(f.since) >= h.params.FallbackTTL {
+	if now.Sub(f.startedAt) >= h.params.FallbackTTL {
 		share = share.scaled(h.params.FloorShare)
 	}
 	f.requests.fill(now, share.RequestsPerSecond, share.burst())
@@ -47,10 +49,10 @@
 
 	var wait time.Duration
 	if share.RequestsPerSecond > 0 && f.requests.level < 1 {
-		wait = f.requests.until(1, share.RequestsPerSecond)
+		wait = f.requests.timeToReach(1, share.RequestsPerSecond)
 	}
 	if share.TokensPerSecond > 0 && f.tokens.level <= 0 {
-		wait = max(wait, f.tokens.until(1, share.TokensPerSecond))
+		wait = max(wait, f.tokens.timeToReach(1, share.TokensPerSecond))
 	}
 	if share.Concurrency > 0 && a.running >= int64(share.Concurrency) {
 		wait = max(wait, h.params.SliceTTL)
@@ -66,7 +68,7 @@
 	return d
 }
 
-// scaled returns a share of the limits, at least one place and one request at once.
+// scaled returns a share of the limits, with a burst and a concurrency of at least 1.
 func (l Limits) scaled(share float64) Limits {
 	l.RequestsPerSecond *= share
 	l.TokensPerSecond *= share
@@ -79,6 +81,6 @@
 	return l
 }
 
-func sortWants(wants []SliceRequest) {
-	sort.Slice(wants, func(i, j int) bool { return wants[i].Org < wants[j].Org })
+func sortSliceRequests(requests []SliceRequest) {
+	sort.Slice(requests, func(i, j int) bool { return requests[i].Org < requests[j].Org })
 }
--- a/internal/policy/limit/home.go
+++ b/internal/policy/limit/home.go
@@ -7,24 +7,25 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Outcome says what becomes of a request.
+// Outcome is the result of an admission decision.
 type Outcome string
 
 const (
-	// Admitted lets the request pass. Done must follow.
+	// Admitted means that the request may run. The caller must call Done when it ends.
 	Admitted Outcome = "admitted"
-	// Pending means that a slice is needed first. Admit again after OnSlice or
-	// OnSliceFailed.
+	// Pending means that the home needs a slice first. The caller must call Admit again
+	// after OnSlice or OnSliceFailed.
 	Pending Outcome = "pending"
-	// Refused is final: the organisation is over its limit.
+	// Refused is final and means that the organisation exceeds its limit.
 	Refused Outcome = "refused"
 )
 
-// Decision answers Admit.
+// Decision is the answer of Home.Admit.
 type Decision struct {
 	Outcome    Outcome
-	RetryAfter time.Duration // with Refused
-	// SliceRequest is to be sent to the steward now, whatever the verdict. Nil: nothing.
+	RetryAfter time.Duration // set with Refused
+	// SliceRequest must be sent to the coordinator now, whatever the outcome. Nil means
+	// that there is nothing to send.
 	SliceRequest *SliceRequest
 }
 
@@ -35,25 +36,25 @@
 	accounts map[request.OrgID]*account
 }
 
-// account is the home's part of one organisation's limits.
+// account is a home's state of one organisation's limits.
 type account struct {
 	limits Limits
-	slices []heldSlice // earliest first
+	slices []heldSlice // earliest expiry first
 
-	places      int64
-	placesUntil time.Time
+	slots       int64
+	slotsExpire time.Time
 	running     int64
 	debt        int64 // output tokens that no slice has covered yet
 
-	asking   bool
-	askedAt  time.Time
-	waiting  int64 // pending requests, not yet in an ask that was answered
-	waitSize int64 // their tokens
+	requesting    bool
+	requestedAt   time.Time
+	pending       int64 // pending requests not covered by an answered slice request
+	pendingTokens int64 // tokens of the pending requests
 
 	refusedUntil time.Time
 	demand       demand
-	seen         time.Time
-	lost         *fallback // nil: the steward answers
+	lastUsed     time.Time
+	fallback     *fallback // nil while the coordinator is reachable
 }
 
 type heldSlice struct {
@@ -62,58 +63,60 @@
 	expires  time.Time
 }
 
-// NewHome returns the home's part of one daemon. daemons is the size of the fleet.
+// NewHome returns the home of one daemon. daemons is the size of the fleet.
 func NewHome(params Params, daemons int) *Home {
 	params.setDefaults()
 	return &Home{params: params, daemons: max(daemons, 1), accounts: make(map[request.OrgID]*account)}
 }
 
-// OnMembershipChange is told the size of the fleet, counted as for Steward.OnMembers.
+// OnMembershipChange updates the size of the fleet, counted as for
+// Coordinator.OnMembershipChange.
 func (h *Home) OnMembershipChange(known int) { h.daemons = max(known, 1) }
 
-// Admit decides on a request of the given number of prompt tokens.
+// Admit decides whether a request with the given number of prompt tokens may run.
 func (h *Home) Admit(now time.Time, org request.OrgID, limits Limits, tokens int64) Decision {
 	a := h.account(now, org, limits)
 	if limits == (Limits{}) {
 		a.running++
 		return Decision{Outcome: Admitted}
 	}
-	h.checkAnswer(now, a)
-	if a.lost != nil {
-		return h.admitLost(now, org, a, tokens)
+	h.checkTimeout(now, a)
+	if a.fallback != nil {
+		return h.admitInFallback(now, org, a, tokens)
 	}
 	if a.covers(now, tokens) {
-		a.take(tokens)
+		a.charge(tokens)
 		a.demand.add(now, tokens)
-		return Decision{Outcome: Admitted, SliceRequest: h.askAhead(now, org, a)}
+		return Decision{Outcome: Admitted, SliceRequest: h.requestSliceAhead(now, org, a)}
 	}
 	if now.Before(a.refusedUntil) {
 		return Decision{Outcome: Refused, RetryAfter: h.params.clamp(a.refusedUntil.Sub(now))}
 	}
-	a.waiting++
-	a.waitSize += tokens
-	if a.asking {
+	a.pending++
+	a.pendingTokens += tokens
+	if a.requesting {
 		return Decision{Outcome: Pending}
 	}
-	return Decision{Outcome: Pending, SliceRequest: h.ask(now, org, a)}
+	return Decision{Outcome: Pending, SliceRequest: h.requestSlice(now, org, a)}
 }
 
-// OnSlice takes the steward's answer. The slice counts from when it was asked for,
-// so that it has lapsed here before the steward counts it as lapsed.
+// OnSlice applies the coordinator's answer. The TTL of the slice starts at the time of the
+// slice request, so that the slice expires at the home before it expires at the coordinator.
 //
-// "More later" refuses requests only until a slice covers one. After a change of membership
-// a steward gives one place at a time: a home that asked for one place ahead, and got the
-// one that it needs, would refuse its next requests with nothing running.
+// Slice.RetryAfter causes refusals only while no slice covers a request. After a membership
+// change a coordinator leases one slot at a time. A home that requests one slot ahead and
+// receives only the slot that it needs would otherwise refuse its next requests with
+// nothing running.
 func (h *Home) OnSlice(now time.Time, org request.OrgID, slice Slice) {
 	a, ok := h.accounts[org]
-	if !ok || !a.asking {
+	if !ok || !a.requesting {
 		return
 	}
-	a.answered()
-	a.lost = nil
-	expires := a.askedAt.Add(slice.TTL)
+	a.endRequest()
+	a.fallback = nil
+	expires := a.requestedAt.Add(slice.TTL)
 	a.slices = append(a.slices, heldSlice{requests: slice.Requests, tokens: slice.Tokens, expires: expires})
-	a.places, a.placesUntil = slice.Concurrency, expires
+	a.slots, a.slotsExpire = slice.Concurrency, expires
 	a.payDebt()
 	a.refusedUntil = time.Time{}
 	if slice.RetryAfter > 0 && !a.covers(now, 1) {
@@ -121,47 +124,47 @@
 	}
 }
 
-// OnSliceFailed is told that the steward could not be asked.
+// OnSliceFailed handles a failed slice request.
 func (h *Home) OnSliceFailed(now time.Time, org request.OrgID) {
-	if a, ok := h.accounts[org]; ok && a.asking {
-		h.lose(now, a)
+	if a, ok := h.accounts[org]; ok && a.requesting {
+		h.enterFallback(now, a)
 	}
 }
 
-// Done ends a request that was admitted. output is its number of output tokens,
-// which are charged to the next slices.
+// Done ends an admitted request. output is its number of output tokens, which are charged
+// to the next slices.
 func (h *Home) Done(now time.Time, org request.OrgID, output int64) {
 	a, ok := h.accounts[org]
 	if !ok {
 		return
 	}
-	a.seen = now
+	a.lastUsed = now
 	a.running = max(0, a.running-1)
 	if a.limits.TokensPerSecond > 0 {
 		a.debt += max(output, 0)
-		a.prune(now)
+		a.pruneSlices(now)
 		a.payDebt()
 	}
 }
 
-// Tick returns the asks that are due without a request: places in use are renewed
-// before they lapse, and output tokens are paid. It forgets idle organisations.
-// Call it several times within SliceTTL.
+// Tick returns the slice requests that are due independently of new requests: renewals of
+// slots in use before they expire, and payments for output tokens. It removes idle
+// organisations. Call it several times per SliceTTL.
 func (h *Home) Tick(now time.Time) []SliceRequest {
-	var asks []SliceRequest
+	var requests []SliceRequest
 	for org, a := range h.accounts {
-		h.checkAnswer(now, a)
-		due := a.limits.Concurrency > 0 && a.running > 0 && a.placesUntil.Sub(now) < h.params.SliceTTL/2
+		h.checkTimeout(now, a)
+		due := a.limits.Concurrency > 0 && a.running > 0 && a.slotsExpire.Sub(now) < h.params.SliceTTL/2
 		due = due || (a.debt > 0 && !now.Before(a.refusedUntil))
-		if a.lost == nil && !a.asking && due {
-			asks = append(asks, *h.ask(now, org, a))
+		if a.fallback == nil && !a.requesting && due {
+			requests = append(requests, *h.requestSlice(now, org, a))
 		}
-		if a.running == 0 && a.debt == 0 && !a.asking && now.Sub(a.seen) > h.params.FallbackTTL {
+		if a.running == 0 && a.debt == 0 && !a.requesting && now.Sub(a.lastUsed) > h.params.FallbackTTL {
 			delete(h.accounts, org)
 		}
 	}
-	sortWants(asks)
-	return asks
+	sortSliceRequests(requests)
+	return requests
 }
 
 func (h *Home) account(now time.Time, org request.OrgID, limits Limits) *account {
@@ -171,58 +174,59 @@
 		h.accounts[org] = a
 	}
 	a.limits = limits
-	a.seen = now
-	a.prune(now)
+	a.lastUsed = now
+	a.pruneSlices(now)
 	return a
 }
 
-// checkAnswer takes an ask without answer for lost, so that a caller that forgets to
-// report a failure does not block its organisation.
-func (h *Home) checkAnswer(now time.Time, a *account) {
-	if a.asking && now.Sub(a.askedAt) > h.params.SliceTTL {
-		h.lose(now, a)
+// checkTimeout treats a slice request as failed after SliceTTL without an answer, so that a
+// caller that omits OnSliceFailed does not block its organisation.
+func (h *Home) checkTimeout(now time.Time, a *account) {
+	if a.requesting && now.Sub(a.requestedAt) > h.params.SliceTTL {
+		h.enterFallback(now, a)
 	}
 }
 
-func (h *Home) ask(now time.Time, org request.OrgID, a *account) *SliceRequest {
-	a.asking = true
-	a.askedAt = now
-	requests, tokens := a.demand.ahead(now, h.params.SliceTTL)
+func (h *Home) requestSlice(now time.Time, org request.OrgID, a *account) *SliceRequest {
+	a.requesting = true
+	a.requestedAt = now
+	requests, tokens := a.demand.expected(now, h.params.SliceTTL)
 	spare := min(requests, 1+a.running/4)
-	haveRequests, haveTokens := a.have()
-	want := &SliceRequest{
+	haveRequests, haveTokens := a.available()
+	req := &SliceRequest{
 		Org:         org,
-		Requests:    max(0, a.waiting+requests-haveRequests),
-		Tokens:      max(0, a.waitSize+tokens+a.debt-haveTokens),
-		Concurrency: a.running + a.waiting + spare,
+		Requests:    max(0, a.pending+requests-haveRequests),
+		Tokens:      max(0, a.pendingTokens+tokens+a.debt-haveTokens),
+		Concurrency: a.running + a.pending + spare,
 		Used:        a.running,
 	}
-	// The steward counts on this home not going above what it asks for.
-	a.places = min(a.places, want.Concurrency)
-	return want
+	// The coordinator relies on this home not exceeding the requested slots.
+	a.slots = min(a.slots, req.Concurrency)
+	return req
 }
 
-// askAhead asks before a busy organisation runs out, so that its requests do not
-// wait for the steward. One with little demand asks when it needs something.
-func (h *Home) askAhead(now time.Time, org request.OrgID, a *account) *SliceRequest {
-	requests, _ := a.demand.ahead(now, h.params.SliceTTL)
-	if a.asking || requests < 1 || now.Before(a.refusedUntil) {
+// requestSliceAhead requests a slice before a busy organisation exhausts its slices, so that
+// its requests do not wait for the coordinator. For an organisation with little demand the
+// home requests a slice only when a request needs one.
+func (h *Home) requestSliceAhead(now time.Time, org request.OrgID, a *account) *SliceRequest {
+	requests, _ := a.demand.expected(now, h.params.SliceTTL)
+	if a.requesting || requests < 1 || now.Before(a.refusedUntil) {
 		return nil
 	}
-	have, _ := a.have()
+	have, _ := a.available()
 	enough := a.limits.RequestsPerSecond <= 0 || have >= (requests+1)/2
-	if enough && (a.limits.Concurrency <= 0 || a.running < a.places) {
+	if enough && (a.limits.Concurrency <= 0 || a.running < a.slots) {
 		return nil
 	}
-	return h.ask(now, org, a)
+	return h.requestSlice(now, org, a)
 }
 
-func (a *account) answered() {
-	a.asking = false
-	a.waiting, a.waitSize = 0, 0
+func (a *account) endRequest() {
+	a.requesting = false
+	a.pending, a.pendingTokens = 0, 0
 }
 
-func (a *account) prune(now time.Time) {
+func (a *account) pruneSlices(now time.Time) {
 	i := 0
 	for i < len(a.slices) && !a.slices[i].expires.After(now) {
 		i++
@@ -230,7 +234,7 @@
 	a.slices = a.slices[i:]
 }
 
-func (a *account) have() (requests, tokens int64) {
+func (a *account) available() (requests, tokens int64) {
 	for _, s := range a.slices {
 		requests += s.requests
 		tokens += s.tokens
@@ -238,20 +242,20 @@
 	return requests, tokens
 }
 
-// covers reports whether the slices suffice for one more request.
+// covers reports whether the slices and slots suffice for one more request.
 func (a *account) covers(now time.Time, tokens int64) bool {
-	requests, have := a.have()
+	requests, have := a.available()
 	if a.limits.RequestsPerSecond > 0 && requests < 1 {
 		return false
 	}
 	if a.limits.TokensPerSecond > 0 && have < tokens+a.debt {
 		return false
 	}
-	return a.limits.Concurrency <= 0 || (a.running < a.places && now.Before(a.placesUntil))
+	return a.limits.Concurrency <= 0 || (a.running < a.slots && now.Before(a.slotsExpire))
 }
 
-// take charges one request to the slices, those that lapse first before others.
-func (a *account) take(tokens int64) {
+// charge charges one request to the slices, in order of expiry.
+func (a *account) charge(tokens int64) {
 	a.running++
 	requests := int64(1)
 	for i := range a.slices {
@@ -263,7 +267,7 @@
 	a.payDebt()
 }
 
-// payDebt charges what is owed to the slices.
+// payDebt charges the token debt to the slices.
 func (a *account) payDebt() {
 	for i := range a.slices {
 		used := min(a.debt, a.slices[i].tokens)
@@ -275,24 +279,24 @@
 	}
 }
 
-// demand is a decaying measure of what an organisation asks of this home.
+// demand is a decaying average of an organisation's demand at this home.
 type demand struct {
-	requests float64 // a second
-	tokens   float64 // a second
-	at       time.Time
+	requests  float64 // a second
+	tokens    float64 // a second
+	decayedAt time.Time
 }
 
-// demandWindow is the time over which demand decays.
+// demandWindow is the time constant of the exponential decay of demand.
 const demandWindow = 2 * time.Second
 
 func (d *demand) decay(now time.Time) {
-	factor := math.Exp(-now.Sub(d.at).Seconds() / demandWindow.Seconds())
-	if d.at.IsZero() {
+	factor := math.Exp(-now.Sub(d.decayedAt).Seconds() / demandWindow.Seconds())
+	if d.decayedAt.IsZero() {
 		factor = 0
 	}
 	d.requests *= factor
 	d.tokens *= factor
-	d.at = now
+	d.decayedAt = now
 }
 
 func (d *demand) add(now time.Time, tokens int64) {
@@ -301,8 +305,8 @@
 	d.tokens += float64(tokens) / demandWindow.Seconds()
 }
 
-// ahead returns what to expect within a time.
-func (d *demand) ahead(now time.Time, within time.Duration) (requests, tokens int64) {
+// expected returns the requests and tokens expected within the given time.
+func (d *demand) expected(now time.Time, within time.Duration) (requests, tokens int64) {
 	d.decay(now)
 	requests = int64(d.requests * within.Seconds())
 	if requests < 1 {
--- a/internal/policy/limit/limit.go
+++ b/internal/policy/limit/limit.go
@@ -1,14 +1,15 @@
-// Package limit keeps an organisation's limits (requests a second, requests at once,
-// tokens a second) over all daemons.
+// Package limit enforces an organisation's limits (requests a second, concurrent
+// requests, tokens a second) across all daemons.
 //
-// Each organisation has one limit steward, chosen by rendezvous hash, that leases
-// slices of the limits to the homes, the daemons that admit its requests. A slice is
-// an amount of requests and tokens and a number of places; it lapses by itself. A
-// home that can't reach the steward goes on at its share of the limits for a while,
-// then at a floor. docs/design/limits.md states the error and argues the choices.
+// Each organisation has one limit coordinator, chosen by rendezvous hash. The
+// coordinator leases slices of the limits to the homes, which are the daemons that
+// admit the organisation's requests. A slice consists of an amount of requests and
+// tokens and a number of slots for concurrent requests, and expires after a TTL. A home
+// that cannot reach the coordinator admits its share of the limits for FallbackTTL, then
+// a floor. docs/design/limits.md states the error bounds and the reasons for the design.
 //
-// The package is pure: it holds no clock, I/O, goroutine or randomness. Homes and
-// stewards are not safe for concurrent use.
+// The package is pure: it has no clock, I/O, goroutine or randomness. Homes and
+// coordinators are not safe for concurrent use.
 package limit
 
 import (
@@ -17,16 +18,17 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Limits of one organisation over all daemons. Zero: no limit of that kind.
+// Limits are the limits of one organisation across all daemons. Zero means no limit of
+// that kind.
 type Limits struct {
 	RequestsPerSecond float64
-	Burst             int // requests at once above the rate; below 1 counts as 1
-	Concurrency       int // requests running at once
+	Burst             int // requests allowed at once above the rate; values below 1 count as 1
+	Concurrency       int // concurrently running requests
 	TokensPerSecond   float64
 }
 
-// tokenBurst is how many seconds of the token rate may be spent at once. A prompt
-// above that still passes and is paid off afterwards.
+// tokenBurst is the token burst in seconds of the token rate. A larger prompt is still
+// admitted and its excess is charged against later tokens.
 const tokenBurst = 4
 
 func (l Limits) burst() float64      { return float64(max(l.Burst, 1)) }
@@ -42,18 +44,18 @@
 	DefaultMaxRetryAfter = 30 * time.Second
 )
 
-// Params are the same in all daemons. Zero values take the defaults above.
+// Params are the same in all daemons. Zero values select the defaults above.
 type Params struct {
-	// SliceTTL is how long a slice may be used. The error of the limits grows with
-	// it, and the messages shrink.
+	// SliceTTL is the lifetime of a slice. A longer lifetime increases the error of the
+	// limits and reduces the number of messages.
 	SliceTTL time.Duration
-	// SettleTTL is how long after a change of membership two daemons may still both
-	// take themselves for the steward.
+	// SettleTTL is the time after a membership change during which two daemons may both
+	// act as coordinator.
 	SettleTTL time.Duration
-	// FallbackTTL is how long a home goes on at its share of the limits after the
-	// steward was lost.
+	// FallbackTTL is the time for which a home admits its full share of the limits after
+	// losing contact with the coordinator.
 	FallbackTTL time.Duration
-	// FloorShare is the part of that share that it keeps afterwards.
+	// FloorShare is the fraction of that share that the home admits afterwards.
 	FloorShare    float64
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
@@ -84,20 +86,21 @@
 	return min(max(d, p.MinRetryAfter), p.MaxRetryAfter)
 }
 
-// SliceRequest is what a home asks of a steward. It corresponds to peer.SliceRequest.
+// SliceRequest is a home's request to a coordinator. It corresponds to
+// peer.SliceRequest.
 type SliceRequest struct {
 	Org         request.OrgID
 	Requests    int64
-	Concurrency int64 // places in all, those in use included
+	Concurrency int64 // total slots, including those in use
 	Tokens      int64
-	Used        int64 // places in use
+	Used        int64 // slots in use
 }
 
-// Slice is the steward's answer. It corresponds to peer.SliceResponse.
+// Slice is the coordinator's answer. It corresponds to peer.SliceResponse.
 type Slice struct {
-	Requests    int64 // on top of earlier slices
-	Concurrency int64 // in all, in place of the earlier number
-	Tokens      int64 // on top of earlier slices
+	Requests    int64 // in addition to earlier slices
+	Concurrency int64 // total slots, replacing the earlier number
+	Tokens      int64 // in addition to earlier slices
 	TTL         time.Duration
-	RetryAfter  time.Duration // when the steward will have more, if it gave less than asked
+	RetryAfter  time.Duration // time until more is available, if the coordinator granted less than requested
 }
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -15,18 +15,18 @@
 var epoch = time.Unix(1_700_000_000, 0)
 
 const (
-	simStep  = 10 * time.Millisecond
-	simDelay = 5 // steps at most that a message takes
+	simStep     = 10 * time.Millisecond
+	simMaxDelay = 5 // steps at most that a message takes
 )
 
-// message is an ask on its way to a steward, or its answer on the way back.
+// message is a slice request in transit to a coordinator, or its answer in transit back.
 type message struct {
-	at      int // step of arrival
-	home    int
-	steward int
-	want    SliceRequest
-	answer  *Slice // nil: an ask
-	failed  bool
+	at          int // step of arrival
+	home        int
+	coordinator int
+	request     SliceRequest
+	slice       *Slice // nil: a slice request
+	failed      bool
 }
 
 type pendingCall struct {
@@ -34,23 +34,23 @@
 	since  int
 }
 
-// fleet runs homes and stewards against each other, with delays, cuts and changes of
-// the steward, for one organisation.
+// fleet simulates homes and coordinators for one organisation, with message delays, network
+// partitions and changes of the coordinator.
 type fleet struct {
-	limits   Limits
-	rng      *rand.Rand
-	homes    []*Home
-	stewards []*Coordinator
-	cut      []bool // homes that reach nobody
-	chosen   []int  // the steward that each home asks
-	waiting  [][]pendingCall
-	wire     []message
-	running  []running
-	admitted []time.Time
-	tokens   []int64 // charged, by admission
-	refused  int
-	peak     int
-	biggest  int64 // largest ask for tokens
+	limits        Limits
+	rng           *rand.Rand
+	homes         []*Home
+	coordinators  []*Coordinator
+	partitioned   []bool // homes that cannot reach any coordinator
+	coordinatorOf []int  // the coordinator that each home uses
+	waiting       [][]pendingCall
+	inTransit     []message
+	running       []running
+	admitted      []time.Time
+	tokens        []int64 // tokens charged, by admission
+	refused       int
+	peak          int
+	maxTokens     int64 // largest number of tokens in a slice request
 }
 
 type running struct {
@@ -59,50 +59,50 @@
 }
 
 func newFleet(seed int64, homes int, limits Limits) *fleet {
-	f := &fleet{limits: limits, rng: rand.New(rand.NewSource(seed)), cut: make([]bool, homes), chosen: make([]int, homes)}
+	f := &fleet{limits: limits, rng: rand.New(rand.NewSource(seed)), partitioned: make([]bool, homes), coordinatorOf: make([]int, homes)}
 	f.waiting = make([][]pendingCall, homes)
 	for range homes {
 		f.homes = append(f.homes, NewHome(Params{}, homes))
 		s := NewCoordinator(epoch.Add(-time.Hour), Params{})
 		s.OnMembershipChange(epoch.Add(-time.Hour), homes, homes)
-		f.stewards = append(f.stewards, s)
+		f.coordinators = append(f.coordinators, s)
 	}
 	return f
 }
 
 func (f *fleet) now(step int) time.Time { return epoch.Add(time.Duration(step) * simStep) }
 
-func (f *fleet) send(step, home int, want *SliceRequest) {
-	if want == nil {
+func (f *fleet) send(step, home int, req *SliceRequest) {
+	if req == nil {
 		return
 	}
-	f.biggest = max(f.biggest, want.Tokens)
-	m := message{at: step + 1 + f.rng.Intn(simDelay), home: home, steward: f.chosen[home], want: *want}
-	if f.cut[home] {
+	f.maxTokens = max(f.maxTokens, req.Tokens)
+	m := message{at: step + 1 + f.rng.Intn(simMaxDelay), home: home, coordinator: f.coordinatorOf[home], request: *req}
+	if f.partitioned[home] {
 		m.failed = true
-		m.answer = &Slice{}
+		m.slice = &Slice{}
 	}
-	f.wire = append(f.wire, m)
+	f.inTransit = append(f.inTransit, m)
 }
 
 func (f *fleet) deliver(step int) {
-	wire := f.wire
-	f.wire = nil
-	for _, m := range wire {
+	inTransit := f.inTransit
+	f.inTransit = nil
+	for _, m := range inTransit {
 		now := f.now(step)
 		switch {
 		case m.at > step:
-			f.wire = append(f.wire, m)
+			f.inTransit = append(f.inTransit, m)
 		case m.failed:
 			f.homes[m.home].OnSliceFailed(now, "a")
 			f.retry(step, m.home)
-		case m.answer == nil:
+		case m.slice == nil:
 			from := request.DaemonID(fmt.Sprint(m.home))
-			slice := f.stewards[m.steward].Slice(now, from, "a", f.limits, m.want)
-			m.answer, m.at = &slice, step+1+f.rng.Intn(simDelay)
-			f.wire = append(f.wire, m)
+			slice := f.coordinators[m.coordinator].Slice(now, from, "a", f.limits, m.request)
+			m.slice, m.at = &slice, step+1+f.rng.Intn(simMaxDelay)
+			f.inTransit = append(f.inTransit, m)
 		default:
-			f.homes[m.home].OnSlice(now, "a", *m.answer)
+			f.homes[m.home].OnSlice(now, "a", *m.slice)
 			f.retry(step, m.home)
 		}
 	}
@@ -134,30 +134,30 @@
 
 func (f *fleet) step(step int, callsPerStep float64) {
 	f.deliver(step)
-	kept := f.running[:0]
+	remaining := f.running[:0]
 	for _, r := range f.running {
 		if r.ends > step {
-			kept = append(kept, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		f.homes[r.home].Done(f.now(step), "a", 0)
 	}
-	f.running = kept
+	f.running = remaining
 	for n := callsPerStep; f.rng.Float64() < n; n-- {
 		home := f.rng.Intn(len(f.homes))
 		f.call(step, home, pendingCall{tokens: 1 + f.rng.Int63n(2000), since: step})
 	}
 	for i, h := range f.homes {
-		for _, want := range h.Tick(f.now(step)) {
-			f.send(step, i, &want)
+		for _, req := range h.Tick(f.now(step)) {
+			f.send(step, i, &req)
 		}
-		f.stewards[i].Tick(f.now(step))
+		f.coordinators[i].Tick(f.now(step))
 	}
 }
 
-// overrun returns the most by which any window of time exceeds start + rate x length.
+// overrun returns the maximum by which the amount in any time window exceeds rate x length.
 func overrun(at []time.Time, amount func(i int) float64, rate float64) float64 {
-	// The largest rise of (sum - rate x time) over its lowest earlier value.
+	// The largest increase of (sum - rate x time) above its lowest earlier value.
 	var sum, worst float64
 	lowest := 0.0
 	for i, t := range at {
@@ -173,8 +173,8 @@
 
 func one(int) float64 { return 1 }
 
-// The stated error of docs/design/limits.md, over any window of time, while homes are
-// cut off and come back and the steward changes.
+// Checks the error bounds stated in docs/design/limits.md over any time window, while homes
+// are partitioned and reconnected and the coordinator changes.
 func TestLimitsHoldWithinStatedError(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		homes := rapid.IntRange(1, 8).Draw(rt, "homes")
@@ -186,28 +186,28 @@
 		}
 		f := newFleet(rapid.Int64().Draw(rt, "seed"), homes, limits)
 		calls := rapid.Float64Range(0.01, 3).Draw(rt, "calls")
-		cutting := rapid.Bool().Draw(rt, "cuts")
+		partitioning := rapid.Bool().Draw(rt, "cuts")
 		changing := rapid.Bool().Draw(rt, "changes")
-		cuts, changes, changedAt := 0, 0, -1
+		partitions, changes, changedAt := 0, 0, -1
 		const steps, settle = 800, 100
 		for i := range steps {
-			if cutting && i%100 == 50 {
+			if partitioning && i%100 == 50 {
 				home := f.rng.Intn(homes)
-				if f.cut[home] = !f.cut[home]; f.cut[home] {
-					cuts++
+				if f.partitioned[home] = !f.partitioned[home]; f.partitioned[home] {
+					partitions++
 				}
 			}
 			if changing && i%400 == 200 && homes > 1 {
 				changedAt = i
 				changes++
-				for s := range f.stewards {
-					f.stewards[s].OnAssignmentsChanged(f.now(i))
+				for s := range f.coordinators {
+					f.coordinators[s].OnAssignmentsChanged(f.now(i))
 				}
 			}
-			if changedAt >= 0 && i-changedAt <= settle { // the homes learn it one by one
-				for h := range f.chosen {
+			if changedAt >= 0 && i-changedAt <= settle { // the homes detect the change one after another
+				for h := range f.coordinatorOf {
 					if i-changedAt >= settle*h/homes {
-						f.chosen[h] = changes % homes
+						f.coordinatorOf[h] = changes % homes
 					}
 				}
 			}
@@ -216,24 +216,25 @@
 		p := Params{}
 		p.setDefaults()
 		n := float64(homes)
-		// Asks on their way when a home learns of the change still reach the steward before.
-		ttl, split := p.SliceTTL.Seconds(), (settle+simDelay)*simStep.Seconds()
+		// Slice requests in transit when a home detects the change still reach the previous
+		// coordinator.
+		ttl, split := p.SliceTTL.Seconds(), (settle+simMaxDelay)*simStep.Seconds()
 		total := float64(steps) * simStep.Seconds()
 
 		bound := limits.burst() + limits.RequestsPerSecond*ttl
 		bound += float64(changes) * (1 + limits.RequestsPerSecond*(split+ttl))
-		bound += float64(cuts) * (2 + limits.burst()/n + limits.RequestsPerSecond/n*total)
+		bound += float64(partitions) * (2 + limits.burst()/n + limits.RequestsPerSecond/n*total)
 		if got := overrun(f.admitted, one, limits.RequestsPerSecond); got > bound+1e-6 {
 			rt.Fatalf("requests: %.1f above the rate, bound %.1f", got, bound)
 		}
-		bound = limits.tokenBurst() + limits.TokensPerSecond*ttl + float64(f.biggest)
-		bound += float64(changes) * (1 + limits.TokensPerSecond*(split+ttl) + float64(f.biggest))
-		bound += float64(cuts) * (limits.tokenBurst()/n + limits.TokensPerSecond/n*total + float64(f.biggest))
+		bound = limits.tokenBurst() + limits.TokensPerSecond*ttl + float64(f.maxTokens)
+		bound += float64(changes) * (1 + limits.TokensPerSecond*(split+ttl) + float64(f.maxTokens))
+		bound += float64(partitions) * (limits.tokenBurst()/n + limits.TokensPerSecond/n*total + float64(f.maxTokens))
 		tokens := func(i int) float64 { return float64(f.tokens[i]) }
 		if got := overrun(f.admitted, tokens, limits.TokensPerSecond); got > bound+1e-6 {
 			rt.Fatalf("tokens: %.1f above the rate, bound %.1f", got, bound)
 		}
-		if cuts+changes == 0 && f.peak > limits.Concurrency {
+		if partitions+changes == 0 && f.peak > limits.Concurrency {
 			rt.Fatalf("%d at once, limit %d", f.peak, limits.Concurrency)
 		}
 		if len(f.admitted) == 0 && calls > 0.2 {
@@ -242,9 +243,10 @@
 	})
 }
 
-// An organisation with a limit of 10 requests a second gets 80 through eight daemons,
-// and others wait for it. Cause: each daemon keeps the whole limit by itself, and
-// callers spread over all of them. The naive twin is such a set of local buckets.
+// Guards against a limit that multiplies with the number of daemons. If each of eight
+// daemons enforces the full limit locally and callers spread over all of them, an
+// organisation limited to 10 requests a second gets 80, at the expense of others. The naive
+// baseline is such a set of local buckets.
 func TestOneLimitOverAllDaemons(t *testing.T) {
 	const homes, steps = 8, 2000
 	limits := Limits{RequestsPerSecond: 10, Burst: 10}
@@ -265,7 +267,7 @@
 	seconds := steps * simStep.Seconds()
 	allowed := int(limits.burst() + limits.RequestsPerSecond*(seconds+DefaultSliceTTL.Seconds()))
 	if naive <= 2*allowed {
-		t.Errorf("local buckets admitted %d; the test shows nothing", naive)
+		t.Errorf("local buckets admitted %d; the test proves nothing", naive)
 	}
 	if len(f.admitted) > allowed || len(f.admitted) < allowed*8/10 {
 		t.Errorf("admitted %d, want nearly %d", len(f.admitted), allowed)
@@ -273,11 +275,10 @@
 	t.Logf("admitted %d of %d allowed, local buckets %d", len(f.admitted), allowed, naive)
 }
 
-// One daemon is cut off from the others for half a minute. Its callers are still
-// served, at its share of the limit, and the organisation as a whole does not get
-// more than its limit and that share. Failing closed would refuse all of them, failing
-// open would admit all they send.
-func TestCutHomeGoesOnAtItsShare(t *testing.T) {
+// One daemon is partitioned from the others for half a minute. It still serves its callers
+// at its share of the limit, so that the organisation in total gets no more than its limit
+// plus that share. Failing closed would refuse all requests, failing open would admit all.
+func TestPartitionedHomeAdmitsItsShare(t *testing.T) {
 	limits := Limits{RequestsPerSecond: 80, Burst: 8, Concurrency: 800}
 	h := NewHome(Params{}, 8)
 	admitted := map[bool]int{}
@@ -292,7 +293,7 @@
 			h.Done(now, "a", 0)
 		}
 		if d.Outcome == Refused && d.RetryAfter <= 0 {
-			t.Fatal("refused without a time to come back")
+			t.Fatal("refused without a retry time")
 		}
 	}
 	if got := admitted[true]; got < 290 || got > 302 {
@@ -303,9 +304,9 @@
 	}
 }
 
-// A network split leaves each side with a steward of its own. Together they admit the
-// limit, since each gives out live/known of it.
-func TestSplitSharesTheLimit(t *testing.T) {
+// During a network partition each side has its own coordinator. Together the sides admit the
+// limit, since each coordinator grants live/known of it.
+func TestPartitionSidesShareTheLimit(t *testing.T) {
 	limits := Limits{RequestsPerSecond: 100, Burst: 10}
 	total := int64(0)
 	for _, live := range []int{3, 5} {
@@ -316,6 +317,6 @@
 		}
 	}
 	if total < 980 || total > 1000+2*10 {
-		t.Errorf("both sides gave %d in 10 s, want 1000 and two bursts of 10 at most", total)
+		t.Errorf("both sides granted %d in 10 s, want 1000 and at most two bursts of 10", total)
 	}
 }
--- a/internal/policy/limit/membership_test.go
+++ b/internal/policy/limit/membership_test.go
@@ -7,14 +7,14 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// A daemon somewhere in the fleet is replaced, and for seconds organisations far below
-// their limits are told that they are over them: each steward takes every organisation
-// for one that has just come to it, and gives out one place at a time. One that had
-// this steward before and has it still needs no such care.
-func TestChangeElsewhereDoesNotThrottle(t *testing.T) {
+// Guards against refusals of organisations far below their limits for seconds after a
+// daemon elsewhere in the fleet was replaced. They occur when a coordinator treats every
+// organisation as newly assigned and leases one slot at a time. An organisation that keeps
+// its coordinator must not be restricted.
+func TestMembershipChangeDoesNotThrottleRetainedOrganisations(t *testing.T) {
 	limits := Limits{RequestsPerSecond: 100, Burst: 50, Concurrency: 40}
 	want := SliceRequest{Org: "a", Requests: 20, Concurrency: 10}
-	granted := func(kept bool) int64 {
+	granted := func(retained bool) int64 {
 		now := time.Unix(1_700_000_000, 0)
 		s := NewCoordinator(now, Params{})
 		s.OnMembershipChange(now, 8, 8)
@@ -26,23 +26,24 @@
 		now = now.Add(10 * time.Millisecond)
 		s.OnMembershipChange(now, 7, 8)
 		s.OnAssignmentsChanged(now)
-		s.ConfirmRetained(now, func(request.OrgID) bool { return kept })
+		s.ConfirmRetained(now, func(request.OrgID) bool { return retained })
 		return s.Slice(now, "d2", "a", limits, want).Concurrency
 	}
 	if got := granted(false); got > 1 {
-		t.Fatalf("an organisation that may have moved was given %d places", got)
+		t.Fatalf("an organisation that may have moved was leased %d slots", got)
 	}
 	if got := granted(true); got < 10 {
-		t.Fatalf("an organisation that stayed was given %d places of 10", got)
+		t.Fatalf("a retained organisation was leased %d slots of 10", got)
 	}
 }
 
-// A fleet has just started, and an organisation sends one prompt after the other, far below
-// all its limits; the fourth takes a second, so that its slices lapse. The steward, which
-// still gives one place at a time, is asked for the place of the next prompt and for one
-// ahead. It gave the first, and "come back later" for the other: the prompts after that
-// were refused as over the limit although nothing ran.
-func TestPlaceAskedAheadRefusesNobody(t *testing.T) {
+// Guards against refusals caused by a slot that was requested ahead. The fleet has just
+// started, an organisation sends prompts one at a time, far below its limits, and the fourth
+// takes a second, so that its slices expire. The coordinator still leases one slot at a time;
+// the home requests a slot for the next prompt and one ahead. The coordinator leased the
+// first and answered with a retry time for the second, and the home then refused further
+// prompts as over the limit although nothing was running.
+func TestSlotRequestedAheadDoesNotCauseRefusals(t *testing.T) {
 	limits := Limits{RequestsPerSecond: 1000, Burst: 1000, Concurrency: 500, TokensPerSecond: 100_000_000}
 	now := epoch
 	s := NewCoordinator(now, Params{})
@@ -62,7 +63,7 @@
 			d = admit()
 		}
 		if d.Outcome != Admitted {
-			t.Fatalf("prompt %d is %s, come back in %s", n, d.Outcome, d.RetryAfter)
+			t.Fatalf("prompt %d is %s, retry after %s", n, d.Outcome, d.RetryAfter)
 		}
 		now = now.Add(took)
 		h.Done(now, "a", 4)
--- a/internal/policy/limit/table_test.go
+++ b/internal/policy/limit/table_test.go
@@ -16,11 +16,11 @@
 		var s *Coordinator
 		var limits Limits
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			var ms, tokens, want, places, used int64
+			var ms, tokens, want, slots, used int64
 			d.MaybeScanArgs(t, "at", &ms)
 			d.MaybeScanArgs(t, "tokens", &tokens)
 			d.MaybeScanArgs(t, "want", &want)
-			d.MaybeScanArgs(t, "places", &places)
+			d.MaybeScanArgs(t, "places", &slots)
 			d.MaybeScanArgs(t, "used", &used)
 			now := epoch.Add(time.Duration(ms) * time.Millisecond)
 			home := "d1"
@@ -44,13 +44,13 @@
 				return describe(h.Admit(now, "a", limits, tokens))
 			case "answer":
 				slice := s.Slice(now, request.DaemonID(home), "a", limits, SliceRequest{
-					Org: "a", Requests: want, Tokens: tokens, Concurrency: places, Used: used,
+					Org: "a", Requests: want, Tokens: tokens, Concurrency: slots, Used: used,
 				})
 				h.OnSlice(now, "a", slice)
 				return describeSlice(slice)
 			case "slice":
 				return describeSlice(s.Slice(now, request.DaemonID(home), "a", limits, SliceRequest{
-					Org: "a", Requests: want, Tokens: tokens, Concurrency: places, Used: used,
+					Org: "a", Requests: want, Tokens: tokens, Concurrency: slots, Used: used,
 				}))
 			case "failed":
 				h.OnSliceFailed(now, "a")
