--- a/internal/contextdir/copies.go
+++ b/internal/contextdir/copies.go
@@ -8,10 +8,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/storeapi"
 )
 
-// Stored records that a manifest was committed for the leading c.Blocks of chain. It
+// OnManifestCommitted records that a manifest was committed for the leading c.Blocks of chain. It
 // returns the manifests to free: an older one of this context in the same store, or
 // this one if the context is no longer remembered.
-func (d *Directory) Stored(scope block.Scope, chain []block.Hash, c Copy) []Action {
+func (d *Directory) OnManifestCommitted(scope block.Scope, chain []block.Hash, c Copy) []Action {
 	c.Shared = false
 	i, _ := d.match(scope, chain)
 	if i == none {
@@ -34,8 +34,8 @@
 	return actions
 }
 
-// Moved records that the blocks of a manifest lie in another tier now.
-func (d *Directory) Moved(manifest string, tier storeapi.Tier) {
+// OnManifestMoved records that the blocks of a manifest lie in another tier now.
+func (d *Directory) OnManifestMoved(manifest string, tier storeapi.Tier) {
 	i, ok := d.manifests[manifest]
 	if !ok {
 		return
@@ -48,8 +48,8 @@
 	}
 }
 
-// Freed records that a manifest is gone or was found torn; no one is to import it.
-func (d *Directory) Freed(manifest string) {
+// OnManifestFreed records that a manifest is gone or was found torn; no one is to import it.
+func (d *Directory) OnManifestFreed(manifest string) {
 	i, ok := d.manifests[manifest]
 	if !ok {
 		return
@@ -58,8 +58,8 @@
 	d.dropCopies(i, func(c Copy) bool { return c.Manifest == manifest })
 }
 
-// StoreLost forgets all copies in a store VM.
-func (d *Directory) StoreLost(store request.StoreID) {
+// OnStoreLost forgets all copies in a store VM.
+func (d *Directory) OnStoreLost(store request.StoreID) {
 	for i := range d.entries {
 		d.dropCopies(int32(i), func(c Copy) bool { return c.Store == store })
 	}
@@ -80,8 +80,8 @@
 	e.copies = kept
 }
 
-// Kept is a context with its own copies, for the choices of retention.
-type Kept struct {
+// StoredContext is a context with its own copies, for the choices of retention.
+type StoredContext struct {
 	Scope   block.Scope
 	Blocks  int
 	LastUse time.Time
@@ -91,15 +91,15 @@
 	Resident bool
 }
 
-// EachKept calls f for every context with copies, the least recently used first,
+// EachStoredContext calls f for every context with copies, the least recently used first,
 // until f returns false.
-func (d *Directory) EachKept(f func(Kept) bool) {
+func (d *Directory) EachStoredContext(f func(StoredContext) bool) {
 	for i := d.oldest; i != none; i = d.entries[i].newer {
 		e := &d.entries[i]
 		if len(e.copies) == 0 {
 			continue
 		}
-		kept := Kept{
+		kept := StoredContext{
 			Scope:    d.scopes.byID[e.scope].scope,
 			Blocks:   int(e.length),
 			LastUse:  time.Unix(0, e.lastUse),
@@ -127,7 +127,7 @@
 	ID          request.TargetID `json:"id"`
 	Incarnation uint64           `json:"incarnation"`
 	Seq         uint64           `json:"seq"`
-	Unsure      bool             `json:"unsure"`
+	Unconfirmed bool             `json:"unsure"`
 }
 
 // Dump returns a summary of the state.
@@ -139,7 +139,7 @@
 		Manifests: len(d.manifests),
 	}
 	for _, t := range d.targets {
-		dump.Targets = append(dump.Targets, TargetDump{ID: t.id, Incarnation: t.incarnation, Seq: t.seq, Unsure: t.unsure})
+		dump.Targets = append(dump.Targets, TargetDump{ID: t.id, Incarnation: t.incarnation, Seq: t.seq, Unconfirmed: t.unsure})
 	}
 	return dump
 }
--- a/internal/contextdir/directory.go
+++ b/internal/contextdir/directory.go
@@ -38,17 +38,17 @@
 func (d *Directory) Len() int { return len(d.entries) - len(d.spare) }
 
 // Lookup returns what is known about the longest remembered prefix of chain.
-func (d *Directory) Lookup(scope block.Scope, chain []block.Hash) Located {
+func (d *Directory) Lookup(scope block.Scope, chain []block.Hash) LookupResult {
 	i, known := d.match(scope, chain)
 	if i == none {
-		return Located{}
+		return LookupResult{}
 	}
 	return d.located(i, known)
 }
 
-// Used records that a prompt with this chain arrived. It returns manifests to free if
+// OnUse records that a prompt with this chain arrived. It returns manifests to free if
 // another context had to be forgotten.
-func (d *Directory) Used(scope block.Scope, chain []block.Hash, now time.Time) []Action {
+func (d *Directory) OnUse(scope block.Scope, chain []block.Hash, now time.Time) []Action {
 	if len(chain) == 0 {
 		return nil
 	}
@@ -56,9 +56,9 @@
 	return actions
 }
 
-// Answered records a finished answer: the target reported cachedTokens of the prompt
+// OnAnswer records a finished answer: the target reported cachedTokens of the prompt
 // as not recomputed, and holds the whole prompt now.
-func (d *Directory) Answered(target request.TargetID, scope block.Scope, chain []block.Hash, cachedTokens int, now time.Time) Correction {
+func (d *Directory) OnAnswer(target request.TargetID, scope block.Scope, chain []block.Hash, cachedTokens int, now time.Time) Correction {
 	c := Correction{Actual: cachedTokens / block.TokensPerBlock}
 	if len(chain) == 0 {
 		return c
@@ -66,14 +66,14 @@
 	t := d.target(target)
 	i, known := d.match(scope, chain)
 	if i != none {
-		c.Believed = min(int(d.entries[i].blocksAt(t)), known)
+		c.Assumed = min(int(d.entries[i].blocksAt(t)), known)
 	}
 	if i == none || known < len(chain) {
 		i, c.Actions = d.use(scope, chain, now)
 	}
 	e := &d.entries[i]
 	held := max(int32(len(chain)), min(e.blocksAt(t), e.length))
-	if c.Actual < c.Believed {
+	if c.Actual < c.Assumed {
 		held = int32(len(chain))
 	}
 	e.setBlocksAt(t, held, d.params.MaxTargetsPerContext)
@@ -81,9 +81,9 @@
 	return c
 }
 
-// Imported records that a target confirmed an import or a prefetch: it holds the
+// OnImport records that a target confirmed an import or a prefetch: it holds the
 // leading blocks of chain. A context that is not remembered stays so.
-func (d *Directory) Imported(target request.TargetID, scope block.Scope, chain []block.Hash, blocks int) {
+func (d *Directory) OnImport(target request.TargetID, scope block.Scope, chain []block.Hash, blocks int) {
 	i, known := d.match(scope, chain)
 	if i == none {
 		return
@@ -99,7 +99,7 @@
 // were lost without a visible gap.
 func (d *Directory) judge(t uint32, c Correction) []Action {
 	state := &d.targets[t]
-	if c.Actual >= c.Believed {
+	if c.Actual >= c.Assumed {
 		state.wrong = 0
 		return nil
 	}
@@ -109,7 +109,7 @@
 	}
 	state.wrong = 0
 	state.unsure = true
-	return []Action{{Kind: AskSnapshot, Target: state.id}}
+	return []Action{{Kind: RequestSnapshot, Target: state.id}}
 }
 
 // match returns the entry that holds the longest indexed prefix of chain and the
@@ -130,13 +130,13 @@
 	return none, 0
 }
 
-func (d *Directory) located(i int32, known int) Located {
+func (d *Directory) located(i int32, known int) LookupResult {
 	e := &d.entries[i]
-	l := Located{Known: known, LastUse: time.Unix(0, e.lastUse), Gaps: e.gaps}
+	l := LookupResult{KnownBlocks: known, LastUse: time.Unix(0, e.lastUse), Gaps: e.gaps}
 	l.Resident = make([]Resident, 0, len(e.resident))
 	for _, r := range e.resident {
 		t := &d.targets[r.target]
-		l.Resident = append(l.Resident, Resident{Target: t.id, Blocks: min(int(r.blocks), known), Unsure: t.unsure})
+		l.Resident = append(l.Resident, Resident{Target: t.id, Blocks: min(int(r.blocks), known), Unconfirmed: t.unsure})
 	}
 	for _, c := range e.copies {
 		// A shared copy outlives its manifest here when the owner replaced or freed it.
--- a/internal/contextdir/directory_test.go
+++ b/internal/contextdir/directory_test.go
@@ -84,22 +84,22 @@
 	case "lookup":
 		return formatLocated(d.Lookup(scope, chain))
 	case "used":
-		return formatActions(d.Used(scope, chain, now))
+		return formatActions(d.OnUse(scope, chain, now))
 	case "answered":
-		c := d.Answered(id, scope, chain, cached*block.TokensPerBlock, now)
-		return fmt.Sprintf("believed=%d actual=%d\n%s", c.Believed, c.Actual, formatActions(c.Actions))
+		c := d.OnAnswer(id, scope, chain, cached*block.TokensPerBlock, now)
+		return fmt.Sprintf("believed=%d actual=%d\n%s", c.Assumed, c.Actual, formatActions(c.Actions))
 	case "stored":
-		return formatActions(d.Stored(scope, chain, Copy{
+		return formatActions(d.OnManifestCommitted(scope, chain, Copy{
 			Manifest: manifest, Store: request.StoreID(store), Tier: storeapi.TierMemory, Blocks: blocks, Bytes: int64(blocks) * 100,
 		}))
 	case "moved":
-		d.Moved(manifest, storeapi.TierDisk)
+		d.OnManifestMoved(manifest, storeapi.TierDisk)
 	case "freed":
-		d.Freed(manifest)
+		d.OnManifestFreed(manifest)
 	case "store-lost":
-		d.StoreLost(request.StoreID(store))
+		d.OnStoreLost(request.StoreID(store))
 	case "target-lost":
-		d.TargetLost(id)
+		d.OnTargetLost(id)
 	case "event":
 		page := engineapi.EventPage{Incarnation: uint64(incarnation), Next: uint64(next)}
 		if seq > 0 {
@@ -108,7 +108,7 @@
 		return formatActions(d.OnEvents(id, page))
 	case "snapshot":
 		d.OnSnapshot(id, engineapi.Snapshot{Incarnation: uint64(incarnation), Seq: uint64(seq), Blocks: pick(chain, positions)})
-		return fmt.Sprintf("after=%d\n", d.After(id))
+		return fmt.Sprintf("after=%d\n", d.LastEventSeq(id))
 	case "dump":
 		dump := d.Dump()
 		return fmt.Sprintf("contexts=%d scopes=%d manifests=%d\n", dump.Contexts, dump.Scopes, dump.Manifests)
@@ -118,12 +118,12 @@
 	return ""
 }
 
-func formatLocated(l Located) string {
+func formatLocated(l LookupResult) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "known=%d gaps=%d\n", l.Known, l.Gaps.Count())
+	fmt.Fprintf(&b, "known=%d gaps=%d\n", l.KnownBlocks, l.Gaps.Count())
 	sort.Slice(l.Resident, func(i, j int) bool { return l.Resident[i].Target < l.Resident[j].Target })
 	for _, r := range l.Resident {
-		fmt.Fprintf(&b, "target %s blocks=%d unsure=%t\n", r.Target, r.Blocks, r.Unsure)
+		fmt.Fprintf(&b, "target %s blocks=%d unsure=%t\n", r.Target, r.Blocks, r.Unconfirmed)
 	}
 	for _, c := range l.Copies {
 		fmt.Fprintf(&b, "copy %s %s %s blocks=%d bytes=%d shared=%t\n", c.Manifest, c.Store, c.Tier, c.Blocks, c.Bytes, c.Shared)
@@ -160,16 +160,16 @@
 	}
 
 	d := New(Params{})
-	d.Used(scope, chain, epoch)
+	d.OnUse(scope, chain, epoch)
 	d.OnEvents("t1", engineapi.EventPage{Incarnation: 1, Next: 1, Events: []engineapi.CacheEvent{stored}})
-	if l := d.Lookup(scope, chain); len(l.Resident) != 1 || l.Resident[0].Blocks != 8 || l.Resident[0].Unsure {
+	if l := d.Lookup(scope, chain); len(l.Resident) != 1 || l.Resident[0].Blocks != 8 || l.Resident[0].Unconfirmed {
 		t.Fatalf("before the gap: %+v", l.Resident)
 	}
 	actions := d.OnEvents("t1", engineapi.EventPage{Incarnation: 1, Next: 3, Events: []engineapi.CacheEvent{unrelated}})
-	if len(actions) != 1 || actions[0].Kind != AskSnapshot || actions[0].Target != "t1" {
+	if len(actions) != 1 || actions[0].Kind != RequestSnapshot || actions[0].Target != "t1" {
 		t.Fatalf("after the gap: actions %v", actions)
 	}
-	if l := d.Lookup(scope, chain); len(l.Resident) != 1 || !l.Resident[0].Unsure {
+	if l := d.Lookup(scope, chain); len(l.Resident) != 1 || !l.Resident[0].Unconfirmed {
 		t.Fatalf("after the gap: %+v", l.Resident)
 	}
 	d.OnSnapshot("t1", snapshot)
@@ -206,32 +206,32 @@
 			now = now.Add(time.Second)
 			switch rapid.IntRange(0, 3).Draw(t, "op") {
 			case 0:
-				d.Used(scope, chain, now)
+				d.OnUse(scope, chain, now)
 				twin[scope] = append(twin[scope], chain)
 			case 1:
-				d.Answered(target, scope, chain, 0, now)
+				d.OnAnswer(target, scope, chain, 0, now)
 				twin[scope] = append(twin[scope], chain)
 			case 2:
 				name := fmt.Sprint("manifest-", step)
 				owner[name] = scope
-				d.Stored(scope, chain, Copy{Manifest: name, Store: "s1", Blocks: len(chain), Bytes: int64(len(chain))})
+				d.OnManifestCommitted(scope, chain, Copy{Manifest: name, Store: "s1", Blocks: len(chain), Bytes: int64(len(chain))})
 			case 3:
-				d.TargetLost(target)
+				d.OnTargetLost(target)
 			}
 			probe := rapid.SampledFrom(scopes).Draw(t, "probe")
 			l := d.Lookup(probe, chain)
-			if most := longestPrefix(twin[probe], chain); l.Known > most {
-				t.Fatalf("scope %v: known %d, but it shares only %d blocks", probe, l.Known, most)
+			if most := longestPrefix(twin[probe], chain); l.KnownBlocks > most {
+				t.Fatalf("scope %v: known %d, but it shares only %d blocks", probe, l.KnownBlocks, most)
 			}
 			own := request.TargetID(probe.Org) + "-" + request.TargetID(probe.Version)
 			for _, r := range l.Resident {
-				if r.Target != own || r.Blocks > l.Known {
-					t.Fatalf("scope %v was given %+v of known %d", probe, r, l.Known)
+				if r.Target != own || r.Blocks > l.KnownBlocks {
+					t.Fatalf("scope %v was given %+v of known %d", probe, r, l.KnownBlocks)
 				}
 			}
 			for _, c := range l.Copies {
-				if owner[c.Manifest] != probe || c.Blocks > l.Known {
-					t.Fatalf("scope %v was given copy %+v of known %d", probe, c, l.Known)
+				if owner[c.Manifest] != probe || c.Blocks > l.KnownBlocks {
+					t.Fatalf("scope %v was given copy %+v of known %d", probe, c, l.KnownBlocks)
 				}
 			}
 		}
@@ -271,10 +271,10 @@
 	for i := range contexts {
 		scope := block.Scope{Org: request.OrgID(fmt.Sprint("org-", i%100)), Model: "m", Version: "v1"}
 		chain := syntheticChain(r, 312)
-		d.Used(scope, chain, epoch)
-		d.Answered("t1", scope, chain, 0, epoch)
-		d.Answered("t2", scope, chain, 0, epoch)
-		d.Stored(scope, chain, Copy{Manifest: fmt.Sprintf("m-%064x-%d", i, i), Store: "s1", Tier: storeapi.TierMemory, Blocks: 312})
+		d.OnUse(scope, chain, epoch)
+		d.OnAnswer("t1", scope, chain, 0, epoch)
+		d.OnAnswer("t2", scope, chain, 0, epoch)
+		d.OnManifestCommitted(scope, chain, Copy{Manifest: fmt.Sprintf("m-%064x-%d", i, i), Store: "s1", Tier: storeapi.TierMemory, Blocks: 312})
 	}
 	perContext := float64(heap()-before) / contexts
 	t.Logf("%.0f bytes a context", perContext)
@@ -300,7 +300,7 @@
 			chains := make([][]block.Hash, 0, 500)
 			for i := range contexts {
 				chain := syntheticChain(r, 312)
-				d.Answered("t1", scope, chain, 0, epoch)
+				d.OnAnswer("t1", scope, chain, 0, epoch)
 				if i%(contexts/500) == 0 {
 					chains = append(chains, append(chain, syntheticChain(r, 8)...))
 				}
--- a/internal/contextdir/events.go
+++ b/internal/contextdir/events.go
@@ -6,8 +6,8 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// After returns the sequence to ask a target's events after.
-func (d *Directory) After(target request.TargetID) uint64 {
+// LastEventSeq returns the sequence to ask a target's events after.
+func (d *Directory) LastEventSeq(target request.TargetID) uint64 {
 	if t, ok := d.targetIDs[target]; ok {
 		return d.targets[t].seq
 	}
@@ -33,7 +33,7 @@
 	if !state.unsure {
 		return nil
 	}
-	return []Action{{Kind: AskSnapshot, Target: target}}
+	return []Action{{Kind: RequestSnapshot, Target: target}}
 }
 
 // OnSnapshot replaces all that is known about a target. Events after the snapshot are
@@ -53,8 +53,8 @@
 	state.wrong = 0
 }
 
-// TargetLost forgets all blocks of a target that died, restarted or left.
-func (d *Directory) TargetLost(target request.TargetID) {
+// OnTargetLost forgets all blocks of a target that died, restarted or left.
+func (d *Directory) OnTargetLost(target request.TargetID) {
 	t, ok := d.targetIDs[target]
 	if !ok {
 		return
--- a/internal/contextdir/types.go
+++ b/internal/contextdir/types.go
@@ -46,33 +46,33 @@
 
 // Resident says how many leading blocks a target is believed to hold in accelerator memory.
 type Resident struct {
-	Target request.TargetID
-	Blocks int
-	Unsure bool // an event gap or wrong answers put the target's part in doubt
+	Target      request.TargetID
+	Blocks      int
+	Unconfirmed bool // an event gap or wrong answers put the target's part in doubt
 }
 
-// Located is what is known about a prompt's context. Its slices belong to the caller.
-type Located struct {
-	Known    int // leading blocks of the chain that the directory remembers
-	Resident []Resident
-	Copies   []Copy
-	LastUse  time.Time // zero if the context is new
-	Gaps     Gaps
+// LookupResult is what is known about a prompt's context. Its slices belong to the caller.
+type LookupResult struct {
+	KnownBlocks int // leading blocks of the chain that the directory remembers
+	Resident    []Resident
+	Copies      []Copy
+	LastUse     time.Time // zero if the context is new
+	Gaps        Gaps
 }
 
 // ActionKind says what an Action asks for.
 type ActionKind int
 
 const (
-	// AskSnapshot asks for the target's Snapshot, to be handed to OnSnapshot.
-	AskSnapshot ActionKind = iota
+	// RequestSnapshot asks for the target's Snapshot, to be handed to OnSnapshot.
+	RequestSnapshot ActionKind = iota
 	// FreeManifest asks to delete a manifest and then its blocks: no context uses it any longer.
 	FreeManifest
 )
 
 // String returns the name used in logs and dumps.
 func (k ActionKind) String() string {
-	if k == AskSnapshot {
+	if k == RequestSnapshot {
 		return "ask-snapshot"
 	}
 	return "free-manifest"
@@ -87,7 +87,7 @@
 
 // Correction compares a target's answer with what was remembered.
 type Correction struct {
-	Believed int // leading blocks believed resident before the answer
-	Actual   int // leading blocks that the target reported as cached
-	Actions  []Action
+	Assumed int // leading blocks believed resident before the answer
+	Actual  int // leading blocks that the target reported as cached
+	Actions []Action
 }
--- a/internal/gateway/pump.go
+++ b/internal/gateway/pump.go
@@ -46,11 +46,11 @@
 		client:  client,
 		attempt: attempt,
 		assemble: stream.New(time.Now(), stream.Params{
-			RequestID:    attempt,
-			Version:      j.context.Scope.Version,
-			Silence:      g.opts.StreamSilentAfter,
-			FirstSilence: g.opts.FirstSilentAfter,
-			MaxResumes:   g.opts.MaxResumes,
+			RequestID:         attempt,
+			Version:           j.context.Scope.Version,
+			IdleTimeout:       g.opts.StreamSilentAfter,
+			FirstFrameTimeout: g.opts.FirstSilentAfter,
+			MaxResumes:        g.opts.MaxResumes,
 		}),
 	}
 	p.read(source)
@@ -141,7 +141,7 @@
 	if errors.Is(err, target.ErrSilent) {
 		p.client.ResetConnections()
 	}
-	return p.assemble.OnCut(time.Now())
+	return p.assemble.OnDisconnect(time.Now())
 }
 
 func (p *pump) apply(actions []stream.Action, sent time.Time) (done bool, failure *tryError) {
@@ -186,7 +186,7 @@
 // connection that has ended.
 func (p *pump) resume(r stream.Resume) {
 	p.g.stats.resumed.Inc(1)
-	if r.Reason == stream.ReasonSilent {
+	if r.Reason == stream.ReasonIdle {
 		p.client.ResetConnections()
 	}
 	p.stopReading()
--- a/internal/planner/budget.go
+++ b/internal/planner/budget.go
@@ -40,13 +40,13 @@
 	if p.links.State(id, now).QueuedBytes > b.Chunk()+unit {
 		return 0
 	}
-	return b.Ask(retention.Exporting, bytes, unit, now)
+	return b.Acquire(retention.Exporting, bytes, unit, now)
 }
 
 func (p *Planner) done(id request.StoreID, class retention.Class, bytes int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget(id).Done(class, bytes)
+	p.budget(id).Release(class, bytes)
 }
 
 // write has a target write blocks to a store VM, a chunk at a time. Written in one go,
--- a/internal/planner/export.go
+++ b/internal/planner/export.go
@@ -103,7 +103,7 @@
 	}
 	p.exports.Inc(1)
 	p.mu.Lock()
-	actions := p.directory.Stored(c.Scope, c.Chain, contextdir.Copy{
+	actions := p.directory.OnManifestCommitted(c.Scope, c.Chain, contextdir.Copy{
 		Manifest: m.Name(),
 		Store:    id,
 		Tier:     storeapi.TierMemory,
@@ -155,15 +155,15 @@
 	if !ok {
 		return retention.ExportOrder{}, false
 	}
-	return retention.Export(retention.DefaultParams(), retention.Answered{
+	return retention.Export(retention.DefaultParams(), retention.AnsweredContext{
 		Blocks: len(c.Chain),
 		Copies: l.Copies,
 	}, rooms, block.TokensPerBlock*model.BytesPerToken)
 }
 
 // rooms asks the store VMs what they have left.
-func (p *Planner) rooms(ctx context.Context, sheet *table.Snapshot) []retention.Room {
-	var out []retention.Room
+func (p *Planner) rooms(ctx context.Context, sheet *table.Snapshot) []retention.StoreUsage {
+	var out []retention.StoreUsage
 	for _, s := range sheet.Stores() {
 		status, err := p.stores.status(ctx, s)
 		room := roomOf(s.ID, status)
--- a/internal/planner/import.go
+++ b/internal/planner/import.go
@@ -61,7 +61,7 @@
 	p.log.Debug("Import failed", "store", im.Copy.Store, "target", choice.Target.ID, "error", err)
 	if errors.Is(err, store.ErrMiss) || errors.Is(err, errTorn) {
 		p.mu.Lock()
-		p.directory.Freed(im.Copy.Manifest)
+		p.directory.OnManifestFreed(im.Copy.Manifest)
 		p.mu.Unlock()
 	}
 }
@@ -161,18 +161,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.budget(c.Store).Ask(retention.Caller, bytes, bytes, now)
+	p.budget(c.Store).Acquire(retention.Caller, bytes, bytes, now)
 	return p.links.Start(c.Store, c.Tier, bytes, now)
 }
 
 // endTransfer teaches the link. Content that is not there or is torn says nothing
 // about the link.
 func (p *Planner) endTransfer(id request.StoreID, transfer placement.TransferID, carried int64, err error, late bool) {
-	outcome := placement.Carried
+	outcome := placement.Completed
 	switch {
 	case err == nil, errors.Is(err, store.ErrMiss), errors.Is(err, errTorn), errors.Is(err, errNoRoom):
 	case late:
-		outcome = placement.GivenUp
+		outcome = placement.TimedOut
 	default:
 		outcome = placement.Failed
 	}
--- a/internal/planner/janitor.go
+++ b/internal/planner/janitor.go
@@ -62,7 +62,7 @@
 	}
 	p.mu.Lock()
 	p.links.Configure(s.ID, float64(s.LinkBytesPerSec))
-	p.links.Reported(s.ID, status.LinkQueueBytes, time.Now())
+	p.links.OnQueueReport(s.ID, status.LinkQueueBytes, time.Now())
 	p.mu.Unlock()
 	p.freeAgain(ctx, p.stores.client(s.ID, s.Address))
 	if p.opts.Keeps(s.ID) && nearlyFull(status) {
@@ -83,19 +83,19 @@
 	}
 }
 
-func (p *Planner) promotions(room retention.Room) []retention.Move {
+func (p *Planner) promotions(room retention.StoreUsage) []retention.Move {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var kept []contextdir.Kept
-	p.directory.EachKept(func(k contextdir.Kept) bool {
+	var kept []contextdir.StoredContext
+	p.directory.EachStoredContext(func(k contextdir.StoredContext) bool {
 		kept = append(kept, k)
 		return true
 	})
-	return retention.Promotions(retention.DefaultParams(), room, kept, time.Now())
+	return retention.PlanPromotions(retention.DefaultParams(), room, kept, time.Now())
 }
 
-func roomOf(id request.StoreID, status storeapi.Status) retention.Room {
-	return retention.Room{
+func roomOf(id request.StoreID, status storeapi.Status) retention.StoreUsage {
+	return retention.StoreUsage{
 		Store:       id,
 		MemoryUsed:  status.MemoryUsed,
 		MemoryTotal: status.MemoryTotal,
@@ -121,7 +121,7 @@
 		return
 	}
 	manifests := map[string]store.Manifest{}
-	var kept []contextdir.Kept
+	var kept []contextdir.StoredContext
 	now := time.Now()
 	for _, l := range listed {
 		m, ok := p.readManifest(ctx, client, l.Name)
@@ -129,14 +129,14 @@
 			continue
 		}
 		manifests[l.Name] = m
-		kept = append(kept, contextdir.Kept{
+		kept = append(kept, contextdir.StoredContext{
 			Scope:   m.Scope(),
 			Blocks:  len(m.Blocks),
 			LastUse: now.Add(-time.Duration(l.IdleMillis) * time.Millisecond),
 			Copies:  []contextdir.Copy{{Manifest: l.Name, Store: s.ID, Tier: l.Tier, Blocks: len(m.Blocks), Bytes: m.Bytes()}},
 		})
 	}
-	for _, m := range retention.MakeRoom(withoutHistory(), roomOf(s.ID, status), kept, now) {
+	for _, m := range retention.PlanEviction(withoutHistory(), roomOf(s.ID, status), kept, now) {
 		p.move(ctx, client, m, manifests[m.Copy.Manifest])
 	}
 }
@@ -181,10 +181,10 @@
 	defer p.mu.Unlock()
 	switch m.Kind {
 	case retention.Free:
-		p.directory.Freed(m.Copy.Manifest)
+		p.directory.OnManifestFreed(m.Copy.Manifest)
 	case retention.Demote:
-		p.directory.Moved(m.Copy.Manifest, storeapi.TierDisk)
+		p.directory.OnManifestMoved(m.Copy.Manifest, storeapi.TierDisk)
 	case retention.Promote:
-		p.directory.Moved(m.Copy.Manifest, storeapi.TierMemory)
+		p.directory.OnManifestMoved(m.Copy.Manifest, storeapi.TierMemory)
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -80,7 +80,7 @@
 	mu         sync.Mutex
 	directory  *contextdir.Directory
 	links      *placement.Links
-	costs      *placement.Costs
+	costs      *placement.PrefillRates
 	random     *rand.Rand
 	budgets    map[request.StoreID]*retention.Budget
 	generation uint64
@@ -110,7 +110,7 @@
 		links:          placement.NewLinks(),
 		weighed:        map[request.StoreID]time.Time{},
 		budgets:        map[request.StoreID]*retention.Budget{},
-		costs:          placement.NewCosts(0),
+		costs:          placement.NewPrefillRates(0),
 		random:         rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
 		imports:        opts.Metrics.Counter("imports"),
 		failedImports:  opts.Metrics.Counter("imports_failed"),
@@ -137,7 +137,7 @@
 		return nil
 	}
 	located := p.locate(c)
-	if located.Known == 0 {
+	if located.KnownBlocks == 0 {
 		located = p.recover(ctx, sheet, c)
 	}
 	rows = p.sample(sheet, c.Scope.Version, rows, located)
@@ -192,7 +192,7 @@
 // readQueues asks the store VMs that hold the context how long their links' queues are.
 // Imports of other daemons show only there; with a queue that is a second old, two
 // daemons plan for the same idle link and both imports take twice as long as planned.
-func (p *Planner) readQueues(ctx context.Context, sheet *table.Snapshot, l contextdir.Located) {
+func (p *Planner) readQueues(ctx context.Context, sheet *table.Snapshot, l contextdir.LookupResult) {
 	ctx, cancel := context.WithTimeout(ctx, queueTimeout)
 	defer cancel()
 	var reads sync.WaitGroup
@@ -207,13 +207,13 @@
 			}
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.links.Reported(s.ID, status.LinkQueueBytes, time.Now())
+			p.links.OnQueueReport(s.ID, status.LinkQueueBytes, time.Now())
 		})
 	}
 	reads.Wait()
 }
 
-func (p *Planner) locate(c gateway.Context) contextdir.Located {
+func (p *Planner) locate(c gateway.Context) contextdir.LookupResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.directory.Lookup(c.Scope, c.Chain)
@@ -221,7 +221,7 @@
 
 // sample keeps the cost of one placement flat when there are many targets.
 func (p *Planner) sample(
-	sheet *table.Snapshot, wanted request.Version, rows []*table.Target, located contextdir.Located,
+	sheet *table.Snapshot, wanted request.Version, rows []*table.Target, located contextdir.LookupResult,
 ) []*table.Target {
 	if len(rows) <= maxLooked {
 		return rows
@@ -261,7 +261,7 @@
 	sheet *table.Snapshot,
 	c gateway.Context,
 	rows []*table.Target,
-	located contextdir.Located,
+	located contextdir.LookupResult,
 	views map[request.TargetID]steward.View,
 ) placement.Plan {
 	p.mu.Lock()
@@ -274,7 +274,7 @@
 		}
 		candidates = append(candidates, p.candidate(t, v, seen, located))
 	}
-	r := placement.Request{Tokens: c.Tokens, Version: c.Scope.Version, Spread: p.random.Uint64()}
+	r := placement.Request{Tokens: c.Tokens, Version: c.Scope.Version, TieBreak: p.random.Uint64()}
 	if model, ok := sheet.Model(c.Scope.Model); ok {
 		r.BytesPerToken = model.BytesPerToken
 	}
@@ -283,7 +283,7 @@
 
 // candidate joins what the directory remembers with what the steward sees. The
 // steward reads the target's cache events; unless it is unsure its word counts.
-func (p *Planner) candidate(t *table.Target, v steward.View, seen bool, l contextdir.Located) placement.Candidate {
+func (p *Planner) candidate(t *table.Target, v steward.View, seen bool, l contextdir.LookupResult) placement.Candidate {
 	resident, unsure := remembered(l, t.ID)
 	if seen && !v.Unsure {
 		resident, unsure = v.ResidentBlocks, false
@@ -297,23 +297,23 @@
 		Running:             v.Running,
 		Waiting:             v.Waiting,
 		ResidentBlocks:      resident,
-		Unsure:              unsure,
+		Unconfirmed:         unsure,
 		Down:                v.Down,
 		Leaving:             v.Leaving,
 		PrefillRate:         rate,
 	}
 }
 
-func remembered(l contextdir.Located, id request.TargetID) (blocks int, unsure bool) {
+func remembered(l contextdir.LookupResult, id request.TargetID) (blocks int, unsure bool) {
 	for _, r := range l.Resident {
 		if r.Target == id {
-			return r.Blocks, r.Unsure
+			return r.Blocks, r.Unconfirmed
 		}
 	}
 	return 0, false
 }
 
-func (p *Planner) copies(l contextdir.Located, now time.Time) []placement.Copy {
+func (p *Planner) copies(l contextdir.LookupResult, now time.Time) []placement.Copy {
 	out := make([]placement.Copy, 0, len(l.Copies))
 	for _, c := range l.Copies {
 		p.weighed[c.Store] = now
@@ -327,7 +327,7 @@
 	return out
 }
 
-func choicesOf(sheet *table.Snapshot, plan placement.Plan, l contextdir.Located) []gateway.Choice {
+func choicesOf(sheet *table.Snapshot, plan placement.Plan, l contextdir.LookupResult) []gateway.Choice {
 	if !plan.Found {
 		return nil
 	}
@@ -346,7 +346,7 @@
 	return out
 }
 
-func importOf(sheet *table.Snapshot, o placement.Option, deadline time.Duration, l contextdir.Located) *gateway.Import {
+func importOf(sheet *table.Snapshot, o placement.Option, deadline time.Duration, l contextdir.LookupResult) *gateway.Import {
 	for _, s := range sheet.Stores() {
 		if s.ID != o.Store {
 			continue
@@ -376,8 +376,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	freed := p.directory.Used(c.Scope, c.Chain, now)
-	p.directory.Answered(a.Target, c.Scope, c.Chain, a.CachedTokens, now)
+	freed := p.directory.OnUse(c.Scope, c.Chain, now)
+	p.directory.OnAnswer(a.Target, c.Scope, c.Chain, a.CachedTokens, now)
 	if a.QueuedTokens == 0 {
 		p.costs.ObservePrefill(a.Target, a.PromptTokens-a.CachedTokens, a.FirstToken)
 	}
--- a/internal/planner/recover.go
+++ b/internal/planner/recover.go
@@ -33,9 +33,9 @@
 // Daemons keep nothing and are replaced often, while contexts return after days: the
 // daemon that exported a context is then gone, or the context's place has moved. Without
 // the search the export would lie unused and the whole context be computed again.
-func (p *Planner) recover(ctx context.Context, sheet *table.Snapshot, c gateway.Context) contextdir.Located {
+func (p *Planner) recover(ctx context.Context, sheet *table.Snapshot, c gateway.Context) contextdir.LookupResult {
 	if len(c.Chain) == 0 {
-		return contextdir.Located{}
+		return contextdir.LookupResult{}
 	}
 	ctx, cancel := context.WithTimeout(ctx, recoverTimeout)
 	defer cancel()
@@ -131,15 +131,15 @@
 
 // adopt enters what was found into the directory, as last used when it was last read
 // or written.
-func (p *Planner) adopt(c gateway.Context, all []found) contextdir.Located {
+func (p *Planner) adopt(c gateway.Context, all []found) contextdir.LookupResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	for _, f := range all {
 		p.recovered.Inc(1)
 		chain := c.Chain[:f.copy.Blocks]
-		p.directory.Used(c.Scope, chain, now.Add(-f.idle))
-		p.directory.Stored(c.Scope, chain, f.copy)
+		p.directory.OnUse(c.Scope, chain, now.Add(-f.idle))
+		p.directory.OnManifestCommitted(c.Scope, chain, f.copy)
 	}
 	return p.directory.Lookup(c.Scope, c.Chain)
 }
--- a/internal/planner/world_test.go
+++ b/internal/planner/world_test.go
@@ -133,7 +133,7 @@
 	w.planners++
 	params := placement.Fonografos()
 	// Imports are worth while in any time that a busy machine takes.
-	params.Patience = 1000
+	params.MaxImportSlowdown = 1000
 	params.RecomputeWeight = 1
 	p := New(Options{
 		Params:   params,
--- a/internal/policy/placement/choose.go
+++ b/internal/policy/placement/choose.go
@@ -34,7 +34,7 @@
 	if len(candidates) == 0 {
 		return 0
 	}
-	return int(r.Spread % uint64(len(candidates)))
+	return int(r.TieBreak % uint64(len(candidates)))
 }
 
 func usable(r Request, c *Candidate) bool {
@@ -77,7 +77,7 @@
 			best = min(best, e.wait(c)+e.crowd(c)+float64(r.Tokens)/rate(c))
 		}
 	}
-	e.patience = p.Patience * best
+	e.patience = p.MaxImportSlowdown * best
 	return e
 }
 
@@ -97,7 +97,7 @@
 // idle. Why the guard holds: a prompt counts as running at its target from the grant on,
 // which is before its import, and the next one goes elsewhere.
 func (e *estimator) crowd(c *Candidate) float64 {
-	return e.params.CrowdWait.Seconds() * float64(c.Running+c.Waiting)
+	return e.params.ContentionWait.Seconds() * float64(c.Running+c.Waiting)
 }
 
 // wait returns the seconds until the target begins to prefill a new prompt.
@@ -111,7 +111,7 @@
 
 // resident returns the leading blocks that can be counted on.
 func (e *estimator) resident(c *Candidate) int {
-	if e.params.Ways.NoReuse || c.Unsure {
+	if e.params.Restrictions.NoReuse || c.Unconfirmed {
 		return 0
 	}
 	return min(c.ResidentBlocks, e.request.Tokens/block.TokensPerBlock)
@@ -123,7 +123,7 @@
 	wait := e.wait(c)
 	best := cost{reuse: reuse, expected: wait + e.crowd(c) + e.prefill(c, reuse)}
 	best.score = e.score(best.expected, reuse, reuse)
-	if e.params.Ways.NoImport {
+	if e.params.Restrictions.NoImport {
 		return best
 	}
 	for i := range e.copies {
@@ -164,11 +164,11 @@
 	}
 	perBlock := e.blockBytes / linkRate
 	start := e.params.ImportLatency.Seconds()
-	if !e.params.Ways.NoQueue {
+	if !e.params.Restrictions.NoQueue {
 		start += float64(copied.Link.QueuedBytes) / linkRate
 	}
 	limit := whole
-	if !e.params.Ways.NoQueue {
+	if !e.params.Restrictions.NoQueue {
 		limit = min(whole, reuse+int(max(0, (e.patience-start)/perBlock)))
 	}
 	best := cost{score: math.Inf(1)}
@@ -177,7 +177,7 @@
 		importEnd := start + float64(head-reuse)*perBlock
 		way := cost{reuse: reuse, head: head, copy: index, importTime: importEnd}
 		way.expected = e.finish(wait, importEnd, e.prefill(c, head)) + e.crowd(c)
-		if way.expected > e.patience && !e.params.Ways.NoQueue {
+		if way.expected > e.patience && !e.params.Restrictions.NoQueue {
 			return
 		}
 		way.score = e.score(way.expected, reuse, head)
@@ -185,7 +185,7 @@
 			best = way
 		}
 	}
-	if e.params.Ways.NoSplit {
+	if e.params.Restrictions.NoSplit {
 		if limit < whole {
 			return cost{}, false
 		}
--- a/internal/policy/placement/choose_test.go
+++ b/internal/policy/placement/choose_test.go
@@ -28,7 +28,7 @@
 				p = Fonografos()
 			}
 			p.Overlap = !td.HasArg("serial")
-			p.Ways = Ways{
+			p.Restrictions = Restrictions{
 				NoReuse:  td.HasArg("no-reuse"),
 				NoImport: td.HasArg("no-import"),
 				NoSplit:  td.HasArg("no-split"),
@@ -77,7 +77,7 @@
 			ID: request.TargetID(words[1]), Version: version, PrefillRate: args["rate"],
 			QueuedPrefillTokens: int(args["queued"]), ResidentBlocks: int(args["resident"]),
 			Running: int(args["running"]), MaxRunning: int(args["max"]), Waiting: int(args["waiting"]),
-			Unsure: has("unsure"), Down: has("down"), Leaving: has("leaving"),
+			Unconfirmed: has("unsure"), Down: has("down"), Leaving: has("leaving"),
 		})
 	}
 	return candidates, copies
@@ -92,7 +92,7 @@
 	if p.ImportDeadline > 0 {
 		fmt.Fprintf(&b, " give-up=%dms", p.ImportDeadline.Milliseconds())
 	}
-	if p.Late {
+	if p.MissesDeadline {
 		b.WriteString(" late")
 	}
 	b.WriteString("\n")
@@ -163,7 +163,7 @@
 	patience := math.Inf(1)
 	for _, c := range candidates {
 		if !c.Down {
-			patience = min(patience, p.Patience*(float64(c.QueuedPrefillTokens)+float64(r.Tokens))/c.PrefillRate)
+			patience = min(patience, p.MaxImportSlowdown*(float64(c.QueuedPrefillTokens)+float64(r.Tokens))/c.PrefillRate)
 		}
 	}
 	for _, c := range candidates {
@@ -206,7 +206,7 @@
 // expect longer than the best target needs to prefill.
 func TestImportNeverWaitsPastItsWorth(t *testing.T) {
 	naive := Atlas()
-	naive.Ways = Ways{NoSplit: true, NoQueue: true}
+	naive.Restrictions = Restrictions{NoSplit: true, NoQueue: true}
 	for _, ours := range []Params{Atlas(), Fonografos()} {
 		naiveQueue, oursQueue := int64(0), int64(0)
 		var naiveWorst, oursWorst time.Duration
@@ -220,7 +220,7 @@
 		if naiveWorst < 100*time.Second {
 			t.Fatalf("the naive choice was expected to grow the queue without bound, worst %v", naiveWorst)
 		}
-		if oursWorst > time.Duration(float64(prefillAll)*ours.Patience)+time.Millisecond {
+		if oursWorst > time.Duration(float64(prefillAll)*ours.MaxImportSlowdown)+time.Millisecond {
 			t.Fatalf("worst import ends after %v", oursWorst)
 		}
 	}
--- a/internal/policy/placement/costs.go
+++ b/internal/policy/placement/costs.go
@@ -15,22 +15,22 @@
 	minMeasuredTokens = 256
 )
 
-// Costs learns how fast targets prefill.
-type Costs struct {
+// PrefillRates learns how fast targets prefill.
+type PrefillRates struct {
 	start float64
 	rates map[request.TargetID]float64
 }
 
-// NewCosts returns Costs that start with a rate in tokens a second; zero: the default.
-func NewCosts(start float64) *Costs {
+// NewPrefillRates returns Costs that start with a rate in tokens a second; zero: the default.
+func NewPrefillRates(start float64) *PrefillRates {
 	if start <= 0 {
 		start = defaultPrefillRate
 	}
-	return &Costs{start: start, rates: map[request.TargetID]float64{}}
+	return &PrefillRates{start: start, rates: map[request.TargetID]float64{}}
 }
 
 // PrefillRate returns a target's rate in tokens a second.
-func (c *Costs) PrefillRate(target request.TargetID) float64 {
+func (c *PrefillRates) PrefillRate(target request.TargetID) float64 {
 	if r, ok := c.rates[target]; ok {
 		return r
 	}
@@ -38,7 +38,7 @@
 }
 
 // ObservePrefill learns from a prefill of tokens that took elapsed, queueing excluded.
-func (c *Costs) ObservePrefill(target request.TargetID, tokens int, elapsed time.Duration) {
+func (c *PrefillRates) ObservePrefill(target request.TargetID, tokens int, elapsed time.Duration) {
 	if tokens < minMeasuredTokens || elapsed <= 0 {
 		return
 	}
@@ -46,7 +46,7 @@
 }
 
 // Forget drops what was learned about a target that left.
-func (c *Costs) Forget(target request.TargetID) { delete(c.rates, target) }
+func (c *PrefillRates) Forget(target request.TargetID) { delete(c.rates, target) }
 
 // learn moves a rate towards a measurement.
 func learn(rate, measured float64) float64 {
--- a/internal/policy/placement/links.go
+++ b/internal/policy/placement/links.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Reported takes a store VM's own, lagging report of its queue, which includes other daemons' transfers.
-func (l *Links) Reported(store request.StoreID, queueBytes int64, now time.Time) {
+// OnQueueReport takes a store VM's own, lagging report of its queue, which includes other daemons' transfers.
+func (l *Links) OnQueueReport(store request.StoreID, queueBytes int64, now time.Time) {
 	k := l.link(store)
 	k.reported = queueBytes
 	k.reportedAt = now
@@ -114,12 +114,12 @@
 type Outcome int
 
 const (
-	// Carried means that all bytes arrived.
-	Carried Outcome = iota
+	// Completed means that all bytes arrived.
+	Completed Outcome = iota
 	// Failed means that the store did not answer, broke off or sent wrong content.
 	Failed
-	// GivenUp means that the import's deadline passed.
-	GivenUp
+	// TimedOut means that the import's deadline passed.
+	TimedOut
 )
 
 // Finish records the end of a transfer of which carried bytes arrived. A transfer that
@@ -131,13 +131,13 @@
 	if !ok {
 		return
 	}
-	if outcome != Carried || carried < t.bytes {
+	if outcome != Completed || carried < t.bytes {
 		k.busy.spoiled = true
 	}
-	if outcome == GivenUp && k.lastDone.After(t.started) {
+	if outcome == TimedOut && k.lastDone.After(t.started) {
 		return
 	}
-	if outcome != Carried {
+	if outcome != Completed {
 		k.fail(now)
 		return
 	}
--- a/internal/policy/placement/links_test.go
+++ b/internal/policy/placement/links_test.go
@@ -58,7 +58,7 @@
 	}
 	id := l.Start("s1", storeapi.TierMemory, plan.LinkBytes, epoch)
 	gaveUp := epoch.Add(plan.ImportDeadline)
-	l.Finish("s1", id, 0, GivenUp, gaveUp)
+	l.Finish("s1", id, 0, TimedOut, gaveUp)
 	if next := choose(gaveUp); next.LinkBytes != 0 {
 		t.Fatalf("the dead store was chosen again: %+v", next)
 	}
@@ -81,7 +81,7 @@
 				want += n
 			} else {
 				for id, n := range open {
-					l.Finish("s1", id, n, rapid.SampledFrom([]Outcome{Carried, Failed, GivenUp}).Draw(t, "outcome"), epoch)
+					l.Finish("s1", id, n, rapid.SampledFrom([]Outcome{Completed, Failed, TimedOut}).Draw(t, "outcome"), epoch)
 					delete(open, id)
 					want -= n
 					break
@@ -95,7 +95,7 @@
 }
 
 func TestCostsLearn(t *testing.T) {
-	c := NewCosts(0)
+	c := NewPrefillRates(0)
 	for range 30 {
 		c.ObservePrefill("slow", 2000, time.Second)
 	}
@@ -121,8 +121,8 @@
 		first := l.Start("s1", storeapi.TierMemory, bytes, now)
 		second := l.Start("s1", storeapi.TierMemory, bytes, now)
 		firstTime, secondTime := 1990*time.Millisecond, 2*time.Second
-		l.Finish("s1", first, bytes, Carried, now.Add(firstTime))
-		l.Finish("s1", second, bytes, Carried, now.Add(secondTime))
+		l.Finish("s1", first, bytes, Completed, now.Add(firstTime))
+		l.Finish("s1", second, bytes, Completed, now.Add(secondTime))
 		now = now.Add(secondTime)
 		for _, elapsed := range []time.Duration{firstTime, secondTime - firstTime} {
 			naive = learn(naive, bytes/elapsed.Seconds())
@@ -147,7 +147,7 @@
 		t.Fatalf("rate %g", got)
 	}
 	id := l.Start("s1", storeapi.TierMemory, 1e9, epoch)
-	l.Finish("s1", id, 1e9, Carried, epoch.Add(time.Second))
+	l.Finish("s1", id, 1e9, Completed, epoch.Add(time.Second))
 	learned := l.LearnedRate("s1")
 	l.Configure("s1", 3e9)
 	if got := l.LearnedRate("s1"); got != learned || got >= 3e9 {
--- a/internal/policy/placement/plan.go
+++ b/internal/policy/placement/plan.go
@@ -32,14 +32,14 @@
 }
 
 func (e *estimator) plan(best *ranking, candidates []Candidate) Plan {
-	plan := Plan{PieceTokens: e.params.PieceTokens}
+	plan := Plan{PrefillChunkTokens: e.params.PrefillChunkTokens}
 	if best.count == 0 {
 		return plan
 	}
 	plan.Found = true
 	plan.Option = e.describe(best.costs[0], &candidates[best.indexes[0]])
 	plan.ImportDeadline = e.importDeadline(best.costs[0], &candidates[best.indexes[0]])
-	plan.Late = e.request.Deadline > 0 && plan.Expected > e.request.Deadline
+	plan.MissesDeadline = e.request.Deadline > 0 && plan.Expected > e.request.Deadline
 	if best.count > 1 {
 		plan.Alternatives = make([]Option, 0, maxOptions-1)
 	}
--- a/internal/policy/placement/types.go
+++ b/internal/policy/placement/types.go
@@ -13,28 +13,28 @@
 	RecomputeWeight float64
 	// LinkWeight is the time to first token, in seconds, that one byte not carried is worth.
 	LinkWeight float64
-	// Patience limits the time to first token of a plan with an import, as a multiple of
+	// MaxImportSlowdown limits the time to first token of a plan with an import, as a multiple of
 	// what the best target would need to prefill the whole prompt.
-	Patience float64
+	MaxImportSlowdown float64
 	// Overlap tells that targets prefill the tail while the head is being imported. The
 	// profiles leave it off: the daemon sends the prompt when its import has ended.
 	Overlap bool
-	// PieceTokens is how many tokens targets prefill at a stretch.
-	PieceTokens int
+	// PrefillChunkTokens is how many tokens targets prefill at a stretch.
+	PrefillChunkTokens int
 	// ImportLatency is the fixed cost of an import.
 	ImportLatency time.Duration
 	// SlotWait is the expected wait for one of a target's running requests to end,
 	// for each request ahead, when the target runs as many as it can.
 	SlotWait time.Duration
-	// CrowdWait is what each request that a target runs already, or brings the blocks
+	// ContentionWait is what each request that a target runs already, or brings the blocks
 	// for, adds to a new one's expected time: its steps are taken turn by turn.
-	CrowdWait time.Duration
-	// Ways switches ways off; the zero value allows all.
-	Ways Ways
+	ContentionWait time.Duration
+	// Restrictions switches ways off; the zero value allows all.
+	Restrictions Restrictions
 }
 
-// Ways switches ways of placement off, for measurements and emergencies.
-type Ways struct {
+// Restrictions switches ways of placement off, for measurements and emergencies.
+type Restrictions struct {
 	NoReuse  bool // ignore blocks in accelerator memory
 	NoImport bool // never import
 	NoSplit  bool // import whole or not at all
@@ -44,13 +44,13 @@
 // Atlas returns the profile that puts time to first token first.
 func Atlas() Params {
 	return Params{
-		RecomputeWeight: 2e-5,
-		Patience:        1,
-		PieceTokens:     2000,
-		ImportLatency:   5 * time.Millisecond,
-		SlotWait:        100 * time.Millisecond,
-		CrowdWait:       20 * time.Millisecond,
-		Overlap:         true,
+		RecomputeWeight:    2e-5,
+		MaxImportSlowdown:  1,
+		PrefillChunkTokens: 2000,
+		ImportLatency:      5 * time.Millisecond,
+		SlotWait:           100 * time.Millisecond,
+		ContentionWait:     20 * time.Millisecond,
+		Overlap:            true,
 	}
 }
 
@@ -58,7 +58,7 @@
 func Fonografos() Params {
 	p := Atlas()
 	p.RecomputeWeight = 1e-3
-	p.Patience = 1.15
+	p.MaxImportSlowdown = 1.15
 	p.Overlap = false
 	return p
 }
@@ -71,7 +71,7 @@
 	Deadline      time.Duration // time left for the first token; zero: none
 	// Spread, any number, decides between equal targets. Without it all daemons would
 	// send to the first idle target of the list.
-	Spread uint64
+	TieBreak uint64
 }
 
 // Candidate is a target that could run the prompt.
@@ -84,7 +84,7 @@
 	Waiting             int
 	MaxRunning          int  // zero: unlimited
 	ResidentBlocks      int  // leading blocks of the prompt in accelerator memory
-	Unsure              bool // its blocks are not counted on
+	Unconfirmed         bool // its blocks are not counted on
 	Down                bool
 	Leaving             bool
 	PrefillRate         float64 // tokens a second, see Costs
@@ -150,9 +150,9 @@
 	Found bool // false: no candidate can run the prompt
 	// ImportDeadline is when, from now, an unfinished import has lost its worth: the
 	// daemon then gives it up and lets the target prefill.
-	ImportDeadline time.Duration
-	PieceTokens    int
-	Late           bool // Expected is beyond the request's deadline
+	ImportDeadline     time.Duration
+	PrefillChunkTokens int
+	MissesDeadline     bool // Expected is beyond the request's deadline
 	// Alternatives are the next best targets, for a retry elsewhere.
 	Alternatives []Option
 }
--- a/internal/policy/retention/budget.go
+++ b/internal/policy/retention/budget.go
@@ -47,11 +47,11 @@
 // Outstanding returns the bytes granted to a class and not yet done.
 func (b *Budget) Outstanding(c Class) int64 { return b.outstanding[c] }
 
-// Ask returns how many of the wanted bytes may be sent now. A caller gets all; the
+// Acquire returns how many of the wanted bytes may be sent now. A caller gets all; the
 // others get a chunk at most, or zero: ask again when a transfer is done. The unit is
 // the smallest piece that can be sent, a block; one is granted even if it is larger
 // than a chunk.
-func (b *Budget) Ask(c Class, bytes, unit int64, now time.Time) int64 {
+func (b *Budget) Acquire(c Class, bytes, unit int64, now time.Time) int64 {
 	if c == Caller {
 		b.outstanding[Caller] += bytes
 		return bytes
@@ -67,8 +67,8 @@
 	return granted
 }
 
-// Done records that granted bytes were carried or given up.
-func (b *Budget) Done(c Class, bytes int64) {
+// Release records that granted bytes were carried or given up.
+func (b *Budget) Release(c Class, bytes int64) {
 	b.outstanding[c] = max(0, b.outstanding[c]-bytes)
 }
 
--- a/internal/policy/retention/budget_test.go
+++ b/internal/policy/retention/budget_test.go
@@ -25,12 +25,12 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			class := Class(rapid.IntRange(0, int(classes)-1).Draw(t, "class"))
 			if len(open[class]) > 0 && rapid.Bool().Draw(t, "done") {
-				b.Done(class, open[class][0])
+				b.Release(class, open[class][0])
 				open[class] = open[class][1:]
 				continue
 			}
 			bytes := rapid.Int64Range(1, 1<<32).Draw(t, "bytes")
-			granted := b.Ask(class, bytes, unit, now)
+			granted := b.Acquire(class, bytes, unit, now)
 			if granted > bytes {
 				t.Fatalf("granted %d of %d", granted, bytes)
 			}
@@ -62,9 +62,9 @@
 	}
 	b := NewBudget(DefaultParams(), linkRate)
 	for range exports {
-		b.Ask(Exporting, size, unit, epoch)
+		b.Acquire(Exporting, size, unit, epoch)
 	}
-	b.Ask(Caller, size, unit, epoch)
+	b.Acquire(Caller, size, unit, epoch)
 	wait := time.Duration(float64(b.Outstanding(Exporting)) / linkRate * float64(time.Second))
 	if wait > DefaultParams().ChunkTime {
 		t.Fatalf("the caller waits %v for exports", wait)
--- a/internal/policy/retention/export.go
+++ b/internal/policy/retention/export.go
@@ -27,8 +27,8 @@
 // NewResidence returns an estimate for a target with room for totalBlocks.
 func NewResidence(totalBlocks int) *Residence { return &Residence{totalBlocks: totalBlocks} }
 
-// Entered records that blocks entered the cache.
-func (r *Residence) Entered(blocks int, now time.Time) {
+// ObserveInsertions records that blocks entered the cache.
+func (r *Residence) ObserveInsertions(blocks int, now time.Time) {
 	r.advance(now)
 	r.entered += float64(blocks)
 }
@@ -52,14 +52,14 @@
 	return time.Duration(float64(r.totalBlocks) / perSecond * float64(time.Second))
 }
 
-// Answered is a context whose answer has just ended.
-type Answered struct {
+// AnsweredContext is a context whose answer has just ended.
+type AnsweredContext struct {
 	Blocks int // resident at the target that answered
 	Copies []contextdir.Copy
 }
 
-// Room is what a store VM has left.
-type Room struct {
+// StoreUsage is what a store VM has left.
+type StoreUsage struct {
 	Store       request.StoreID
 	Down        bool
 	MemoryUsed  int64
@@ -82,7 +82,7 @@
 // enough of it. A live copy is extended in place, so that only new blocks use the link.
 // Leaving out contexts that are expected back before eviction was measured to recompute
 // more without saving link time, so their gaps are not asked.
-func Export(p Params, a Answered, rooms []Room, bytesPerBlock int64) (ExportOrder, bool) {
+func Export(p Params, a AnsweredContext, rooms []StoreUsage, bytesPerBlock int64) (ExportOrder, bool) {
 	if a.Blocks < p.MinBlocks {
 		return ExportOrder{}, false
 	}
@@ -95,7 +95,7 @@
 }
 
 // longestOwn returns the longest copy in a live store that this context owns.
-func longestOwn(copies []contextdir.Copy, rooms []Room) (contextdir.Copy, bool) {
+func longestOwn(copies []contextdir.Copy, rooms []StoreUsage) (contextdir.Copy, bool) {
 	best := -1
 	for i, c := range copies {
 		if c.Shared || !live(rooms, c.Store) {
@@ -111,7 +111,7 @@
 	return copies[best], true
 }
 
-func live(rooms []Room, store request.StoreID) bool {
+func live(rooms []StoreUsage, store request.StoreID) bool {
 	for _, r := range rooms {
 		if r.Store == store {
 			return !r.Down
@@ -122,7 +122,7 @@
 
 // pickStore returns the live store with room that has the largest free share, after
 // those whose link is busy.
-func pickStore(rooms []Room, bytes int64) (request.StoreID, bool) {
+func pickStore(rooms []StoreUsage, bytes int64) (request.StoreID, bool) {
 	best := -1
 	for i, r := range rooms {
 		if r.Down || r.free() < bytes {
@@ -141,15 +141,15 @@
 // busyLink is the queue from which a link counts as busy for new exports.
 const busyLink = 5 * time.Second
 
-func (r Room) before(other Room) bool {
+func (r StoreUsage) before(other StoreUsage) bool {
 	if busy := r.LinkQueue > busyLink; busy != (other.LinkQueue > busyLink) {
 		return !busy
 	}
 	return r.freeShare() > other.freeShare()
 }
 
-func (r Room) free() int64 { return r.MemoryTotal + r.DiskTotal - r.MemoryUsed - r.DiskUsed }
+func (r StoreUsage) free() int64 { return r.MemoryTotal + r.DiskTotal - r.MemoryUsed - r.DiskUsed }
 
-func (r Room) freeShare() float64 {
+func (r StoreUsage) freeShare() float64 {
 	return float64(r.free()) / float64(max(1, r.MemoryTotal+r.DiskTotal))
 }
--- a/internal/policy/retention/retention_test.go
+++ b/internal/policy/retention/retention_test.go
@@ -19,8 +19,8 @@
 
 // world is what the table's commands build up.
 type world struct {
-	rooms []Room
-	kept  []contextdir.Kept
+	rooms []StoreUsage
+	kept  []contextdir.StoredContext
 }
 
 // TestRetention reads "room" and "kept" commands and prints decisions on them.
@@ -52,7 +52,7 @@
 	p := DefaultParams()
 	switch td.Cmd {
 	case "room":
-		w.rooms = append(w.rooms, Room{
+		w.rooms = append(w.rooms, StoreUsage{
 			Store: request.StoreID(store), Down: td.HasArg("down"), LinkQueue: time.Duration(queue) * time.Second,
 			MemoryUsed: int64(used), MemoryTotal: int64(total), DiskUsed: int64(diskUsed), DiskTotal: int64(diskTotal),
 		})
@@ -61,15 +61,15 @@
 		*w = world{}
 		return ""
 	case "kept":
-		w.kept = append(w.kept, contextdir.Kept{
+		w.kept = append(w.kept, contextdir.StoredContext{
 			LastUse: at(last), Gaps: scanGaps(t, td),
 			Copies: []contextdir.Copy{{Manifest: manifest, Store: "s1", Tier: storeapi.Tier(tier), Bytes: int64(bytes)}},
 		})
 		return ""
 	case "make-room":
-		return formatMoves(MakeRoom(p, w.rooms[0], w.kept, at(now)))
+		return formatMoves(PlanEviction(p, w.rooms[0], w.kept, at(now)))
 	case "promotions":
-		return formatMoves(Promotions(p, w.rooms[0], w.kept, at(now)))
+		return formatMoves(PlanPromotions(p, w.rooms[0], w.kept, at(now)))
 	case "prefetch":
 		var b strings.Builder
 		for _, k := range w.kept {
@@ -77,7 +77,7 @@
 		}
 		return b.String()
 	case "export":
-		a := Answered{Blocks: blocks}
+		a := AnsweredContext{Blocks: blocks}
 		if have > 0 {
 			a.Copies = []contextdir.Copy{{Manifest: "old", Store: request.StoreID(store), Blocks: have, Shared: td.HasArg("shared")}}
 		}
--- a/internal/policy/retention/tiers.go
+++ b/internal/policy/retention/tiers.go
@@ -38,10 +38,10 @@
 	next time.Time
 }
 
-// MakeRoom clears the tiers of a store VM that are above the high-water mark down to
+// PlanEviction clears the tiers of a store VM that are above the high-water mark down to
 // the low-water mark: memory by demotion to disk, disk by freeing. What is needed last
 // goes first. Without room on disk, memory is cleared by freeing.
-func MakeRoom(p Params, room Room, kept []contextdir.Kept, now time.Time) []Move {
+func PlanEviction(p Params, room StoreUsage, kept []contextdir.StoredContext, now time.Time) []Move {
 	toDemote := excess(p, room.MemoryUsed, room.MemoryTotal)
 	if toDemote == 0 && excess(p, room.DiskUsed, room.DiskTotal) == 0 {
 		return nil
@@ -67,7 +67,7 @@
 }
 
 // split returns a store's own copies by tier, those needed last first.
-func split(p Params, room Room, kept []contextdir.Kept, now time.Time) (memory, disk []ranked) {
+func split(p Params, room StoreUsage, kept []contextdir.StoredContext, now time.Time) (memory, disk []ranked) {
 	for _, k := range kept {
 		for _, c := range k.Copies {
 			if c.Store != room.Store || c.Shared {
@@ -110,9 +110,9 @@
 	return moves
 }
 
-// Promotions returns the copies on a store VM's disk whose context is expected back
+// PlanPromotions returns the copies on a store VM's disk whose context is expected back
 // soon, the soonest first, as far as memory has room below the high-water mark.
-func Promotions(p Params, room Room, kept []contextdir.Kept, now time.Time) []Move {
+func PlanPromotions(p Params, room StoreUsage, kept []contextdir.StoredContext, now time.Time) []Move {
 	var due []ranked
 	for _, k := range kept {
 		for _, c := range k.Copies {
@@ -143,7 +143,7 @@
 // ShouldPrefetch tells whether a context is to be imported into accelerator memory
 // before its caller returns: its returns are regular enough that the blocks will still
 // be there, and the return is near.
-func ShouldPrefetch(p Params, k contextdir.Kept, residence time.Duration, now time.Time) bool {
+func ShouldPrefetch(p Params, k contextdir.StoredContext, residence time.Duration, now time.Time) bool {
 	if k.Gaps.Count() < p.MinHistory {
 		return false
 	}
--- a/internal/policy/stream/stream.go
+++ b/internal/policy/stream/stream.go
@@ -19,25 +19,25 @@
 
 // Defaults of Params.
 const (
-	DefaultReorder    = 64
-	DefaultGapWait    = 100 * time.Millisecond
-	DefaultSilence    = 2 * time.Second
-	DefaultMaxResumes = 3
+	DefaultReorderWindow = 64
+	DefaultGapTimeout    = 100 * time.Millisecond
+	DefaultIdleTimeout   = 2 * time.Second
+	DefaultMaxResumes    = 3
 )
 
 // Params describes the answer that is expected. Zero values take the defaults above.
 type Params struct {
 	RequestID request.ID
 	Version   request.Version // wanted weight version; empty: any, fixed by the first frame
-	// Reorder is how many frames beyond the next one are kept.
-	Reorder int
-	// GapWait is how long a missing frame may be late.
-	GapWait time.Duration
-	// Silence is the longest time without progress.
-	Silence time.Duration
-	// FirstSilence is the same for the first frame, which waits for the queue and
+	// ReorderWindow is how many frames beyond the next one are kept.
+	ReorderWindow int
+	// GapTimeout is how long a missing frame may be late.
+	GapTimeout time.Duration
+	// IdleTimeout is the longest time without progress.
+	IdleTimeout time.Duration
+	// FirstFrameTimeout is the same for the first frame, which waits for the queue and
 	// the prefill. Zero: Silence.
-	FirstSilence time.Duration
+	FirstFrameTimeout time.Duration
 	// MaxResumes bounds the resumes without progress between them.
 	MaxResumes int
 	// Deadline is when the whole answer must be there. Zero: none.
@@ -81,18 +81,18 @@
 
 // The reasons of Resume.
 const (
-	ReasonGap    Reason = "gap"
-	ReasonCut    Reason = "cut"
-	ReasonSilent Reason = "silent"
+	ReasonGap          Reason = "gap"
+	ReasonDisconnected Reason = "cut"
+	ReasonIdle         Reason = "silent"
 )
 
 // Dropped counts frames that were not passed on.
 type Dropped struct {
-	Foreign   int // of another request
-	Version   int // of another weight version, after the first frame
-	Duplicate int // seen before
-	Beyond    int // too far ahead
-	Late      int // after the end
+	Foreign      int // of another request
+	WrongVersion int // of another weight version, after the first frame
+	Duplicate    int // seen before
+	BeyondWindow int // too far ahead
+	AfterEnd     int // after the end
 }
 
 // Assembler puts one answer together.
@@ -112,17 +112,17 @@
 
 // New returns an assembler for a request that is sent now.
 func New(now time.Time, p Params) *Assembler {
-	if p.Reorder <= 0 {
-		p.Reorder = DefaultReorder
+	if p.ReorderWindow <= 0 {
+		p.ReorderWindow = DefaultReorderWindow
 	}
-	if p.GapWait <= 0 {
-		p.GapWait = DefaultGapWait
+	if p.GapTimeout <= 0 {
+		p.GapTimeout = DefaultGapTimeout
 	}
-	if p.Silence <= 0 {
-		p.Silence = DefaultSilence
+	if p.IdleTimeout <= 0 {
+		p.IdleTimeout = DefaultIdleTimeout
 	}
-	if p.FirstSilence <= 0 {
-		p.FirstSilence = p.Silence
+	if p.FirstFrameTimeout <= 0 {
+		p.FirstFrameTimeout = p.IdleTimeout
 	}
 	if p.MaxResumes <= 0 {
 		p.MaxResumes = DefaultMaxResumes
@@ -149,7 +149,7 @@
 // OnFrame takes a frame from any connection of this request.
 func (a *Assembler) OnFrame(now time.Time, f engineapi.Frame) []Action {
 	if a.ended {
-		a.dropped.Late++
+		a.dropped.AfterEnd++
 		return nil
 	}
 	// A target or a connection that mixes up answers shows as frames of another
@@ -163,8 +163,8 @@
 		a.dropped.Duplicate++
 		return nil
 	}
-	if f.Seq >= a.next+a.params.Reorder {
-		a.dropped.Beyond++
+	if f.Seq >= a.next+a.params.ReorderWindow {
+		a.dropped.BeyondWindow++
 		return a.resume(now, ReasonGap)
 	}
 	// A failure before the first frame may come from an engine that has another
@@ -176,13 +176,13 @@
 	return a.flush(now)
 }
 
-// OnCut is told that the connection ended before the answer, or that a resume failed.
-func (a *Assembler) OnCut(now time.Time) []Action {
+// OnDisconnect is told that the connection ended before the answer, or that a resume failed.
+func (a *Assembler) OnDisconnect(now time.Time) []Action {
 	if a.ended {
 		return nil
 	}
 	a.resuming = false
-	return a.resume(now, ReasonCut)
+	return a.resume(now, ReasonDisconnected)
 }
 
 // Tick checks the deadline, the progress and the oldest gap.
@@ -194,8 +194,8 @@
 		return a.fail(request.CodeDeadline, http.StatusGatewayTimeout, "the answer was not whole by its deadline")
 	case now.Sub(a.progress) >= a.silence():
 		a.resuming = false
-		return a.resume(now, ReasonSilent)
-	case !a.gapSince.IsZero() && now.Sub(a.gapSince) >= a.params.GapWait:
+		return a.resume(now, ReasonIdle)
+	case !a.gapSince.IsZero() && now.Sub(a.gapSince) >= a.params.GapTimeout:
 		return a.resume(now, ReasonGap)
 	}
 	return nil
@@ -204,7 +204,7 @@
 // NextTick returns when Tick has something to do if nothing else happens.
 func (a *Assembler) NextTick() time.Time {
 	at := a.progress.Add(a.silence())
-	if gap := a.gapSince.Add(a.params.GapWait); !a.gapSince.IsZero() && !a.resuming && gap.Before(at) {
+	if gap := a.gapSince.Add(a.params.GapTimeout); !a.gapSince.IsZero() && !a.resuming && gap.Before(at) {
 		at = gap
 	}
 	if d := a.params.Deadline; !d.IsZero() && d.Before(at) {
@@ -215,9 +215,9 @@
 
 func (a *Assembler) silence() time.Duration {
 	if a.next == 0 {
-		return a.params.FirstSilence
+		return a.params.FirstFrameTimeout
 	}
-	return a.params.Silence
+	return a.params.IdleTimeout
 }
 
 func (a *Assembler) kept(seq int) bool {
@@ -230,7 +230,7 @@
 // with another one is not of this answer.
 func (a *Assembler) otherVersion(f engineapi.Frame) []Action {
 	if a.next > 0 {
-		a.dropped.Version++
+		a.dropped.WrongVersion++
 		return nil
 	}
 	a.ended = true
--- a/internal/policy/stream/stream_test.go
+++ b/internal/policy/stream/stream_test.go
@@ -27,7 +27,7 @@
 			var actions []Action
 			switch d.Cmd {
 			case "new":
-				p := Params{RequestID: "r1", Version: "v1", Reorder: 4}
+				p := Params{RequestID: "r1", Version: "v1", ReorderWindow: 4}
 				var deadline int64
 				d.MaybeScanArgs(t, "deadline", &deadline)
 				if deadline > 0 {
@@ -54,7 +54,7 @@
 				}
 				actions = a.OnFrame(now, f)
 			case "cut":
-				actions = a.OnCut(now)
+				actions = a.OnDisconnect(now)
 			case "tick":
 				actions = a.Tick(now)
 			default:
@@ -151,7 +151,7 @@
 			actions = a.OnFrame(now, frames[0])
 			frames = frames[1:]
 		case !silent:
-			actions = a.OnCut(now)
+			actions = a.OnDisconnect(now)
 		}
 		for _, action := range actions {
 			switch act := action.(type) {
@@ -174,7 +174,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewSource(rapid.Int64().Draw(rt, "seed")))
 		tg := newTarget(rng, "r1", "r2")
-		a := New(epoch, Params{RequestID: "r1", Version: "v1", Reorder: rapid.IntRange(1, 16).Draw(rt, "reorder")})
+		a := New(epoch, Params{RequestID: "r1", Version: "v1", ReorderWindow: rapid.IntRange(1, 16).Draw(rt, "reorder")})
 		text, end := run(rng, tg, a, rapid.Float64Range(0, 0.7).Draw(rt, "fault"))
 		want := tg.text("r1")
 		switch e := end.(type) {
@@ -191,7 +191,7 @@
 		default:
 			rt.Fatalf("no end after %q", text)
 		}
-		if len(a.OnFrame(epoch, tg["r1"][0])) != 0 || len(a.OnCut(epoch)) != 0 || len(a.Tick(epoch.Add(time.Hour))) != 0 {
+		if len(a.OnFrame(epoch, tg["r1"][0])) != 0 || len(a.OnDisconnect(epoch)) != 0 || len(a.Tick(epoch.Add(time.Hour))) != 0 {
 			rt.Fatal("an action after the end")
 		}
 	})
--- a/internal/policysim/bench.go
+++ b/internal/policysim/bench.go
@@ -145,8 +145,8 @@
 
 func toggles() []toggle {
 	return append(linkToggles(), []toggle{
-		{"no-reuse", func(c *Config) { c.Placement.Ways.NoReuse = true }},
-		{"no-import", func(c *Config) { c.Placement.Ways.NoImport = true }},
+		{"no-reuse", func(c *Config) { c.Placement.Restrictions.NoReuse = true }},
+		{"no-import", func(c *Config) { c.Placement.Restrictions.NoImport = true }},
 		{"no-demotion", func(c *Config) { c.Off.Demotion = true }},
 		{"no-promotion", func(c *Config) { c.Off.Promotion = true }},
 		{"no-prefetch", func(c *Config) { c.Off.Prefetch = true }},
@@ -159,16 +159,16 @@
 func linkToggles() []toggle {
 	return []toggle{
 		{"all-on", func(*Config) {}},
-		{"no-link-queue", func(c *Config) { c.Placement.Ways.NoQueue = true }},
+		{"no-link-queue", func(c *Config) { c.Placement.Restrictions.NoQueue = true }},
 		{"no-budget", func(c *Config) { c.Off.Budget = true }},
 		{"import-always", func(c *Config) {
-			c.Placement.Ways = placement.Ways{NoReuse: true, NoSplit: true, NoQueue: true}
+			c.Placement.Restrictions = placement.Restrictions{NoReuse: true, NoSplit: true, NoQueue: true}
 			c.Placement.RecomputeWeight = 1
 			c.Off.GiveUp = true
 		}},
 		{"overlap", func(c *Config) { c.Placement.Overlap = true }},
 		{"serial", func(c *Config) { c.Placement.Overlap = false }},
-		{"overlap no-split", func(c *Config) { c.Placement.Overlap, c.Placement.Ways.NoSplit = true, true }},
+		{"overlap no-split", func(c *Config) { c.Placement.Overlap, c.Placement.Restrictions.NoSplit = true, true }},
 	}
 }
 
@@ -217,7 +217,7 @@
 	b.load(load)
 	for _, p := range profiles() {
 		b.point("quick all-on", p, mainSpeed, func(*Config) {})
-		b.point("quick no-reuse", p, mainSpeed, func(c *Config) { c.Placement.Ways.NoReuse = true })
+		b.point("quick no-reuse", p, mainSpeed, func(c *Config) { c.Placement.Restrictions.NoReuse = true })
 	}
 }
 
--- a/internal/policysim/caller.go
+++ b/internal/policysim/caller.go
@@ -38,11 +38,11 @@
 	now := s.clock.time()
 	chain := v.ctx.chain[:v.blocks]
 	located := s.dir.Lookup(v.ctx.scope, chain)
-	s.free(s.dir.Used(v.ctx.scope, chain, now))
+	s.free(s.dir.OnUse(v.ctx.scope, chain, now))
 	plan := placement.Choose(s.config.Placement, placement.Request{
 		Tokens:        v.blocks*block.TokensPerBlock + promptTail,
 		BytesPerToken: s.config.BytesPerToken,
-		Spread:        s.random.Uint64(),
+		TieBreak:      s.random.Uint64(),
 	}, s.candidates(located), s.copies(located))
 	if v.at >= s.config.MeasureFrom {
 		s.result.Kinds[plan.Kind]++
@@ -61,7 +61,7 @@
 	return best
 }
 
-func (s *sim) candidates(located contextdir.Located) []placement.Candidate {
+func (s *sim) candidates(located contextdir.LookupResult) []placement.Candidate {
 	candidates := make([]placement.Candidate, len(s.engines))
 	for i, e := range s.engines {
 		candidates[i] = placement.Candidate{
@@ -72,14 +72,14 @@
 		for _, r := range located.Resident {
 			if r.Target == e.id {
 				candidates[i].ResidentBlocks = r.Blocks
-				candidates[i].Unsure = r.Unsure
+				candidates[i].Unconfirmed = r.Unconfirmed
 			}
 		}
 	}
 	return candidates
 }
 
-func (s *sim) copies(located contextdir.Located) []placement.Copy {
+func (s *sim) copies(located contextdir.LookupResult) []placement.Copy {
 	var copies []placement.Copy
 	for _, c := range located.Copies {
 		st := s.byStore[c.Store]
@@ -127,12 +127,12 @@
 	bytes := int64(plan.ImportBlocks-plan.ReuseBlocks) * s.blockBytes()
 	st := s.byStore[plan.Store]
 	id := s.links.Start(plan.Store, s.tier(st, c.visit.ctx), bytes, s.clock.time())
-	st.budget.Ask(retention.Caller, bytes, s.blockBytes(), s.clock.time())
+	st.budget.Acquire(retention.Caller, bytes, s.blockBytes(), s.clock.time())
 	t := &transfer{bytes: bytes}
 	settle := func(outcome placement.Outcome) {
 		c.importing = false
 		s.links.Finish(plan.Store, id, bytes, outcome, s.clock.time())
-		st.budget.Done(retention.Caller, bytes)
+		st.budget.Release(retention.Caller, bytes)
 		s.pump(st)
 		if c.tail > 0 {
 			c.engine.promised -= c.tail
@@ -142,7 +142,7 @@
 	}
 	t.done = func() {
 		if c.importing {
-			settle(placement.Carried)
+			settle(placement.Completed)
 		}
 	}
 	s.clock.after(s.config.Placement.ImportLatency, func() { s.fetch(st, c.visit.ctx, t) })
@@ -157,7 +157,7 @@
 		s.result.GivenUp++
 		c.cached = had
 		c.prefillEnd = c.engine.prefill((plan.ImportBlocks-had)*block.TokensPerBlock, s.clock.now)
-		settle(placement.GivenUp)
+		settle(placement.TimedOut)
 	})
 }
 
@@ -206,11 +206,11 @@
 	}
 	now := s.clock.time()
 	chain := v.ctx.chain[:v.blocks]
-	correction := s.dir.Answered(c.engine.id, v.ctx.scope, chain, c.cached*block.TokensPerBlock, now)
-	if correction.Actual < correction.Believed {
+	correction := s.dir.OnAnswer(c.engine.id, v.ctx.scope, chain, c.cached*block.TokensPerBlock, now)
+	if correction.Actual < correction.Assumed {
 		s.result.WrongResidence++
 	}
 	s.free(correction.Actions)
-	s.residence[c.engine.id].Entered(entered, now)
+	s.residence[c.engine.id].ObserveInsertions(entered, now)
 	s.export(c, chain)
 }
--- a/internal/policysim/keeper.go
+++ b/internal/policysim/keeper.go
@@ -24,7 +24,7 @@
 		return
 	}
 	located := s.dir.Lookup(ctx.scope, chain)
-	order, ok := retention.Export(s.config.Retention, retention.Answered{
+	order, ok := retention.Export(s.config.Retention, retention.AnsweredContext{
 		Blocks: len(chain),
 		Copies: located.Copies,
 	}, s.rooms(), s.blockBytes())
@@ -59,7 +59,7 @@
 	name := fmt.Sprint("manifest-", s.names)
 	s.owners[name] = ctx
 	st.use(tier, carried)
-	replaced := s.dir.Stored(ctx.scope, ctx.chain[:order.To], contextdir.Copy{
+	replaced := s.dir.OnManifestCommitted(ctx.scope, ctx.chain[:order.To], contextdir.Copy{
 		Manifest: name, Generation: uint64(s.names), Store: st.id, Tier: tier,
 		Blocks: blocks, Bytes: int64(blocks) * s.blockBytes(),
 	})
@@ -90,8 +90,8 @@
 	}
 }
 
-func (s *sim) rooms() []retention.Room {
-	rooms := make([]retention.Room, len(s.stores))
+func (s *sim) rooms() []retention.StoreUsage {
+	rooms := make([]retention.StoreUsage, len(s.stores))
 	for i, st := range s.stores {
 		rooms[i] = st.room
 		rooms[i].LinkQueue = time.Duration(float64(st.link.queued()) / st.link.rate * float64(time.Second))
@@ -104,7 +104,7 @@
 	s.clock.after(tendEvery, s.tend)
 	now := s.clock.time()
 	kept := s.kept[:0]
-	s.dir.EachKept(func(k contextdir.Kept) bool {
+	s.dir.EachStoredContext(func(k contextdir.StoredContext) bool {
 		if s.config.Off.ReturnTime {
 			k.Gaps = contextdir.Gaps{}
 		}
@@ -114,14 +114,14 @@
 	})
 	s.kept = kept
 	for _, st := range s.stores {
-		s.links.Reported(st.id, st.link.queued(), now)
-		for _, m := range retention.MakeRoom(s.config.Retention, st.room, kept, now) {
+		s.links.OnQueueReport(st.id, st.link.queued(), now)
+		for _, m := range retention.PlanEviction(s.config.Retention, st.room, kept, now) {
 			s.move(st, m)
 		}
 		if s.config.Off.Promotion {
 			continue
 		}
-		st.promotions = retention.Promotions(s.config.Retention, st.room, kept, now)
+		st.promotions = retention.PlanPromotions(s.config.Retention, st.room, kept, now)
 		s.promote(st)
 	}
 	if !s.config.Off.Prefetch {
@@ -137,12 +137,12 @@
 	}
 	st.use(m.Copy.Tier, -m.Copy.Bytes)
 	if m.Kind == retention.Free {
-		s.dir.Freed(m.Copy.Manifest)
+		s.dir.OnManifestFreed(m.Copy.Manifest)
 		delete(s.owners, m.Copy.Manifest)
 		return
 	}
 	st.use(storeapi.TierDisk, m.Copy.Bytes)
-	s.dir.Moved(m.Copy.Manifest, storeapi.TierDisk)
+	s.dir.OnManifestMoved(m.Copy.Manifest, storeapi.TierDisk)
 }
 
 // promote reads the next copy from disk, if nothing else is being read.
@@ -156,7 +156,7 @@
 		if s.owners[c.Manifest] != nil {
 			st.use(storeapi.TierDisk, -c.Bytes)
 			st.use(storeapi.TierMemory, c.Bytes)
-			s.dir.Moved(c.Manifest, storeapi.TierMemory)
+			s.dir.OnManifestMoved(c.Manifest, storeapi.TierMemory)
 		}
 		s.promote(st)
 	}})
@@ -165,7 +165,7 @@
 // prefetch imports a context that is expected soon into the least loaded target. It
 // does so once for each return: what was evicted before the caller came is not worth
 // the link a second time.
-func (s *sim) prefetch(k contextdir.Kept) {
+func (s *sim) prefetch(k contextdir.StoredContext) {
 	now := s.clock.time()
 	ctx := s.owners[k.Copies[0].Manifest]
 	if ctx == nil || k.Resident || s.fetched[ctx].Equal(k.LastUse) || k.Copies[0].Tier == storeapi.TierDisk {
@@ -184,8 +184,8 @@
 		alive: func() bool { return true },
 		done: func(carried int64) {
 			if blocks := int(carried / s.blockBytes()); blocks > 0 {
-				s.residence[e.id].Entered(e.insert(ctx, blocks), s.clock.time())
-				s.dir.Imported(e.id, ctx.scope, ctx.chain, blocks)
+				s.residence[e.id].ObserveInsertions(e.insert(ctx, blocks), s.clock.time())
+				s.dir.OnImport(e.id, ctx.scope, ctx.chain, blocks)
 			}
 		},
 	})
@@ -232,7 +232,7 @@
 }
 
 func (s *sim) sendChunk(st *storeVM, b *background) {
-	granted := st.budget.Ask(b.class, b.bytes-b.sent, s.blockBytes(), s.clock.time())
+	granted := st.budget.Acquire(b.class, b.bytes-b.sent, s.blockBytes(), s.clock.time())
 	if granted == 0 {
 		s.pumpLater(st)
 		return
@@ -242,7 +242,7 @@
 		if s.clock.now >= s.config.MeasureFrom {
 			s.result.Background[b.class-retention.Prefetch] += granted
 		}
-		st.budget.Done(b.class, granted)
+		st.budget.Release(b.class, granted)
 		s.pump(st)
 	}})
 }
--- a/internal/policysim/sim.go
+++ b/internal/policysim/sim.go
@@ -78,13 +78,13 @@
 	byStore   map[request.StoreID]*storeVM
 	dir       *contextdir.Directory
 	links     *placement.Links
-	costs     *placement.Costs
+	costs     *placement.PrefillRates
 	residence map[request.TargetID]*retention.Residence
 	names     int
 	owners    map[string]*contextTrace    // by manifest
 	fetched   map[*contextTrace]time.Time // last use before the latest prefetch
 	exporting map[*contextTrace]bool
-	kept      []contextdir.Kept // reused by tend
+	kept      []contextdir.StoredContext // reused by tend
 	result    Result
 }
 
@@ -121,7 +121,7 @@
 		byStore:   map[request.StoreID]*storeVM{},
 		dir:       contextdir.New(contextdir.Params{}),
 		links:     placement.NewLinks(),
-		costs:     placement.NewCosts(c.PrefillRate),
+		costs:     placement.NewPrefillRates(c.PrefillRate),
 		residence: map[request.TargetID]*retention.Residence{},
 		owners:    map[string]*contextTrace{},
 		fetched:   map[*contextTrace]time.Time{},
@@ -160,7 +160,7 @@
 		disk:   channel{clock: &s.clock, rate: rate * s.config.DiskSpeed},
 		budget: retention.NewBudget(s.config.Retention, rate),
 	}
-	st.room = retention.Room{
+	st.room = retention.StoreUsage{
 		Store:       id,
 		MemoryTotal: int64(s.config.StoreMemory * shareBytes),
 		DiskTotal:   int64(s.config.StoreDisk * shareBytes),
--- a/internal/policysim/sim_test.go
+++ b/internal/policysim/sim_test.go
@@ -36,7 +36,7 @@
 	naive := smallRun(7, placement.Atlas(), func(c *Config) { c.Off.Restore = true })
 	always := smallRun(7, placement.Fonografos(), func(c *Config) {
 		half(c)
-		c.Placement.Ways.NoQueue = true
+		c.Placement.Restrictions.NoQueue = true
 		c.Off.GiveUp = true
 	})
 	if p95(&always) < 2*p95(&naive) {
--- a/internal/policysim/slopes.go
+++ b/internal/policysim/slopes.go
@@ -47,8 +47,8 @@
 	now := time.Unix(1_000_000, 0)
 	for i := range contexts {
 		chain := randomChain(r)
-		dir.Answered("t0", slopeScope, chain, 0, now)
-		dir.Stored(slopeScope, chain, contextdir.Copy{
+		dir.OnAnswer("t0", slopeScope, chain, 0, now)
+		dir.OnManifestCommitted(slopeScope, chain, contextdir.Copy{
 			Manifest: fmt.Sprintf("m-%064x-%d", i, i), Store: "s0", Tier: storeapi.TierMemory, Blocks: slopeChain,
 		})
 		if i%(contexts/slopeProbes) == 0 {
--- a/internal/policysim/store.go
+++ b/internal/policysim/store.go
@@ -76,7 +76,7 @@
 	id         request.StoreID
 	link       channel
 	disk       channel
-	room       retention.Room
+	room       retention.StoreUsage
 	budget     *retention.Budget
 	waiting    [2][]*background // prefetches, exports
 	retrying   bool             // the budget will be asked again
