--- a/internal/policy/placement/choose.go
+++ b/internal/policy/placement/choose.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// defaultPrefillRate, in tokens a second, stands in for a target never measured.
+	// defaultPrefillRate, in tokens per second, applies to a target without measurements.
 	defaultPrefillRate = 8000
-	// importSlack is how far any import may exceed its expected time.
+	// importSlack is the factor by which any import may exceed its expected time.
 	importSlack = 2
 )
 
-// Choose returns the best plan for a prompt. Candidates that are down, leaving or hold
-// another weight version are passed over.
+// Choose returns the best plan for a prompt. It skips candidates that are down, leaving
+// or loaded with another weight version.
 func Choose(p Params, r Request, candidates []Candidate, copies []Copy) Plan {
 	e := newEstimator(p, r, candidates, copies)
 	var best ranking
@@ -24,7 +24,7 @@
 		if !usable(r, &candidates[i]) {
 			continue
 		}
-		best.offer(e.option(&candidates[i]), i)
+		best.insert(e.option(&candidates[i]), i)
 	}
 	return e.plan(&best, candidates)
 }
@@ -44,23 +44,24 @@
 	return r.Version == "" || c.Version == r.Version
 }
 
-// cost is an option in plain seconds, small enough to compare many quickly.
+// cost is the estimate of an option in seconds, kept small so that Choose compares many
+// quickly.
 type cost struct {
 	score      float64
 	expected   float64
 	importTime float64
 	reuse      int
 	head       int // zero: no import
-	copy       int // index, valid if head > 0
+	copy       int // index into estimator.copies, valid if head > 0
 }
 
-// estimator holds what is the same for all candidates.
+// estimator holds the inputs that all candidates share.
 type estimator struct {
-	params     Params
-	request    Request
-	copies     []Copy
-	blockBytes float64
-	patience   float64 // seconds in which a plan with an import must finish
+	params      Params
+	request     Request
+	copies      []Copy
+	blockBytes  float64
+	importLimit float64 // longest time to first token, in seconds, of a plan with an import
 }
 
 func newEstimator(p Params, r Request, candidates []Candidate, copies []Copy) *estimator {
@@ -74,10 +75,10 @@
 	for i := range candidates {
 		c := &candidates[i]
 		if usable(r, c) {
-			best = min(best, e.wait(c)+e.crowd(c)+float64(r.Tokens)/rate(c))
+			best = min(best, e.wait(c)+e.contention(c)+float64(r.Tokens)/rate(c))
 		}
 	}
-	e.patience = p.MaxImportSlowdown * best
+	e.importLimit = p.MaxImportSlowdown * best
 	return e
 }
 
@@ -88,15 +89,15 @@
 	return defaultPrefillRate
 }
 
-// crowd returns the seconds that the requests at the target add to a new one.
+// contention returns the seconds that the requests at the target add to a new one.
 //
-// The failure: a prompt whose blocks are imported adds next to nothing to the queue, so
-// that the target whose learned rate is best by a hair looks best to each prompt that
-// follows. All are brought there, the blocks push each other out before their prompts
-// are run, and each is computed after all, one behind the other, while other targets
-// idle. Why the guard holds: a prompt counts as running at its target from the grant on,
-// which is before its import, and the next one goes elsewhere.
-func (e *estimator) crowd(c *Candidate) float64 {
+// A prompt whose blocks are imported adds almost nothing to the prefill queue. Without
+// this term, the target with the slightly highest learned rate stays the best choice for
+// every following prompt. The imported blocks then evict each other before their prompts
+// run, and the target prefills all prompts in sequence while other targets idle. A prompt
+// counts as running from its grant, which precedes its import, so the term steers the
+// next prompt to another target.
+func (e *estimator) contention(c *Candidate) float64 {
 	return e.params.ContentionWait.Seconds() * float64(c.Running+c.Waiting)
 }
 
@@ -109,7 +110,7 @@
 	return queue
 }
 
-// resident returns the leading blocks that can be counted on.
+// resident returns the number of leading blocks of the prompt that the target can reuse.
 func (e *estimator) resident(c *Candidate) int {
 	if e.params.Restrictions.NoReuse || c.Unconfirmed {
 		return 0
@@ -117,49 +118,51 @@
 	return min(c.ResidentBlocks, e.request.Tokens/block.TokensPerBlock)
 }
 
-// option returns the cheapest way to run the prompt on one target.
+// option returns the option with the lowest score on one target.
 func (e *estimator) option(c *Candidate) cost {
 	reuse := e.resident(c)
 	wait := e.wait(c)
-	best := cost{reuse: reuse, expected: wait + e.crowd(c) + e.prefill(c, reuse)}
+	best := cost{reuse: reuse, expected: wait + e.contention(c) + e.prefill(c, reuse)}
 	best.score = e.score(best.expected, reuse, reuse)
 	if e.params.Restrictions.NoImport {
 		return best
 	}
 	for i := range e.copies {
-		if way, ok := e.bestImport(c, i, reuse, wait); ok && way.score < best.score {
-			best = way
+		if imported, ok := e.bestImport(c, i, reuse, wait); ok && imported.score < best.score {
+			best = imported
 		}
 	}
 	return best
 }
 
-// prefill returns the seconds to compute all but the leading blocks.
+// prefill returns the seconds to compute the tokens after the given leading blocks.
 func (e *estimator) prefill(c *Candidate, blocks int) float64 {
 	return float64(e.tail(blocks)) / rate(c)
 }
 
-// tail returns the tokens after the leading blocks; the last one is always computed.
+// tail returns the number of tokens after the leading blocks. It is at least 1, because
+// the target always computes the last token.
 func (e *estimator) tail(blocks int) int {
 	return max(e.request.Tokens-blocks*block.TokensPerBlock, 1)
 }
 
 func (e *estimator) score(expected float64, reuse, head int) float64 {
-	have := max(reuse, head)
-	carried := float64(have-reuse) * e.blockBytes
-	return expected + e.params.RecomputeWeight*float64(e.tail(have)) + e.params.LinkWeight*carried
+	covered := max(reuse, head)
+	linkBytes := float64(covered-reuse) * e.blockBytes
+	return expected + e.params.RecomputeWeight*float64(e.tail(covered)) + e.params.LinkWeight*linkBytes
 }
 
 // bestImport returns the best head to import from one copy.
 //
 // The end of the import grows linearly with the head, and the end of the prefill
 // shrinks linearly with it, so the score is convex and piecewise linear. Its minimum
-// lies at an end, at the crossing or at a limit of patience; only these are tried.
+// lies at an end of the range, at the crossing or at the import limit, so bestImport
+// evaluates only these heads.
 func (e *estimator) bestImport(c *Candidate, index, reuse int, wait float64) (cost, bool) {
 	copied := &e.copies[index]
-	whole := min(copied.Blocks, e.request.Tokens/block.TokensPerBlock)
+	available := min(copied.Blocks, e.request.Tokens/block.TokensPerBlock)
 	linkRate := importRate(copied)
-	if copied.Link.Down || linkRate <= 0 || whole <= reuse {
+	if copied.Link.Down || linkRate <= 0 || available <= reuse {
 		return cost{}, false
 	}
 	perBlock := e.blockBytes / linkRate
@@ -167,57 +170,57 @@
 	if !e.params.Restrictions.NoQueue {
 		start += float64(copied.Link.QueuedBytes) / linkRate
 	}
-	limit := whole
+	limit := available
 	if !e.params.Restrictions.NoQueue {
-		limit = min(whole, reuse+int(max(0, (e.patience-start)/perBlock)))
+		limit = min(available, reuse+int(max(0, (e.importLimit-start)/perBlock)))
 	}
 	best := cost{score: math.Inf(1)}
-	found := func() (cost, bool) { return best, best.head > 0 }
-	try := func(head int) {
+	result := func() (cost, bool) { return best, best.head > 0 }
+	consider := func(head int) {
 		importEnd := start + float64(head-reuse)*perBlock
-		way := cost{reuse: reuse, head: head, copy: index, importTime: importEnd}
-		way.expected = e.finish(wait, importEnd, e.prefill(c, head)) + e.crowd(c)
-		if way.expected > e.patience && !e.params.Restrictions.NoQueue {
+		trial := cost{reuse: reuse, head: head, copy: index, importTime: importEnd}
+		trial.expected = e.finish(wait, importEnd, e.prefill(c, head)) + e.contention(c)
+		if trial.expected > e.importLimit && !e.params.Restrictions.NoQueue {
 			return
 		}
-		way.score = e.score(way.expected, reuse, head)
-		if way.score < best.score {
-			best = way
+		trial.score = e.score(trial.expected, reuse, head)
+		if trial.score < best.score {
+			best = trial
 		}
 	}
 	if e.params.Restrictions.NoSplit {
-		if limit < whole {
+		if limit < available {
 			return cost{}, false
 		}
-		try(whole)
-		return found()
+		consider(available)
+		return result()
 	}
 	if limit <= reuse {
 		return cost{}, false
 	}
-	try(limit)
+	consider(limit)
 	crossing := reuse + e.crossing(c, reuse, wait, start, perBlock)
-	worth := reuse + e.serialWorth(c, reuse, start, perBlock)
-	for _, head := range [...]int{crossing, crossing + 1, worth} {
+	serial := reuse + e.serialLimit(c, reuse, start, perBlock)
+	for _, head := range [...]int{crossing, crossing + 1, serial} {
 		if head > reuse && head < limit {
-			try(head)
+			consider(head)
 		}
 	}
-	return found()
+	return result()
 }
 
-// serialWorth returns the most blocks that a target that can't overlap may import
-// without finishing past the limit of patience.
-func (e *estimator) serialWorth(c *Candidate, reuse int, start, perBlock float64) int {
-	slower := perBlock - block.TokensPerBlock/rate(c)
-	if e.params.Overlap || slower <= 0 {
+// serialLimit returns the largest number of blocks that a target without overlap can
+// import and still finish within the import limit.
+func (e *estimator) serialLimit(c *Candidate, reuse int, start, perBlock float64) int {
+	netPerBlock := perBlock - block.TokensPerBlock/rate(c)
+	if e.params.Overlap || netPerBlock <= 0 {
 		return 0
 	}
-	return int(max(0, (e.patience-start-e.prefill(c, reuse))/slower))
+	return int(max(0, (e.importLimit-start-e.prefill(c, reuse))/netPerBlock))
 }
 
-// crossing returns how many blocks to import so that the import ends when the target
-// is ready for them.
+// crossing returns the number of blocks to import so that the import ends when the
+// target is ready for them.
 func (e *estimator) crossing(c *Candidate, reuse int, wait, start, perBlock float64) int {
 	if !e.params.Overlap {
 		return int((wait - start) / perBlock)
@@ -226,7 +229,8 @@
 	return int((wait + e.prefill(c, reuse) - start) / (perBlock + perBlockPrefill))
 }
 
-// finish returns the seconds to the first token of an import with the rest prefilled.
+// finish returns the seconds to the first token if the target imports a head and
+// prefills the rest.
 func (e *estimator) finish(wait, importEnd, prefill float64) float64 {
 	if e.params.Overlap {
 		return max(wait+prefill, importEnd)
--- a/internal/policy/placement/choose_test.go
+++ b/internal/policy/placement/choose_test.go
@@ -19,7 +19,7 @@
 
 const testBytesPerToken = 128 << 10
 
-// TestChoose reads candidates and copies, one a line, and prints the plan.
+// TestChoose parses candidates and copies, one per line, and prints the plan.
 func TestChoose(t *testing.T) {
 	datadriven.Walk(t, "testdata/choose", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, td *datadriven.TestData) string {
@@ -39,15 +39,15 @@
 			var deadline int
 			td.MaybeScanArgs(t, "deadline", &deadline)
 			r.Deadline = time.Duration(deadline) * time.Millisecond
-			candidates, copies := parseWorld(t, td.Input)
+			candidates, copies := parseInput(t, td.Input)
 			return formatPlan(Choose(p, r, candidates, copies))
 		})
 	})
 }
 
-// parseWorld reads lines such as "target t1 queued=4000 resident=10 leaving" and
+// parseInput parses lines such as "target t1 queued=4000 resident=10 leaving" and
 // "copy s1 blocks=312 rate=3e9 queued=1e9 down".
-func parseWorld(t *testing.T, input string) ([]Candidate, []Copy) {
+func parseInput(t *testing.T, input string) ([]Candidate, []Copy) {
 	var candidates []Candidate
 	var copies []Copy
 	for line := range strings.Lines(input) {
@@ -113,7 +113,7 @@
 	return s
 }
 
-func drawWorld(t *rapid.T) (Params, Request, []Candidate, []Copy) {
+func drawInput(t *rapid.T) (Params, Request, []Candidate, []Copy) {
 	p := rapid.SampledFrom([]Params{Atlas(), Fonografos()}).Draw(t, "profile")
 	p.Overlap = rapid.Bool().Draw(t, "overlap")
 	r := Request{Tokens: rapid.IntRange(1, 6000).Draw(t, "tokens"), BytesPerToken: testBytesPerToken}
@@ -142,28 +142,29 @@
 	return p, r, candidates, copies
 }
 
-// The twin tries every head of every copy on every target, where Choose tries only the
-// few at which the minimum can lie. Both must find the same best score.
+// TestChooseFindsTheBestOfAll compares Choose with an exhaustive search. Choose evaluates
+// only the few heads at which the minimum can lie; the search evaluates every head of
+// every copy on every target. Both must find the same best score.
 func TestChooseFindsTheBestOfAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, r, candidates, copies := drawWorld(t)
+		p, r, candidates, copies := drawInput(t)
 		plan := Choose(p, r, candidates, copies)
 		best := exhaustive(p, r, candidates, copies)
 		if math.IsInf(best, 1) != !plan.Found {
-			t.Fatalf("found %t, best of all %v", plan.Found, best)
+			t.Fatalf("found %t, exhaustive search %v", plan.Found, best)
 		}
 		if plan.Found && math.Abs(plan.Score-best) > 1e-6*(1+best) {
-			t.Fatalf("score %v of %+v, best of all %v", plan.Score, plan.Option, best)
+			t.Fatalf("score %v of %+v, exhaustive search %v", plan.Score, plan.Option, best)
 		}
 	})
 }
 
 func exhaustive(p Params, r Request, candidates []Candidate, copies []Copy) float64 {
 	best := math.Inf(1)
-	patience := math.Inf(1)
+	importLimit := math.Inf(1)
 	for _, c := range candidates {
 		if !c.Down {
-			patience = min(patience, p.MaxImportSlowdown*(float64(c.QueuedPrefillTokens)+float64(r.Tokens))/c.PrefillRate)
+			importLimit = min(importLimit, p.MaxImportSlowdown*(float64(c.QueuedPrefillTokens)+float64(r.Tokens))/c.PrefillRate)
 		}
 	}
 	for _, c := range candidates {
@@ -191,7 +192,7 @@
 			for head := reuse + 1; head <= min(s.Blocks, r.Tokens/block.TokensPerBlock); head++ {
 				bytes := float64(s.Link.QueuedBytes) + float64(head-reuse)*block.TokensPerBlock*testBytesPerToken
 				end := p.ImportLatency.Seconds() + bytes/s.Link.BytesPerSec
-				if end <= patience && finish(head, end) <= patience {
+				if end <= importLimit && finish(head, end) <= importLimit {
 					best = min(best, score(head, end))
 				}
 			}
@@ -200,11 +201,12 @@
 	return best
 }
 
-// All calls of a fleet come back at once after a pause. With "import if there is a
-// copy" each one joins the same store's queue, and the last caller waits for minutes
-// although an idle target could compute its context in seconds. A plan must never
-// expect longer than the best target needs to prefill.
-func TestImportNeverWaitsPastItsWorth(t *testing.T) {
+// TestImportQueueStaysBounded sends the prompts of 200 callers that return at the same
+// time. If every prompt with a copy is imported, all imports join the same store's queue,
+// and the last caller waits for minutes although an idle target could prefill its context
+// in seconds. No import may end later than MaxImportSlowdown allows, relative to the time
+// that the best target needs to prefill.
+func TestImportQueueStaysBounded(t *testing.T) {
 	naive := Atlas()
 	naive.Restrictions = Restrictions{NoSplit: true, NoQueue: true}
 	for _, ours := range []Params{Atlas(), Fonografos()} {
@@ -218,7 +220,7 @@
 		}
 		const prefillAll = 2500 * time.Millisecond
 		if naiveWorst < 100*time.Second {
-			t.Fatalf("the naive choice was expected to grow the queue without bound, worst %v", naiveWorst)
+			t.Fatalf("the naive choice should grow the queue without bound, but its worst import ends after %v", naiveWorst)
 		}
 		if oursWorst > time.Duration(float64(prefillAll)*ours.MaxImportSlowdown)+time.Millisecond {
 			t.Fatalf("worst import ends after %v", oursWorst)
--- a/internal/policy/placement/doc.go
+++ b/internal/policy/placement/doc.go
@@ -1,11 +1,11 @@
 // Package placement chooses the target of a prompt and how its context gets there.
 //
-// For every candidate target it estimates the time to first token of four ways: reuse
-// the blocks in place, import the whole context from a store VM, import a head and
-// prefill the tail meanwhile, or prefill everything. Recomputed tokens and link bytes
-// are weighed in, by settings. The estimate of an import starts with the bytes that
-// already wait for the store's link, so that a busy link shortens the head instead of
-// growing its queue.
+// For every candidate target, Choose estimates the time to first token of four options:
+// reuse the resident blocks, import the complete context from a store VM, import a head
+// and prefill the tail meanwhile, or prefill everything. The score of an option adds
+// weighted costs of recomputed tokens and transferred bytes. The estimate of an import
+// includes the bytes that are already queued on the store's link, so a busy link
+// shortens the imported head instead of growing the queue.
 //
-// The package is pure: it holds no clock, and equal arguments give equal plans.
+// The package is pure: it reads no clock, and equal arguments give equal plans.
 package placement
--- a/internal/policy/placement/dump.go
+++ b/internal/policy/placement/dump.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// LinkDump is one link's part of a daemon's state dump.
+// LinkDump is the entry of one link in a daemon's state dump.
 type LinkDump struct {
 	Store       request.StoreID `json:"store"`
 	BytesPerSec float64         `json:"bytes_per_sec"`
@@ -17,7 +17,7 @@
 	Failures    int             `json:"failures"`
 }
 
-// Dump returns the state of all links, by store.
+// Dump returns the state of all links, sorted by store.
 func (l *Links) Dump(now time.Time) []LinkDump {
 	dump := make([]LinkDump, 0, len(l.links))
 	for store, k := range l.links {
--- a/internal/policy/placement/links_test.go
+++ b/internal/policy/placement/links_test.go
@@ -13,16 +13,16 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// The link of a store slows to a tenth while an import is on it. Nothing finishes for
-// a long time, so a tracker that learns from finished transfers goes on sending every
-// caller there. Ours sees that the transfer in hand is overdue and plans shorter heads
-// within seconds.
-func TestSlowLinkIsNoticedBeforeAnythingFinishes(t *testing.T) {
+// TestSlowLinkIsDetectedBeforeTransferCompletes slows a store's link to a tenth during an
+// import. No transfer finishes for a long time, so a tracker that learns only from finished
+// transfers keeps sending every caller to the store. Links must detect the overdue transfer,
+// so that Choose plans shorter heads within seconds.
+func TestSlowLinkIsDetectedBeforeTransferCompletes(t *testing.T) {
 	const rate = 3e9
 	l := NewLinks()
 	l.Configure("s1", rate)
-	l.Start("s1", storeapi.TierMemory, rate, epoch) // a second's worth
-	naiveRate := rate                               // nothing has finished, so nothing was learned
+	l.Start("s1", storeapi.TierMemory, rate, epoch) // takes 1 s at the configured rate
+	naiveRate := rate                               // no transfer has finished, so the rate is unchanged
 
 	now := epoch.Add(5 * time.Second)
 	state := l.State("s1", now)
@@ -31,19 +31,20 @@
 	naive := Choose(Fonografos(), r, targets, []Copy{{Store: "s1", Blocks: 312, Link: LinkState{BytesPerSec: naiveRate}}})
 	ours := Choose(Fonografos(), r, targets, []Copy{{Store: "s1", Blocks: 312, Link: state}})
 	const trueRate = rate / 10
-	if naiveTakes := float64(naive.LinkBytes) / trueRate; naiveTakes < 8 {
-		t.Fatalf("the naive import was expected to take far longer than prefilling, took %.1f s", naiveTakes)
+	if naiveSeconds := float64(naive.LinkBytes) / trueRate; naiveSeconds < 8 {
+		t.Fatalf("the naive import should take at least 8 s, took %.1f s", naiveSeconds)
 	}
 	if ours.ImportBlocks > naive.ImportBlocks/3 {
 		t.Fatalf("import of %d blocks (naive %d) with state %+v", ours.ImportBlocks, naive.ImportBlocks, state)
 	}
 }
 
-// A store VM dies after a plan was made. Without a deadline the caller waits for the
-// import until the connection times out. The plan carries a deadline within which
-// prefilling would have been as good; giving up there marks the store, so that the
-// next plan prefills at once, and the store is tried again after a pause.
-func TestStoreDiesAfterThePlan(t *testing.T) {
+// TestStoreFailsDuringImport covers a store VM that fails after Choose returned a plan.
+// Without a deadline, the caller waits for the import until the connection times out. The
+// plan's import deadline is at most the time to prefill. After the import times out, Links
+// backs off from the store, so the next plan prefills at once, and a plan after the backoff
+// imports again.
+func TestStoreFailsDuringImport(t *testing.T) {
 	l := NewLinks()
 	l.Configure("s1", 3e9)
 	r := Request{Tokens: 20000, BytesPerToken: testBytesPerToken}
@@ -54,20 +55,21 @@
 	plan := choose(epoch)
 	const connectionTimeout = 30 * time.Second
 	if plan.LinkBytes == 0 || plan.ImportDeadline <= 0 || plan.ImportDeadline > 2500*time.Millisecond {
-		t.Fatalf("the plan would hold its caller for up to %v: %+v", connectionTimeout, plan)
+		t.Fatalf("the caller would wait for up to %v: %+v", connectionTimeout, plan)
 	}
 	id := l.Start("s1", storeapi.TierMemory, plan.LinkBytes, epoch)
-	gaveUp := epoch.Add(plan.ImportDeadline)
-	l.Finish("s1", id, 0, TimedOut, gaveUp)
-	if next := choose(gaveUp); next.LinkBytes != 0 {
-		t.Fatalf("the dead store was chosen again: %+v", next)
+	timedOutAt := epoch.Add(plan.ImportDeadline)
+	l.Finish("s1", id, 0, TimedOut, timedOutAt)
+	if next := choose(timedOutAt); next.LinkBytes != 0 {
+		t.Fatalf("the failed store was chosen again: %+v", next)
 	}
-	if later := choose(gaveUp.Add(downFor)); later.LinkBytes == 0 {
-		t.Fatal("the store is never tried again")
+	if later := choose(timedOutAt.Add(minBackoff)); later.LinkBytes == 0 {
+		t.Fatal("the store is not used again after its backoff")
 	}
 }
 
-// Whatever is started and finished, no bytes are lost or counted twice.
+// TestOutstandingBytes checks that Links neither loses bytes nor counts them twice over any
+// sequence of started and finished transfers.
 func TestOutstandingBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLinks()
@@ -94,24 +96,25 @@
 	})
 }
 
-func TestCostsLearn(t *testing.T) {
+func TestPrefillRatesConverge(t *testing.T) {
 	c := NewPrefillRates(0)
 	for range 30 {
 		c.ObservePrefill("slow", 2000, time.Second)
 	}
 	c.ObservePrefill("slow", 10, time.Hour)
 	if got := c.PrefillRate("slow"); got < 1990 || got > 2020 {
-		t.Fatalf("learned %f tokens a second of 2000", got)
+		t.Fatalf("learned %f tokens per second, want about 2000", got)
 	}
 	if got := c.PrefillRate("new"); got != defaultPrefillRate {
 		t.Fatalf("a new target starts at %f", got)
 	}
 }
 
-// Two callers' imports share a link turn by turn and end one just after the other. The
-// first seems to have had half the rate, the second many times the rate, so that a
-// tracker that takes them one by one swings between both. Ours keeps the rate.
-func TestSharedLinkKeepsItsRate(t *testing.T) {
+// TestConcurrentTransfersKeepLearnedRate runs two imports that share a link and end one
+// just after the other. Measured alone, the first shows half the rate and the second many
+// times the rate, so a tracker that measures single transfers oscillates. Links must keep
+// the true rate.
+func TestConcurrentTransfersKeepLearnedRate(t *testing.T) {
 	const rate, bytes = 3e9, 3e9
 	l := NewLinks()
 	l.Configure("s1", rate)
@@ -125,21 +128,22 @@
 		l.Finish("s1", second, bytes, Completed, now.Add(secondTime))
 		now = now.Add(secondTime)
 		for _, elapsed := range []time.Duration{firstTime, secondTime - firstTime} {
-			naive = learn(naive, bytes/elapsed.Seconds())
+			naive = smoothRate(naive, bytes/elapsed.Seconds())
 			lowest, highest = min(lowest, naive), max(highest, naive)
 		}
 		if got := l.LearnedRate("s1"); got < 0.99*rate || got > 1.01*rate {
-			t.Fatalf("learned %g bytes a second of %g", got, float64(rate))
+			t.Fatalf("learned %g bytes per second, want %g", got, float64(rate))
 		}
 	}
 	if highest < 1.5*lowest {
-		t.Fatalf("the naive rate was expected to swing, stayed from %g to %g", lowest, highest)
+		t.Fatalf("the naive rate should oscillate, but stayed between %g and %g", lowest, highest)
 	}
 }
 
-// A daemon weighs an import from a store VM before it first reads the VM's row, and then
-// takes a fast link for a slow one for ever.
-func TestLinkIsConfiguredAfterItWasWeighed(t *testing.T) {
+// TestConfigureAfterFirstState covers a daemon that estimates an import from a store VM
+// before it first reads the VM's row. The default rate must not stay in effect, or the
+// daemon would treat a fast link as slow indefinitely.
+func TestConfigureAfterFirstState(t *testing.T) {
 	l := NewLinks()
 	l.State("s1", epoch)
 	l.Configure("s1", 3e9)
@@ -151,6 +155,6 @@
 	learned := l.LearnedRate("s1")
 	l.Configure("s1", 3e9)
 	if got := l.LearnedRate("s1"); got != learned || got >= 3e9 {
-		t.Fatalf("the settings undid what was learned: %g, then %g", learned, got)
+		t.Fatalf("Configure replaced the learned rate: %g, then %g", learned, got)
 	}
 }
--- a/internal/policy/placement/plan.go
+++ b/internal/policy/placement/plan.go
@@ -6,15 +6,15 @@
 	"github.com/bluebellscale/bluebellscale/internal/block"
 )
 
-// ranking keeps the best few options in order.
+// ranking holds the best maxOptions options, best first.
 type ranking struct {
 	costs   [maxOptions]cost
 	indexes [maxOptions]int
 	count   int
 }
 
-// offer inserts an option; an earlier candidate wins a tie.
-func (r *ranking) offer(c cost, index int) {
+// insert adds an option; among equal scores the earlier candidate ranks higher.
+func (r *ranking) insert(c cost, index int) {
 	at := r.count
 	for at > 0 && c.score < r.costs[at-1].score {
 		at--
@@ -49,11 +49,11 @@
 	return plan
 }
 
-// importDeadline guards against a store that dies or a link that slows after the
-// choice: the caller would wait on an import that prefilling has long overtaken. An
-// import is waited for as long as prefilling its head would take, so a caller loses at
-// most as much by waiting as by giving up too soon; one that was expected to take
-// about as long or longer gets its time twice.
+// importDeadline bounds the wait for an import whose store fails or whose link slows down
+// after the choice. Without it, the caller waits for an import long after prefilling
+// would have finished. The deadline is the time to prefill the imported head, so that
+// waiting costs the caller at most as much as cancelling too early. It is at least twice
+// the expected import time, for imports that take about as long as prefilling or longer.
 func (e *estimator) importDeadline(c cost, target *Candidate) time.Duration {
 	if c.head == 0 {
 		return 0
@@ -63,14 +63,14 @@
 }
 
 func (e *estimator) describe(c cost, target *Candidate) Option {
-	have := max(c.reuse, c.head)
+	covered := max(c.reuse, c.head)
 	o := Option{
 		Target:       target.ID,
 		Kind:         e.kind(c),
 		ReuseBlocks:  c.reuse,
 		PromptBlocks: e.request.Tokens / block.TokensPerBlock,
 		Overlapped:   e.params.Overlap,
-		Recomputed:   e.tail(have),
+		Recomputed:   e.tail(covered),
 		Expected:     duration(c.expected),
 		ImportTime:   duration(c.importTime),
 		Score:        c.score,
--- a/internal/policy/placement/types.go
+++ b/internal/policy/placement/types.go
@@ -6,42 +6,42 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Params are the weights and limits of a deployment.
+// Params holds the weights and limits of a deployment.
 type Params struct {
-	// RecomputeWeight is the time to first token, in seconds, that one token not
-	// recomputed is worth.
+	// RecomputeWeight is the cost of recomputing one token, in seconds of time to first
+	// token.
 	RecomputeWeight float64
-	// LinkWeight is the time to first token, in seconds, that one byte not carried is worth.
+	// LinkWeight is the cost of transferring one byte, in seconds of time to first token.
 	LinkWeight float64
-	// MaxImportSlowdown limits the time to first token of a plan with an import, as a multiple of
-	// what the best target would need to prefill the whole prompt.
+	// MaxImportSlowdown limits the time to first token of a plan with an import, as a
+	// multiple of the time that the best target would need to prefill the whole prompt.
 	MaxImportSlowdown float64
-	// Overlap tells that targets prefill the tail while the head is being imported. The
-	// profiles leave it off: the daemon sends the prompt when its import has ended.
+	// Overlap states that targets prefill the tail while the head is being imported. It
+	// is off where the daemon sends the prompt only after its import has ended.
 	Overlap bool
-	// PrefillChunkTokens is how many tokens targets prefill at a stretch.
+	// PrefillChunkTokens is the number of tokens that a target prefills in one step.
 	PrefillChunkTokens int
 	// ImportLatency is the fixed cost of an import.
 	ImportLatency time.Duration
-	// SlotWait is the expected wait for one of a target's running requests to end,
-	// for each request ahead, when the target runs as many as it can.
+	// SlotWait is the expected wait for one running request to end. It applies once per
+	// request ahead when the target runs its maximum number of requests.
 	SlotWait time.Duration
-	// ContentionWait is what each request that a target runs already, or brings the blocks
-	// for, adds to a new one's expected time: its steps are taken turn by turn.
+	// ContentionWait is added to the expected time of a new request for each request that
+	// the target already runs or imports blocks for, since the target interleaves their steps.
 	ContentionWait time.Duration
-	// Restrictions switches ways off; the zero value allows all.
+	// Restrictions excludes options from placement; the zero value allows all.
 	Restrictions Restrictions
 }
 
-// Restrictions switches ways of placement off, for measurements and emergencies.
+// Restrictions excludes options from placement, for measurements and emergencies.
 type Restrictions struct {
 	NoReuse  bool // ignore blocks in accelerator memory
 	NoImport bool // never import
-	NoSplit  bool // import whole or not at all
+	NoSplit  bool // import all copied blocks or none
 	NoQueue  bool // ignore the link's queue
 }
 
-// Atlas returns the profile that puts time to first token first.
+// Atlas returns the profile that prioritizes time to first token.
 func Atlas() Params {
 	return Params{
 		RecomputeWeight:    2e-5,
@@ -54,7 +54,7 @@
 	}
 }
 
-// Fonografos returns the profile that puts the recomputed share first.
+// Fonografos returns the profile that prioritizes a low share of recomputed tokens.
 func Fonografos() Params {
 	p := Atlas()
 	p.RecomputeWeight = 1e-3
@@ -68,9 +68,9 @@
 	Tokens        int   // of the whole prompt
 	BytesPerToken int64 // of KV cache
 	Version       request.Version
-	Deadline      time.Duration // time left for the first token; zero: none
-	// Spread, any number, decides between equal targets. Without it all daemons would
-	// send to the first idle target of the list.
+	Deadline      time.Duration // time left until the first token is due; zero: none
+	// TieBreak is an arbitrary number that selects among targets with equal scores.
+	// Without it, all daemons would choose the first idle target of the list.
 	TieBreak uint64
 }
 
@@ -79,15 +79,15 @@
 	ID                  request.TargetID
 	FailureDomain       string
 	Version             request.Version // loaded weight version
-	QueuedPrefillTokens int             // waiting, plus granted since the load report
+	QueuedPrefillTokens int             // queued at the load report, plus granted since
 	Running             int
 	Waiting             int
 	MaxRunning          int  // zero: unlimited
 	ResidentBlocks      int  // leading blocks of the prompt in accelerator memory
-	Unconfirmed         bool // its blocks are not counted on
+	Unconfirmed         bool // ResidentBlocks may be outdated and is ignored
 	Down                bool
 	Leaving             bool
-	PrefillRate         float64 // tokens a second, see Costs
+	PrefillRate         float64 // tokens per second, see PrefillRates
 }
 
 // Copy is a store VM's copy of the prompt's leading blocks.
@@ -95,28 +95,29 @@
 	Store  request.StoreID
 	Blocks int
 	Link   LinkState
-	// TierBytesPerSec limits the rate of a copy on disk; zero: no limit besides the link.
+	// TierBytesPerSec limits the read rate of a copy on disk; zero: only the link limits it.
 	TierBytesPerSec float64
 }
 
-// LinkState is what a store VM's link can do for a waiting caller now.
+// LinkState is the current state of a store VM's link, as seen by a new import that a
+// caller waits for.
 type LinkState struct {
 	BytesPerSec float64
-	QueuedBytes int64 // ahead of a new import of a waiting caller
+	QueuedBytes int64 // ahead of the new import
 	Down        bool
 }
 
-// Kind is the way in which a context gets to its target.
+// Kind is the method by which a target obtains the KV cache of a prompt.
 type Kind int
 
 const (
 	// Prefill computes the whole prompt.
 	Prefill Kind = iota
-	// Reuse uses the blocks in place and prefills what follows them.
+	// Reuse uses the resident blocks and prefills the rest.
 	Reuse
-	// ImportWhole imports all that the copy has.
+	// ImportWhole imports all blocks that the copy shares with the prompt.
 	ImportWhole
-	// ImportHead imports a head and prefills the tail meanwhile.
+	// ImportHead imports leading blocks of the copy and prefills the rest.
 	ImportHead
 )
 
@@ -125,34 +126,34 @@
 // String returns the name used in logs and dumps.
 func (k Kind) String() string { return kindNames[k] }
 
-// Option is one target with its best way.
+// Option is one target with its best Kind of placement.
 type Option struct {
 	Target       request.TargetID
 	Kind         Kind
-	ReuseBlocks  int             // leading blocks already there
-	ImportBlocks int             // leading blocks to have after the import; zero: no import
-	Store        request.StoreID // to import from
-	PromptBlocks int             // whole blocks of the prompt
-	Overlapped   bool            // the target computes while the import runs
-	LinkBytes    int64           // bytes that the import carries
+	ReuseBlocks  int             // leading blocks already resident
+	ImportBlocks int             // leading blocks resident after the import; zero: no import
+	Store        request.StoreID // source of the import
+	PromptBlocks int             // complete blocks of the prompt
+	Overlapped   bool            // the target prefills while the import runs
+	LinkBytes    int64           // bytes that the import transfers
 	Recomputed   int             // tokens to prefill
 	Expected     time.Duration   // time to first token
-	ImportTime   time.Duration   // expected end of the import
+	ImportTime   time.Duration   // expected duration of the import, queueing included
 	Score        float64         // seconds, lower is better
 }
 
-// maxOptions is how many options a plan ranks.
+// maxOptions is the number of options that a plan ranks.
 const maxOptions = 4
 
 // Plan is the choice for one prompt.
 type Plan struct {
 	Option
 	Found bool // false: no candidate can run the prompt
-	// ImportDeadline is when, from now, an unfinished import has lost its worth: the
-	// daemon then gives it up and lets the target prefill.
+	// ImportDeadline is the time from now after which the daemon cancels an unfinished
+	// import and lets the target prefill.
 	ImportDeadline     time.Duration
 	PrefillChunkTokens int
-	MissesDeadline     bool // Expected is beyond the request's deadline
-	// Alternatives are the next best targets, for a retry elsewhere.
+	MissesDeadline     bool // Expected exceeds the request's deadline
+	// Alternatives are the next best options, for a retry on another target.
 	Alternatives []Option
 }
