--- a/internal/policy/retention/export.go
+++ b/internal/policy/retention/export.go
@@ -8,46 +8,46 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Residence estimates how long a target's accelerator memory keeps blocks after their
-// last use, from the rate at which blocks enter it.
+// Residence estimates how long blocks stay in a target's accelerator memory after their
+// last use, from the rate at which new blocks are inserted.
 type Residence struct {
 	totalBlocks int
-	entered     float64 // blocks, weighted by how recently they entered
-	weight      float64 // seconds that were observed, weighted likewise
+	inserted    float64 // blocks, with exponentially decaying weight
+	weight      float64 // observed seconds, decaying likewise
 	last        time.Time
 }
 
 const (
-	// residenceWindow is the time after which an observation has lost most of its weight.
+	// residenceWindow is the time constant of the decay of observations.
 	residenceWindow = 60 * time.Second
-	// longResidence stands for memory that nothing pushes out of.
-	longResidence = 24 * time.Hour
+	// maxResidence is the estimate for memory from which blocks are practically never evicted.
+	maxResidence = 24 * time.Hour
 )
 
-// NewResidence returns an estimate for a target with room for totalBlocks.
+// NewResidence returns an estimate for a target with capacity for totalBlocks.
 func NewResidence(totalBlocks int) *Residence { return &Residence{totalBlocks: totalBlocks} }
 
-// ObserveInsertions records that blocks entered the cache.
+// ObserveInsertions records that blocks were inserted into the cache.
 func (r *Residence) ObserveInsertions(blocks int, now time.Time) {
 	r.advance(now)
-	r.entered += float64(blocks)
+	r.inserted += float64(blocks)
 }
 
 func (r *Residence) advance(now time.Time) {
 	if elapsed := now.Sub(r.last).Seconds(); !r.last.IsZero() && elapsed > 0 {
-		fade := math.Exp(-elapsed / residenceWindow.Seconds())
-		r.entered *= fade
-		r.weight = r.weight*fade + elapsed
+		decay := math.Exp(-elapsed / residenceWindow.Seconds())
+		r.inserted *= decay
+		r.weight = r.weight*decay + elapsed
 	}
 	r.last = now
 }
 
-// Estimate returns how long blocks stay.
+// Estimate returns how long blocks stay resident.
 func (r *Residence) Estimate(now time.Time) time.Duration {
 	r.advance(now)
-	perSecond := r.entered / max(1, r.weight)
-	if perSecond*longResidence.Seconds() <= float64(r.totalBlocks) {
-		return longResidence
+	perSecond := r.inserted / max(1, r.weight)
+	if perSecond*maxResidence.Seconds() <= float64(r.totalBlocks) {
+		return maxResidence
 	}
 	return time.Duration(float64(r.totalBlocks) / perSecond * float64(time.Second))
 }
@@ -58,7 +58,7 @@
 	Copies []contextdir.Copy
 }
 
-// StoreUsage is what a store VM has left.
+// StoreUsage is the state and the usage of a store VM.
 type StoreUsage struct {
 	Store       request.StoreID
 	Down        bool
@@ -66,39 +66,39 @@
 	MemoryTotal int64
 	DiskUsed    int64
 	DiskTotal   int64
-	LinkQueue   time.Duration // time that present transfers hold the link
+	LinkQueue   time.Duration // time that current transfers occupy the link
 }
 
-// ExportOrder says what to export where. Blocks before From are in the store already
-// under the copy that the new manifest extends.
+// ExportOrder is the export of a range of blocks to a store. The copy that the new
+// manifest extends already holds the blocks before From.
 type ExportOrder struct {
 	Store   request.StoreID
-	From    int // first block to write, counted from 0
-	To      int // blocks that the manifest will commit
-	Extends string
+	From    int    // first block to write, counted from 0
+	To      int    // blocks that the manifest will commit
+	Extends string // manifest of the extended copy; empty: none
 }
 
-// Export decides whether a context is exported after its answer: it is if a store lacks
-// enough of it. A live copy is extended in place, so that only new blocks use the link.
-// Leaving out contexts that are expected back before eviction was measured to recompute
-// more without saving link time, so their gaps are not asked.
-func Export(p Params, a AnsweredContext, rooms []StoreUsage, bytesPerBlock int64) (ExportOrder, bool) {
+// Export decides whether to export a context after its answer, which it does if the
+// context's longest copy lacks enough blocks. It extends a live copy in place, so only new
+// blocks use the link. It ignores the expected return: skipping contexts that are due
+// before their eviction increases recomputation without saving link time.
+func Export(p Params, a AnsweredContext, stores []StoreUsage, bytesPerBlock int64) (ExportOrder, bool) {
 	if a.Blocks < p.MinBlocks {
 		return ExportOrder{}, false
 	}
-	if c, ok := longestOwn(a.Copies, rooms); ok {
+	if c, ok := longestOwned(a.Copies, stores); ok {
 		order := ExportOrder{Store: c.Store, From: c.Blocks, To: a.Blocks, Extends: c.Manifest}
 		return order, a.Blocks-c.Blocks >= p.MinNewBlocks
 	}
-	store, ok := pickStore(rooms, int64(a.Blocks)*bytesPerBlock)
+	store, ok := pickStore(stores, int64(a.Blocks)*bytesPerBlock)
 	return ExportOrder{Store: store, To: a.Blocks}, ok
 }
 
-// longestOwn returns the longest copy in a live store that this context owns.
-func longestOwn(copies []contextdir.Copy, rooms []StoreUsage) (contextdir.Copy, bool) {
+// longestOwned returns the longest copy in a live store that the context owns.
+func longestOwned(copies []contextdir.Copy, stores []StoreUsage) (contextdir.Copy, bool) {
 	best := -1
 	for i, c := range copies {
-		if c.Shared || !live(rooms, c.Store) {
+		if c.Shared || !isLive(stores, c.Store) {
 			continue
 		}
 		if best < 0 || c.Blocks > copies[best].Blocks {
@@ -111,8 +111,8 @@
 	return copies[best], true
 }
 
-func live(rooms []StoreUsage, store request.StoreID) bool {
-	for _, r := range rooms {
+func isLive(stores []StoreUsage, store request.StoreID) bool {
+	for _, r := range stores {
 		if r.Store == store {
 			return !r.Down
 		}
@@ -120,29 +120,29 @@
 	return false
 }
 
-// pickStore returns the live store with room that has the largest free share, after
-// those whose link is busy.
-func pickStore(rooms []StoreUsage, bytes int64) (request.StoreID, bool) {
+// pickStore returns the live store with enough free space that has the largest free
+// share. Stores with a busy link rank behind all others.
+func pickStore(stores []StoreUsage, bytes int64) (request.StoreID, bool) {
 	best := -1
-	for i, r := range rooms {
+	for i, r := range stores {
 		if r.Down || r.free() < bytes {
 			continue
 		}
-		if best < 0 || r.before(rooms[best]) {
+		if best < 0 || r.preferredOver(stores[best]) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return "", false
 	}
-	return rooms[best].Store, true
+	return stores[best].Store, true
 }
 
-// busyLink is the queue from which a link counts as busy for new exports.
-const busyLink = 5 * time.Second
+// busyLinkQueue is the queue above which a link counts as busy for new exports.
+const busyLinkQueue = 5 * time.Second
 
-func (r StoreUsage) before(other StoreUsage) bool {
-	if busy := r.LinkQueue > busyLink; busy != (other.LinkQueue > busyLink) {
+func (r StoreUsage) preferredOver(other StoreUsage) bool {
+	if busy := r.LinkQueue > busyLinkQueue; busy != (other.LinkQueue > busyLinkQueue) {
 		return !busy
 	}
 	return r.freeShare() > other.freeShare()
--- a/internal/policy/retention/params.go
+++ b/internal/policy/retention/params.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Params are the settings of retention.
+// Params holds the settings of retention.
 type Params struct {
 	MinBlocks    int           // shorter contexts are not exported
-	MinNewBlocks int           // a copy that lacks fewer blocks is not renewed
-	DefaultGap   time.Duration // expected gap of a context without history
-	HighWater    float64       // share of a tier's room at which it is cleared
-	LowWater     float64       // share of a tier's room to which it is cleared
-	PromoteLead  time.Duration // how long before an expected return a promotion is started
-	PrefetchLead time.Duration // how long before an expected return a prefetch is started
-	MaxSpread    float64       // widest spread of gaps, relative to the residence, that is prefetched
-	MinHistory   int           // gaps to have seen before a return is predicted
-	ChunkTime    time.Duration // longest time that a background transfer may hold the link
+	MinNewBlocks int           // a copy that lacks fewer blocks is not extended
+	DefaultGap   time.Duration // expected gap between uses of a context without history
+	HighWater    float64       // share of a tier's capacity above which eviction starts
+	LowWater     float64       // share of a tier's capacity at which eviction ends
+	PromoteLead  time.Duration // how long before an expected return a promotion starts
+	PrefetchLead time.Duration // how long before an expected return a prefetch starts
+	MaxSpread    float64       // widest spread of gaps for a prefetch, as a multiple of the residence time
+	MinHistory   int           // gaps required to predict a return
+	ChunkTime    time.Duration // longest time that a background transfer may occupy the link
 }
 
-// DefaultParams returns the settings of both deployments.
+// DefaultParams returns the settings that both deployments use.
 func DefaultParams() Params {
 	return Params{
 		MinBlocks:    8,
--- a/internal/policy/retention/retention_test.go
+++ b/internal/policy/retention/retention_test.go
@@ -17,21 +17,22 @@
 
 func at(seconds int) time.Time { return epoch.Add(time.Duration(seconds) * time.Second) }
 
-// world is what the table's commands build up.
-type world struct {
-	rooms []StoreUsage
-	kept  []contextdir.StoredContext
+// testState holds the stores and contexts that the commands of a test file define.
+type testState struct {
+	stores   []StoreUsage
+	contexts []contextdir.StoredContext
 }
 
-// TestRetention reads "room" and "kept" commands and prints decisions on them.
+// TestRetention defines stores and contexts by "room" and "kept" commands and prints the
+// decisions on them.
 func TestRetention(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		w := &world{}
+		w := &testState{}
 		datadriven.RunTest(t, path, func(t *testing.T, td *datadriven.TestData) string { return w.run(t, td) })
 	})
 }
 
-func (w *world) run(t *testing.T, td *datadriven.TestData) string {
+func (w *testState) run(t *testing.T, td *datadriven.TestData) string {
 	var store, tier, manifest string
 	var used, total, diskUsed, diskTotal, bytes, last, now, blocks, have, residence, queue int
 	scan := func(name string, dest any) { td.MaybeScanArgs(t, name, dest) }
@@ -52,27 +53,27 @@
 	p := DefaultParams()
 	switch td.Cmd {
 	case "room":
-		w.rooms = append(w.rooms, StoreUsage{
+		w.stores = append(w.stores, StoreUsage{
 			Store: request.StoreID(store), Down: td.HasArg("down"), LinkQueue: time.Duration(queue) * time.Second,
 			MemoryUsed: int64(used), MemoryTotal: int64(total), DiskUsed: int64(diskUsed), DiskTotal: int64(diskTotal),
 		})
 		return ""
 	case "clear":
-		*w = world{}
+		*w = testState{}
 		return ""
 	case "kept":
-		w.kept = append(w.kept, contextdir.StoredContext{
+		w.contexts = append(w.contexts, contextdir.StoredContext{
 			LastUse: at(last), Gaps: scanGaps(t, td),
 			Copies: []contextdir.Copy{{Manifest: manifest, Store: "s1", Tier: storeapi.Tier(tier), Bytes: int64(bytes)}},
 		})
 		return ""
 	case "make-room":
-		return formatMoves(PlanEviction(p, w.rooms[0], w.kept, at(now)))
+		return formatMoves(PlanEviction(p, w.stores[0], w.contexts, at(now)))
 	case "promotions":
-		return formatMoves(PlanPromotions(p, w.rooms[0], w.kept, at(now)))
+		return formatMoves(PlanPromotions(p, w.stores[0], w.contexts, at(now)))
 	case "prefetch":
 		var b strings.Builder
-		for _, k := range w.kept {
+		for _, k := range w.contexts {
 			fmt.Fprintf(&b, "%s %t\n", k.Copies[0].Manifest, ShouldPrefetch(p, k, time.Duration(residence)*time.Second, at(now)))
 		}
 		return b.String()
@@ -81,7 +82,7 @@
 		if have > 0 {
 			a.Copies = []contextdir.Copy{{Manifest: "old", Store: request.StoreID(store), Blocks: have, Shared: td.HasArg("shared")}}
 		}
-		order, ok := Export(p, a, w.rooms, 10)
+		order, ok := Export(p, a, w.stores, 10)
 		if !ok {
 			return "no export\n"
 		}
--- a/internal/policy/retention/returns.go
+++ b/internal/policy/retention/returns.go
@@ -6,7 +6,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/contextdir"
 )
 
-// expectedGap returns the gap to plan with and how widely gaps vary.
+// expectedGap returns the expected gap between uses and the spread of the gaps.
 func expectedGap(p Params, g contextdir.Gaps) (gap, spread time.Duration) {
 	gap, spread, ok := g.Expected()
 	if !ok {
@@ -15,8 +15,9 @@
 	return gap, spread
 }
 
-// NextReturn estimates when a context returns. One that is overdue is expected after
-// as long again as it has been away, so it slides behind those that are on time.
+// NextReturn estimates the next use of a context. It expects an overdue context after
+// another period as long as the time since its last use, so overdue contexts rank behind
+// those that are on time.
 func NextReturn(p Params, lastUse time.Time, g contextdir.Gaps, now time.Time) time.Time {
 	gap, spread := expectedGap(p, g)
 	due := lastUse.Add(gap)
@@ -26,8 +27,8 @@
 	return now.Add(now.Sub(lastUse))
 }
 
-// dueSoon tells whether the earliest likely return is at most lead ahead and the
-// latest likely one is not past.
+// dueSoon reports whether the earliest likely return is at most lead ahead and the
+// latest likely return has not passed.
 func dueSoon(p Params, lastUse time.Time, g contextdir.Gaps, lead time.Duration, now time.Time) bool {
 	if g.Count() < p.MinHistory {
 		return false
--- a/internal/policy/retention/tiers.go
+++ b/internal/policy/retention/tiers.go
@@ -9,7 +9,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/storeapi"
 )
 
-// MoveKind says what happens to a copy.
+// MoveKind is the kind of change to a copy.
 type MoveKind int
 
 const (
@@ -32,33 +32,34 @@
 	Copy contextdir.Copy
 }
 
-// ranked is a copy with the time at which it is expected to be needed.
-type ranked struct {
-	copy contextdir.Copy
-	next time.Time
+// rankedCopy is a copy with the expected next use of its context.
+type rankedCopy struct {
+	copy       contextdir.Copy
+	nextReturn time.Time
 }
 
-// PlanEviction clears the tiers of a store VM that are above the high-water mark down to
-// the low-water mark: memory by demotion to disk, disk by freeing. What is needed last
-// goes first. Without room on disk, memory is cleared by freeing.
-func PlanEviction(p Params, room StoreUsage, kept []contextdir.StoredContext, now time.Time) []Move {
-	toDemote := excess(p, room.MemoryUsed, room.MemoryTotal)
-	if toDemote == 0 && excess(p, room.DiskUsed, room.DiskTotal) == 0 {
+// PlanEviction returns the moves that bring each tier of a store VM above the high-water
+// mark down to the low-water mark. It demotes copies from memory to disk and frees copies
+// on disk, starting with those whose expected next use is latest. If the store VM has no
+// disk, it frees copies in memory.
+func PlanEviction(p Params, store StoreUsage, contexts []contextdir.StoredContext, now time.Time) []Move {
+	toDemote := excess(p, store.MemoryUsed, store.MemoryTotal)
+	if toDemote == 0 && excess(p, store.DiskUsed, store.DiskTotal) == 0 {
 		return nil
 	}
-	memory, disk := split(p, room, kept, now)
-	demoted, bytes := take(memory, toDemote)
-	toFree := excess(p, room.DiskUsed+bytes, room.DiskTotal)
+	memory, disk := rankByTier(p, store, contexts, now)
+	demoted, bytes := takeBytes(memory, toDemote)
+	toFree := excess(p, store.DiskUsed+bytes, store.DiskTotal)
 	var moves []Move
-	if room.DiskTotal == 0 {
+	if store.DiskTotal == 0 {
 		return appendMoves(moves, Free, demoted)
 	}
-	freed, _ := take(disk, toFree)
+	freed, _ := takeBytes(disk, toFree)
 	moves = appendMoves(moves, Free, freed)
 	return appendMoves(moves, Demote, demoted)
 }
 
-// excess returns the bytes to clear from a tier.
+// excess returns the bytes to evict from a tier.
 func excess(p Params, used, total int64) int64 {
 	if float64(used) <= p.HighWater*float64(total) {
 		return 0
@@ -66,14 +67,15 @@
 	return used - int64(p.LowWater*float64(total))
 }
 
-// split returns a store's own copies by tier, those needed last first.
-func split(p Params, room StoreUsage, kept []contextdir.StoredContext, now time.Time) (memory, disk []ranked) {
-	for _, k := range kept {
+// rankByTier returns the copies in a store that their contexts own, by tier, with the
+// latest expected use first.
+func rankByTier(p Params, store StoreUsage, contexts []contextdir.StoredContext, now time.Time) (memory, disk []rankedCopy) {
+	for _, k := range contexts {
 		for _, c := range k.Copies {
-			if c.Store != room.Store || c.Shared {
+			if c.Store != store.Store || c.Shared {
 				continue
 			}
-			r := ranked{copy: c, next: NextReturn(p, k.LastUse, k.Gaps, now)}
+			r := rankedCopy{copy: c, nextReturn: NextReturn(p, k.LastUse, k.Gaps, now)}
 			if c.Tier == storeapi.TierDisk {
 				disk = append(disk, r)
 			} else {
@@ -81,8 +83,8 @@
 			}
 		}
 	}
-	lastFirst := func(a, b ranked) int {
-		if c := b.next.Compare(a.next); c != 0 {
+	lastFirst := func(a, b rankedCopy) int {
+		if c := b.nextReturn.Compare(a.nextReturn); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.copy.Manifest, b.copy.Manifest)
@@ -92,8 +94,9 @@
 	return memory, disk
 }
 
-// take returns the first copies that together hold at least bytes.
-func take(from []ranked, bytes int64) ([]ranked, int64) {
+// takeBytes returns the shortest prefix of the copies that holds at least bytes, or all
+// copies if they hold less, and the bytes that it holds.
+func takeBytes(from []rankedCopy, bytes int64) ([]rankedCopy, int64) {
 	var sum int64
 	n := 0
 	for n < len(from) && sum < bytes {
@@ -103,46 +106,46 @@
 	return from[:n], sum
 }
 
-func appendMoves(moves []Move, kind MoveKind, copies []ranked) []Move {
+func appendMoves(moves []Move, kind MoveKind, copies []rankedCopy) []Move {
 	for _, r := range copies {
 		moves = append(moves, Move{Kind: kind, Copy: r.copy})
 	}
 	return moves
 }
 
-// PlanPromotions returns the copies on a store VM's disk whose context is expected back
-// soon, the soonest first, as far as memory has room below the high-water mark.
-func PlanPromotions(p Params, room StoreUsage, kept []contextdir.StoredContext, now time.Time) []Move {
-	var due []ranked
-	for _, k := range kept {
+// PlanPromotions returns promotions of the copies on a store VM's disk whose context is
+// due soon, the earliest first, until memory would exceed the high-water mark.
+func PlanPromotions(p Params, store StoreUsage, contexts []contextdir.StoredContext, now time.Time) []Move {
+	var due []rankedCopy
+	for _, k := range contexts {
 		for _, c := range k.Copies {
-			onDisk := c.Store == room.Store && c.Tier == storeapi.TierDisk && !c.Shared
+			onDisk := c.Store == store.Store && c.Tier == storeapi.TierDisk && !c.Shared
 			if onDisk && dueSoon(p, k.LastUse, k.Gaps, p.PromoteLead, now) {
-				due = append(due, ranked{copy: c, next: NextReturn(p, k.LastUse, k.Gaps, now)})
+				due = append(due, rankedCopy{copy: c, nextReturn: NextReturn(p, k.LastUse, k.Gaps, now)})
 			}
 		}
 	}
-	slices.SortFunc(due, func(a, b ranked) int {
-		if c := a.next.Compare(b.next); c != 0 {
+	slices.SortFunc(due, func(a, b rankedCopy) int {
+		if c := a.nextReturn.Compare(b.nextReturn); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.copy.Manifest, b.copy.Manifest)
 	})
-	left := int64(p.HighWater*float64(room.MemoryTotal)) - room.MemoryUsed
+	available := int64(p.HighWater*float64(store.MemoryTotal)) - store.MemoryUsed
 	var moves []Move
 	for _, r := range due {
-		if r.copy.Bytes > left {
+		if r.copy.Bytes > available {
 			break
 		}
-		left -= r.copy.Bytes
+		available -= r.copy.Bytes
 		moves = append(moves, Move{Kind: Promote, Copy: r.copy})
 	}
 	return moves
 }
 
-// ShouldPrefetch tells whether a context is to be imported into accelerator memory
-// before its caller returns: its returns are regular enough that the blocks will still
-// be there, and the return is near.
+// ShouldPrefetch reports whether to import a context into accelerator memory before its
+// caller returns. The return must be due soon, and the gaps must be regular enough that
+// the blocks are still resident when the caller returns.
 func ShouldPrefetch(p Params, k contextdir.StoredContext, residence time.Duration, now time.Time) bool {
 	if k.Gaps.Count() < p.MinHistory {
 		return false
