--- a/internal/policy/stream/stream.go
+++ b/internal/policy/stream/stream.go
@@ -1,12 +1,12 @@
 // Package stream assembles the frames of one answer.
 //
-// Frames of a target may come late, twice, out of order, or belong to another answer;
-// a connection may be cut or go silent. An Assembler lets through what belongs to its
-// request, in order and once, says when and from where to resume, and ends in the
-// whole answer or in an error.
+// A target's frames may arrive late, twice, out of order or belong to another answer, and
+// its connection may close or become idle. An Assembler emits each frame of its request
+// once and in order, decides when and from which frame to resume, and ends with the
+// complete answer or an error.
 //
-// The package is pure: it holds no clock, I/O, goroutine or randomness. An Assembler
-// is not safe for concurrent use.
+// The package is pure: it uses no clock, I/O, goroutines or randomness. An Assembler is
+// not safe for concurrent use.
 package stream
 
 import (
@@ -25,48 +25,50 @@
 	DefaultMaxResumes    = 3
 )
 
-// Params describes the answer that is expected. Zero values take the defaults above.
+// Params describes the expected answer. Zero values select the defaults above.
 type Params struct {
 	RequestID request.ID
-	Version   request.Version // wanted weight version; empty: any, fixed by the first frame
-	// ReorderWindow is how many frames beyond the next one are kept.
+	Version   request.Version // requested weight version; empty: the version of the first frame
+	// ReorderWindow is the number of sequence numbers, from the next expected one on, whose
+	// frames the Assembler accepts.
 	ReorderWindow int
-	// GapTimeout is how long a missing frame may be late.
+	// GapTimeout is how long the Assembler waits for a missing frame before it resumes.
 	GapTimeout time.Duration
 	// IdleTimeout is the longest time without progress.
 	IdleTimeout time.Duration
-	// FirstFrameTimeout is the same for the first frame, which waits for the queue and
-	// the prefill. Zero: Silence.
+	// FirstFrameTimeout replaces IdleTimeout before the first frame, which waits for the
+	// queue and the prefill. Zero: IdleTimeout.
 	FirstFrameTimeout time.Duration
-	// MaxResumes bounds the resumes without progress between them.
+	// MaxResumes bounds the number of consecutive resumes without progress.
 	MaxResumes int
-	// Deadline is when the whole answer must be there. Zero: none.
+	// Deadline is the time by which the answer must be complete. Zero: none.
 	Deadline time.Time
 }
 
-// Action is a decision for the caller to carry out: Emit, Resume, Finish or Fail.
-// After Finish or Fail there is none.
+// Action is a decision that the user of the Assembler executes: Emit, Resume, Finish or
+// Fail. No action follows Finish or Fail.
 type Action interface{ isAction() }
 
-// Emit passes the text of one frame on to the caller.
+// Emit forwards the text of one frame to the caller.
 type Emit struct {
 	Seq  int
 	Text string
 }
 
-// Resume asks the target for the frames from a sequence on, over a new connection.
-// Report with OnCut if that fails. Frames of the old connection may still come.
+// Resume requests the frames from a sequence number on from the target, over a new
+// connection. If the request fails, the user calls OnDisconnect. Frames of the old
+// connection may still arrive.
 type Resume struct {
 	From   int
 	Reason Reason
 }
 
-// Finish ends the whole answer.
+// Finish ends a complete answer.
 type Finish struct {
 	Usage engineapi.Usage
 }
 
-// Fail ends the answer without it being whole.
+// Fail ends an incomplete answer with an error.
 type Fail struct {
 	Err *request.Error
 }
@@ -76,7 +78,7 @@
 func (Finish) isAction() {}
 func (Fail) isAction()   {}
 
-// Reason says why a stream is resumed.
+// Reason is the reason for resuming a stream.
 type Reason string
 
 // The reasons of Resume.
@@ -86,31 +88,31 @@
 	ReasonIdle         Reason = "silent"
 )
 
-// Dropped counts frames that were not passed on.
+// Dropped counts frames that the Assembler discarded.
 type Dropped struct {
-	Foreign      int // of another request
-	WrongVersion int // of another weight version, after the first frame
-	Duplicate    int // seen before
-	BeyondWindow int // too far ahead
-	AfterEnd     int // after the end
+	Foreign      int // frames of another request
+	WrongVersion int // frames of another weight version, after the first frame
+	Duplicate    int // frames that were already received
+	BeyondWindow int // frames beyond the reorder window
+	AfterEnd     int // frames after Finish or Fail
 }
 
-// Assembler puts one answer together.
+// Assembler assembles the frames of one answer.
 type Assembler struct {
-	params   Params
-	version  request.Version
-	next     int // sequence that is passed on next
-	buffer   map[int]engineapi.Frame
-	progress time.Time // last frame passed on, or last resume
-	gapSince time.Time // zero: nothing waits in buffer
-	resuming bool      // a resume was asked for and nothing came since
-	resumes  int       // without progress
-	total    int       // resumes in all
-	ended    bool
-	dropped  Dropped
+	params       Params
+	version      request.Version
+	next         int // sequence number of the next frame to emit
+	buffer       map[int]engineapi.Frame
+	lastProgress time.Time // time of the last frame in order or of the last resume
+	gapSince     time.Time // zero: buffer is empty
+	resuming     bool      // a resume was requested and no progress made since
+	resumes      int       // consecutive resumes without progress
+	totalResumes int       // resumes of the whole answer
+	ended        bool
+	dropped      Dropped
 }
 
-// New returns an assembler for a request that is sent now.
+// New returns an Assembler for a request that is sent at now.
 func New(now time.Time, p Params) *Assembler {
 	if p.ReorderWindow <= 0 {
 		p.ReorderWindow = DefaultReorderWindow
@@ -127,39 +129,40 @@
 	if p.MaxResumes <= 0 {
 		p.MaxResumes = DefaultMaxResumes
 	}
-	return &Assembler{params: p, version: p.Version, buffer: make(map[int]engineapi.Frame), progress: now}
+	return &Assembler{params: p, version: p.Version, buffer: make(map[int]engineapi.Frame), lastProgress: now}
 }
 
-// Started reports whether any frame was passed on. Before that the request may go to
-// another target; after it, another target's answer would not continue this one.
+// Started reports whether the first frame was accepted in order. Until then the request may
+// be retried on another target; afterwards, another target's answer would not continue
+// this one.
 func (a *Assembler) Started() bool { return a.next > 0 }
 
-// Next returns the sequence of the frame that is passed on next.
+// Next returns the sequence number of the next frame to emit.
 func (a *Assembler) Next() int { return a.next }
 
-// Ended reports whether Finish or Fail was returned.
+// Ended reports whether the Assembler returned Finish or Fail.
 func (a *Assembler) Ended() bool { return a.ended }
 
-// Resumes returns how many resumes were asked for.
-func (a *Assembler) Resumes() int { return a.total }
+// Resumes returns the number of resumes of the answer.
+func (a *Assembler) Resumes() int { return a.totalResumes }
 
-// Dropped returns the counts of frames that were not passed on.
+// Dropped returns the counts of discarded frames.
 func (a *Assembler) Dropped() Dropped { return a.dropped }
 
-// OnFrame takes a frame from any connection of this request.
+// OnFrame handles a frame from any connection of this request.
 func (a *Assembler) OnFrame(now time.Time, f engineapi.Frame) []Action {
 	if a.ended {
 		a.dropped.AfterEnd++
 		return nil
 	}
-	// A target or a connection that mixes up answers shows as frames of another
-	// request. They are never passed on and are no progress, so that a stream of
-	// nothing else counts as silent and is resumed.
+	// A target or connection that mixes up answers delivers frames of another request.
+	// The Assembler never emits them and does not count them as progress, so a stream
+	// that consists only of such frames becomes idle and is resumed.
 	if f.RequestID != a.params.RequestID {
 		a.dropped.Foreign++
 		return nil
 	}
-	if f.Seq < a.next || a.kept(f.Seq) {
+	if f.Seq < a.next || a.buffered(f.Seq) {
 		a.dropped.Duplicate++
 		return nil
 	}
@@ -167,16 +170,17 @@
 		a.dropped.BeyondWindow++
 		return a.resume(now, ReasonGap)
 	}
-	// A failure before the first frame may come from an engine that has another
-	// version; its own error says more than the version does.
+	// An error before the first frame may come from an engine with another version. The
+	// engine's error is more specific than a version mismatch, so it takes precedence.
 	if a.version != "" && f.Version != a.version && f.Error == nil {
-		return a.otherVersion(f)
+		return a.rejectVersion(f)
 	}
 	a.buffer[f.Seq] = f
 	return a.flush(now)
 }
 
-// OnDisconnect is told that the connection ended before the answer, or that a resume failed.
+// OnDisconnect handles a connection that closed before the end of the answer, or a resume
+// that failed.
 func (a *Assembler) OnDisconnect(now time.Time) []Action {
 	if a.ended {
 		return nil
@@ -185,14 +189,14 @@
 	return a.resume(now, ReasonDisconnected)
 }
 
-// Tick checks the deadline, the progress and the oldest gap.
+// Tick checks the deadline, the idle timeout and the gap timeout.
 func (a *Assembler) Tick(now time.Time) []Action {
 	switch {
 	case a.ended:
 		return nil
 	case !a.params.Deadline.IsZero() && !now.Before(a.params.Deadline):
 		return a.fail(request.CodeDeadline, http.StatusGatewayTimeout, "the answer was not whole by its deadline")
-	case now.Sub(a.progress) >= a.silence():
+	case now.Sub(a.lastProgress) >= a.idleTimeout():
 		a.resuming = false
 		return a.resume(now, ReasonIdle)
 	case !a.gapSince.IsZero() && now.Sub(a.gapSince) >= a.params.GapTimeout:
@@ -201,9 +205,9 @@
 	return nil
 }
 
-// NextTick returns when Tick has something to do if nothing else happens.
+// NextTick returns the time at which Tick next has to run if no event arrives before.
 func (a *Assembler) NextTick() time.Time {
-	at := a.progress.Add(a.silence())
+	at := a.lastProgress.Add(a.idleTimeout())
 	if gap := a.gapSince.Add(a.params.GapTimeout); !a.gapSince.IsZero() && !a.resuming && gap.Before(at) {
 		at = gap
 	}
@@ -213,22 +217,22 @@
 	return at
 }
 
-func (a *Assembler) silence() time.Duration {
+func (a *Assembler) idleTimeout() time.Duration {
 	if a.next == 0 {
 		return a.params.FirstFrameTimeout
 	}
 	return a.params.IdleTimeout
 }
 
-func (a *Assembler) kept(seq int) bool {
+func (a *Assembler) buffered(seq int) bool {
 	_, ok := a.buffer[seq]
 	return ok
 }
 
-// otherVersion refuses an answer by another weight version before its first byte. A
-// run that began keeps its version even if the target swaps weights, so a later frame
-// with another one is not of this answer.
-func (a *Assembler) otherVersion(f engineapi.Frame) []Action {
+// rejectVersion fails an answer of another weight version before its first byte. A run
+// keeps its version even if the target swaps weights, so a later frame with another
+// version does not belong to this answer and is dropped.
+func (a *Assembler) rejectVersion(f engineapi.Frame) []Action {
 	if a.next > 0 {
 		a.dropped.WrongVersion++
 		return nil
@@ -240,7 +244,7 @@
 	}}}
 }
 
-// flush passes on the frames that are next in order.
+// flush emits the buffered frames that are next in order.
 func (a *Assembler) flush(now time.Time) []Action {
 	var actions []Action
 	for {
@@ -250,12 +254,12 @@
 		}
 		delete(a.buffer, a.next)
 		a.next++
-		a.progressed(now)
+		a.recordProgress(now)
 		if a.version == "" {
 			a.version = f.Version
 		}
 		if f.Error != nil {
-			return append(actions, a.failed(f.Error))
+			return append(actions, a.failWithEngineError(f.Error))
 		}
 		if f.Text != "" {
 			actions = append(actions, Emit{Seq: f.Seq, Text: f.Text})
@@ -273,13 +277,13 @@
 	return actions
 }
 
-func (a *Assembler) progressed(now time.Time) {
-	a.progress = now
+func (a *Assembler) recordProgress(now time.Time) {
+	a.lastProgress = now
 	a.resuming = false
 	a.resumes = 0
 }
 
-// resume asks for the rest, once until something comes of it.
+// resume requests the remaining frames, unless a previous resume is still pending.
 func (a *Assembler) resume(now time.Time, reason Reason) []Action {
 	if a.resuming {
 		return nil
@@ -289,8 +293,8 @@
 	}
 	a.resuming = true
 	a.resumes++
-	a.total++
-	a.progress = now
+	a.totalResumes++
+	a.lastProgress = now
 	a.gapSince = time.Time{}
 	return []Action{Resume{From: a.next, Reason: reason}}
 }
@@ -304,8 +308,8 @@
 	return Finish{Usage: usage}
 }
 
-// fail ends the answer. Whether the target ran the request is not known unless some
-// of the answer has come.
+// fail ends the answer with an error. Whether the target ran the request is in doubt
+// unless the first frame has arrived.
 func (a *Assembler) fail(code request.Code, status int, message string) []Action {
 	a.ended = true
 	ran := request.InDoubt
@@ -315,9 +319,10 @@
 	return []Action{Fail{Err: &request.Error{Code: code, Status: status, Message: message, Ran: ran}}}
 }
 
-// failed turns an engine's error into the layer's own. Only the engine's word that it
-// did not start, as the first frame, allows to say that the request did not run.
-func (a *Assembler) failed(e *engineapi.Error) Action {
+// failWithEngineError ends the answer with the request.Error for an engine's error. It
+// reports that the request did not run only if the engine's error is the first frame and
+// states that the run had not started.
+func (a *Assembler) failWithEngineError(e *engineapi.Error) Action {
 	a.ended = true
 	err := &request.Error{Code: request.CodeTargetFailed, Status: http.StatusBadGateway, Message: e.Message, Ran: request.DidRun}
 	if !e.Started && a.next <= 1 {
--- a/internal/policy/stream/stream_test.go
+++ b/internal/policy/stream/stream_test.go
@@ -17,7 +17,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-func TestTable(t *testing.T) {
+func TestAssembler(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var a *Assembler
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -82,7 +82,7 @@
 	return out.String()
 }
 
-// target holds whole answers and sends their frames again from any sequence.
+// target holds complete answers and sends their frames from any sequence number on.
 type target map[request.ID][]engineapi.Frame
 
 func newTarget(rng *rand.Rand, ids ...request.ID) target {
@@ -108,10 +108,10 @@
 	return out.String()
 }
 
-// faulty sends the frames of an answer from a sequence on, with faults: frames are
-// lost, doubled, swapped with those of another answer, and change places; the
-// connection may be cut or fall silent.
-func (tg target) faulty(rng *rand.Rand, id, other request.ID, from int, fault float64) (frames []engineapi.Frame, silent bool) {
+// sendWithFaults returns the frames of an answer from a sequence number on, with injected
+// faults: it drops, duplicates and reorders frames and replaces them by frames of another
+// answer. The connection may close early or become idle.
+func (tg target) sendWithFaults(rng *rand.Rand, id, other request.ID, from int, fault float64) (frames []engineapi.Frame, idle bool) {
 	for _, f := range tg[id][from:] {
 		switch {
 		case rng.Float64() >= fault:
@@ -131,15 +131,15 @@
 	return frames, false
 }
 
-// run drives an assembler against a target until it ends.
+// run drives an Assembler against a target until it ends.
 func run(rng *rand.Rand, tg target, a *Assembler, fault float64) (text string, end Action) {
 	var out strings.Builder
 	now := epoch
 	var frames []engineapi.Frame
-	silent := false
+	idle := false
 	connect := func(from int) {
-		more, quiet := tg.faulty(rng, "r1", "r2", from, fault)
-		frames, silent = append(frames, more...), quiet
+		more, stalled := tg.sendWithFaults(rng, "r1", "r2", from, fault)
+		frames, idle = append(frames, more...), stalled
 	}
 	connect(0)
 	for range 10_000 {
@@ -150,7 +150,7 @@
 		case len(frames) > 0:
 			actions = a.OnFrame(now, frames[0])
 			frames = frames[1:]
-		case !silent:
+		case !idle:
 			actions = a.OnDisconnect(now)
 		}
 		for _, action := range actions {
@@ -167,9 +167,9 @@
 	return out.String(), nil
 }
 
-// Whatever the connections do, the caller gets the start of its own answer in order,
-// and at the end the whole of it or an error.
-func TestWholeOwnAnswerOrError(t *testing.T) {
+// TestAnswerIsCompleteOrFails checks that the caller receives a prefix of its own answer in
+// order, and at the end the complete answer or an error, under any connection faults.
+func TestAnswerIsCompleteOrFails(t *testing.T) {
 	finished, failed := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		rng := rand.New(rand.NewSource(rapid.Int64().Draw(rt, "seed")))
@@ -186,23 +186,23 @@
 		case Fail:
 			failed++
 			if !strings.HasPrefix(want, text) || e.Err.Ran == request.NotRun {
-				rt.Fatalf("got %q then %v, want the start of %q", text, e.Err, want)
+				rt.Fatalf("got %q then %v, want a prefix of %q", text, e.Err, want)
 			}
 		default:
-			rt.Fatalf("no end after %q", text)
+			rt.Fatalf("no Finish or Fail after %q", text)
 		}
 		if len(a.OnFrame(epoch, tg["r1"][0])) != 0 || len(a.OnDisconnect(epoch)) != 0 || len(a.Tick(epoch.Add(time.Hour))) != 0 {
-			rt.Fatal("an action after the end")
+			rt.Fatal("got an action after Finish or Fail")
 		}
 	})
 	t.Logf("%d finished, %d failed", finished, failed)
 }
 
-// A caller reads words of another organisation's answer in the middle of its own, and
-// one sentence twice. Two streams of a target were swapped for one frame, and a resume
-// sent again what had already come. The naive twin passes on whatever its connections
-// bring until a frame says done.
-func TestNaiveRelayMixesAnswers(t *testing.T) {
+// TestForeignAndDuplicateFramesAreDropped guards against a caller that receives text of
+// another organisation's answer within its own, or text twice. This happens if a target
+// swaps one frame between two streams and a resume sends frames again. A naive relay that
+// forwards all frames until the last one shows the failure.
+func TestForeignAndDuplicateFramesAreDropped(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	tg := newTarget(rng, "r1", "r2")
 	own, other := tg["r1"], tg["r2"]
@@ -213,7 +213,7 @@
 		naive.WriteString(f.Text)
 	}
 	if !strings.Contains(naive.String(), "r2.1") || naive.String() == tg.text("r1") {
-		t.Fatal("the naive twin did not mix answers; the test shows nothing")
+		t.Fatal("the naive relay did not mix the answers, so the test does not cover the failure")
 	}
 	a := New(epoch, Params{RequestID: "r1", Version: "v1"})
 	var got strings.Builder
@@ -228,6 +228,6 @@
 		t.Errorf("got %q, want %q", got.String(), tg.text("r1"))
 	}
 	if d := a.Dropped(); d.Foreign != 1 || d.Duplicate != 1 {
-		t.Errorf("dropped %+v, want one foreign and one duplicate", d)
+		t.Errorf("dropped %+v, want one foreign and one duplicate frame", d)
 	}
 }
