--- a/internal/contextdir/copies.go
+++ b/internal/contextdir/copies.go
@@ -8,9 +8,9 @@
 	"github.com/bluebellscale/bluebellscale/internal/storeapi"
 )
 
-// OnManifestCommitted records that a manifest was committed for the leading c.Blocks of chain. It
-// returns the manifests to free: an older one of this context in the same store, or
-// this one if the context is no longer remembered.
+// OnManifestCommitted records that a manifest was committed for the leading c.Blocks of
+// chain. It returns the manifests to free: an older one of this context in the same store,
+// or the new one if the context is no longer recorded.
 func (d *Directory) OnManifestCommitted(scope block.Scope, chain []block.Hash, c Copy) []Action {
 	c.Shared = false
 	i, _ := d.match(scope, chain)
@@ -19,22 +19,22 @@
 	}
 	e := &d.entries[i]
 	var actions []Action
-	kept := e.copies[:0]
+	remaining := e.copies[:0]
 	for _, old := range e.copies {
 		if old.Store != c.Store || old.Manifest == c.Manifest {
 			if old.Manifest != c.Manifest {
-				kept = append(kept, old)
+				remaining = append(remaining, old)
 			}
 			continue
 		}
-		actions = append(actions, d.disown(old)...)
+		actions = append(actions, d.releaseCopy(old)...)
 	}
-	e.copies = append(kept, c)
+	e.copies = append(remaining, c)
 	d.manifests[c.Manifest] = i
 	return actions
 }
 
-// OnManifestMoved records that the blocks of a manifest lie in another tier now.
+// OnManifestMoved records that the blocks of a manifest were moved to another tier.
 func (d *Directory) OnManifestMoved(manifest string, tier storeapi.Tier) {
 	i, ok := d.manifests[manifest]
 	if !ok {
@@ -48,7 +48,8 @@
 	}
 }
 
-// OnManifestFreed records that a manifest is gone or was found torn; no one is to import it.
+// OnManifestFreed records that a manifest was deleted or is torn, and removes its copies so
+// that they are not imported.
 func (d *Directory) OnManifestFreed(manifest string) {
 	i, ok := d.manifests[manifest]
 	if !ok {
@@ -58,7 +59,7 @@
 	d.dropCopies(i, func(c Copy) bool { return c.Manifest == manifest })
 }
 
-// OnStoreLost forgets all copies in a store VM.
+// OnStoreLost removes all copies in a store VM.
 func (d *Directory) OnStoreLost(store request.StoreID) {
 	for i := range d.entries {
 		d.dropCopies(int32(i), func(c Copy) bool { return c.Store == store })
@@ -67,39 +68,39 @@
 
 func (d *Directory) dropCopies(i int32, drop func(Copy) bool) {
 	e := &d.entries[i]
-	kept := e.copies[:0]
+	remaining := e.copies[:0]
 	for _, c := range e.copies {
 		if !drop(c) {
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 			continue
 		}
 		if !c.Shared {
 			delete(d.manifests, c.Manifest)
 		}
 	}
-	e.copies = kept
+	e.copies = remaining
 }
 
-// StoredContext is a context with its own copies, for the choices of retention.
+// StoredContext is a context with its copies, as input of retention decisions.
 type StoredContext struct {
 	Scope   block.Scope
 	Blocks  int
 	LastUse time.Time
 	Gaps    Gaps
-	Copies  []Copy // must not be changed or kept
-	// Resident tells that a target is believed to hold blocks of it.
+	Copies  []Copy // valid during the call only; must not be changed
+	// Resident reports that blocks of the context are recorded as resident at a target.
 	Resident bool
 }
 
-// EachStoredContext calls f for every context with copies, the least recently used first,
-// until f returns false.
+// EachStoredContext calls f for every context with copies, starting with the least
+// recently used, until f returns false.
 func (d *Directory) EachStoredContext(f func(StoredContext) bool) {
 	for i := d.oldest; i != none; i = d.entries[i].newer {
 		e := &d.entries[i]
 		if len(e.copies) == 0 {
 			continue
 		}
-		kept := StoredContext{
+		stored := StoredContext{
 			Scope:    d.scopes.byID[e.scope].scope,
 			Blocks:   int(e.length),
 			LastUse:  time.Unix(0, e.lastUse),
@@ -107,13 +108,13 @@
 			Copies:   e.copies,
 			Resident: len(e.resident) > 0,
 		}
-		if !f(kept) {
+		if !f(stored) {
 			return
 		}
 	}
 }
 
-// Dump is the directory's state for the state dump of a daemon.
+// Dump is the directory's section of a daemon's state dump.
 type Dump struct {
 	Contexts  int          `json:"contexts"`
 	Anchors   int          `json:"anchors"`
@@ -122,7 +123,7 @@
 	Targets   []TargetDump `json:"targets"`
 }
 
-// TargetDump is one target's part of a Dump.
+// TargetDump is the entry of one target in a Dump.
 type TargetDump struct {
 	ID          request.TargetID `json:"id"`
 	Incarnation uint64           `json:"incarnation"`
@@ -139,7 +140,7 @@
 		Manifests: len(d.manifests),
 	}
 	for _, t := range d.targets {
-		dump.Targets = append(dump.Targets, TargetDump{ID: t.id, Incarnation: t.incarnation, Seq: t.seq, Unconfirmed: t.unsure})
+		dump.Targets = append(dump.Targets, TargetDump{ID: t.id, Incarnation: t.incarnation, Seq: t.seq, Unconfirmed: t.unconfirmed})
 	}
 	return dump
 }
--- a/internal/contextdir/directory.go
+++ b/internal/contextdir/directory.go
@@ -7,18 +7,18 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Directory remembers where contexts lie. It is not safe for concurrent use.
+// Directory records where contexts are stored. It is not safe for concurrent use.
 type Directory struct {
-	params    Params
-	scopes    scopes
-	index     map[block.Hash]int32 // anchors
-	manifests map[string]int32     // owned copies
-	entries   []entry
-	spare     []int32
-	newest    int32
-	oldest    int32
-	targetIDs map[request.TargetID]uint32
-	targets   []targetState
+	params      Params
+	scopes      scopes
+	index       map[block.Hash]int32 // anchors
+	manifests   map[string]int32     // owned copies
+	entries     []entry
+	freeEntries []int32
+	newest      int32
+	oldest      int32
+	targetIDs   map[request.TargetID]uint32
+	targets     []targetState
 }
 
 // New returns an empty directory.
@@ -34,20 +34,20 @@
 	}
 }
 
-// Len returns the number of contexts remembered.
-func (d *Directory) Len() int { return len(d.entries) - len(d.spare) }
+// Len returns the number of recorded contexts.
+func (d *Directory) Len() int { return len(d.entries) - len(d.freeEntries) }
 
-// Lookup returns what is known about the longest remembered prefix of chain.
+// Lookup returns the recorded state of the longest known prefix of chain.
 func (d *Directory) Lookup(scope block.Scope, chain []block.Hash) LookupResult {
 	i, known := d.match(scope, chain)
 	if i == none {
 		return LookupResult{}
 	}
-	return d.located(i, known)
+	return d.lookupResult(i, known)
 }
 
-// OnUse records that a prompt with this chain arrived. It returns manifests to free if
-// another context had to be forgotten.
+// OnUse records the arrival of a prompt with this chain. If it evicts another context, it
+// returns the manifests to free.
 func (d *Directory) OnUse(scope block.Scope, chain []block.Hash, now time.Time) []Action {
 	if len(chain) == 0 {
 		return nil
@@ -56,8 +56,8 @@
 	return actions
 }
 
-// OnAnswer records a finished answer: the target reported cachedTokens of the prompt
-// as not recomputed, and holds the whole prompt now.
+// OnAnswer records a finished answer. The target reported that it did not recompute
+// cachedTokens of the prompt, and it now holds the whole prompt.
 func (d *Directory) OnAnswer(target request.TargetID, scope block.Scope, chain []block.Hash, cachedTokens int, now time.Time) Correction {
 	c := Correction{Actual: cachedTokens / block.TokensPerBlock}
 	if len(chain) == 0 {
@@ -77,12 +77,12 @@
 		held = int32(len(chain))
 	}
 	e.setBlocksAt(t, held, d.params.MaxTargetsPerContext)
-	c.Actions = append(c.Actions, d.judge(t, c)...)
+	c.Actions = append(c.Actions, d.checkEstimate(t, c)...)
 	return c
 }
 
-// OnImport records that a target confirmed an import or a prefetch: it holds the
-// leading blocks of chain. A context that is not remembered stays so.
+// OnImport records that a target confirmed an import or a prefetch and holds the leading
+// blocks of chain. It ignores a context that is not recorded.
 func (d *Directory) OnImport(target request.TargetID, scope block.Scope, chain []block.Hash, blocks int) {
 	i, known := d.match(scope, chain)
 	if i == none {
@@ -95,20 +95,21 @@
 	}
 }
 
-// judge doubts a target whose answers keep showing less than remembered: its events
-// were lost without a visible gap.
-func (d *Directory) judge(t uint32, c Correction) []Action {
+// checkEstimate marks a target as unconfirmed after overestimatesBeforeSnapshot
+// consecutive answers with fewer cached blocks than recorded. Events of such a target were
+// lost without a visible gap.
+func (d *Directory) checkEstimate(t uint32, c Correction) []Action {
 	state := &d.targets[t]
 	if c.Actual >= c.Assumed {
-		state.wrong = 0
+		state.overestimates = 0
 		return nil
 	}
-	state.wrong++
-	if state.wrong < wrongAnswersBeforeSnapshot {
+	state.overestimates++
+	if state.overestimates < overestimatesBeforeSnapshot {
 		return nil
 	}
-	state.wrong = 0
-	state.unsure = true
+	state.overestimates = 0
+	state.unconfirmed = true
 	return []Action{{Kind: RequestSnapshot, Target: state.id}}
 }
 
@@ -121,8 +122,8 @@
 	}
 	for n := len(chain); n > 0; n-- {
 		i, ok := d.index[chain[n-1]]
-		// Two organisations or weight versions never share a context, even if a hash
-		// were equal by a fault or on purpose.
+		// Organisations or weight versions never share a context, even if hashes collide
+		// by a fault or an attack.
 		if ok && d.entries[i].scope == id {
 			return i, n
 		}
@@ -130,16 +131,16 @@
 	return none, 0
 }
 
-func (d *Directory) located(i int32, known int) LookupResult {
+func (d *Directory) lookupResult(i int32, known int) LookupResult {
 	e := &d.entries[i]
 	l := LookupResult{KnownBlocks: known, LastUse: time.Unix(0, e.lastUse), Gaps: e.gaps}
 	l.Resident = make([]Resident, 0, len(e.resident))
 	for _, r := range e.resident {
 		t := &d.targets[r.target]
-		l.Resident = append(l.Resident, Resident{Target: t.id, Blocks: min(int(r.blocks), known), Unconfirmed: t.unsure})
+		l.Resident = append(l.Resident, Resident{Target: t.id, Blocks: min(int(r.blocks), known), Unconfirmed: t.unconfirmed})
 	}
 	for _, c := range e.copies {
-		// A shared copy outlives its manifest here when the owner replaced or freed it.
+		// The owner of a shared copy may have replaced or freed its manifest.
 		if _, committed := d.manifests[c.Manifest]; committed {
 			l.Copies = append(l.Copies, truncated(c, known))
 		}
@@ -156,7 +157,7 @@
 	return c
 }
 
-// use finds or creates the entry of chain and makes it the newest.
+// use finds or creates the entry of chain and marks it as most recently used.
 func (d *Directory) use(scope block.Scope, chain []block.Hash, now time.Time) (int32, []Action) {
 	i, known := d.match(scope, chain)
 	switch {
@@ -174,23 +175,23 @@
 	}
 }
 
-// create adds an entry and forgets the least recently used one if there is no room.
+// create adds an entry and evicts the least recently used one if the directory is full.
 func (d *Directory) create(scope block.Scope, chain []block.Hash, now time.Time) (int32, []Action) {
 	var actions []Action
 	if d.Len() >= d.params.MaxContexts {
-		actions = d.forget(d.oldest)
+		actions = d.evict(d.oldest)
 	}
-	i := d.free()
-	d.entries[i] = entry{scope: d.scopes.take(scope), lastUse: now.UnixNano(), older: none, newer: none}
+	i := d.allocate()
+	d.entries[i] = entry{scope: d.scopes.acquire(scope), lastUse: now.UnixNano(), older: none, newer: none}
 	d.pushNewest(i)
 	d.extend(i, chain)
 	return i, actions
 }
 
-// fork adds an entry for a prompt that leaves a remembered context in the middle. It
-// starts with the shared part of what is known.
+// fork adds an entry for a prompt that shares only a prefix with a recorded context. The
+// entry starts with the residencies and copies of the shared prefix.
 func (d *Directory) fork(parent int32, known int, scope block.Scope, chain []block.Hash, now time.Time) (int32, []Action) {
-	from := d.located(parent, known)
+	from := d.lookupResult(parent, known)
 	i, actions := d.create(scope, chain, now)
 	e := &d.entries[i]
 	for _, r := range from.Resident {
@@ -203,7 +204,7 @@
 	return i, actions
 }
 
-// extend makes chain the entry's chain and indexes its anchors.
+// extend replaces the entry's chain by chain and indexes its anchors.
 func (d *Directory) extend(i int32, chain []block.Hash) {
 	e := &d.entries[i]
 	d.unindex(i)
@@ -226,7 +227,8 @@
 	return count
 }
 
-// unindex removes the entry's anchors, but leaves those that a fork has taken over.
+// unindex removes the entry's anchors from the index, except those that now refer to a
+// fork.
 func (d *Directory) unindex(i int32) {
 	for _, a := range d.entries[i].anchors {
 		if d.index[a.hash] == i {
@@ -235,32 +237,32 @@
 	}
 }
 
-func (d *Directory) free() int32 {
-	if n := len(d.spare); n > 0 {
-		i := d.spare[n-1]
-		d.spare = d.spare[:n-1]
+func (d *Directory) allocate() int32 {
+	if n := len(d.freeEntries); n > 0 {
+		i := d.freeEntries[n-1]
+		d.freeEntries = d.freeEntries[:n-1]
 		return i
 	}
 	d.entries = append(d.entries, entry{})
 	return int32(len(d.entries) - 1)
 }
 
-// forget drops an entry and returns its manifests to free.
-func (d *Directory) forget(i int32) []Action {
+// evict removes an entry and returns its manifests to free.
+func (d *Directory) evict(i int32) []Action {
 	var actions []Action
 	for _, c := range d.entries[i].copies {
-		actions = append(actions, d.disown(c)...)
+		actions = append(actions, d.releaseCopy(c)...)
 	}
 	d.unindex(i)
 	d.unlink(i)
 	d.scopes.release(d.entries[i].scope)
 	d.entries[i] = entry{}
-	d.spare = append(d.spare, i)
+	d.freeEntries = append(d.freeEntries, i)
 	return actions
 }
 
-// disown returns the action that frees a copy, unless another context owns it.
-func (d *Directory) disown(c Copy) []Action {
+// releaseCopy returns the action that frees a copy, or none if another context owns it.
+func (d *Directory) releaseCopy(c Copy) []Action {
 	if c.Shared {
 		return nil
 	}
@@ -305,7 +307,7 @@
 	}
 }
 
-// target returns the short number of a target.
+// target returns the number of a target and assigns one to a new target.
 func (d *Directory) target(id request.TargetID) uint32 {
 	t, ok := d.targetIDs[id]
 	if !ok {
--- a/internal/contextdir/directory_test.go
+++ b/internal/contextdir/directory_test.go
@@ -82,7 +82,7 @@
 	id := request.TargetID(target)
 	switch td.Cmd {
 	case "lookup":
-		return formatLocated(d.Lookup(scope, chain))
+		return formatLookup(d.Lookup(scope, chain))
 	case "used":
 		return formatActions(d.OnUse(scope, chain, now))
 	case "answered":
@@ -118,7 +118,7 @@
 	return ""
 }
 
-func formatLocated(l LookupResult) string {
+func formatLookup(l LookupResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "known=%d gaps=%d\n", l.KnownBlocks, l.Gaps.Count())
 	sort.Slice(l.Resident, func(i, j int) bool { return l.Resident[i].Target < l.Resident[j].Target })
@@ -139,12 +139,12 @@
 	return b.String()
 }
 
-// A caller returns and waits for a whole prefill although its home sent it to "the
-// target that has its context". The target had evicted the blocks; the page of events
-// that told so was lost, and later events looked like nothing had happened. The
-// naive directory applies what it gets and never asks: it believes in the blocks for
-// ever. Ours sees the hole in the sequence, doubts the target and asks for a snapshot.
-func TestEventGapIsNoticedAndRepaired(t *testing.T) {
+// TestEventGapTriggersSnapshot guards against a caller that waits for a full prefill at a
+// target that no longer holds its context. The target evicted the blocks, and the page with
+// the removal events was lost. A naive directory applies later events and records the blocks
+// indefinitely. Directory must detect the gap in the sequence, mark the target as
+// unconfirmed and request a snapshot.
+func TestEventGapTriggersSnapshot(t *testing.T) {
 	scope := block.Scope{Org: "conche", Model: "verdict", Version: "v1"}
 	chain := chainOf("abcdefgh")
 	stored := engineapi.CacheEvent{Seq: 1, Kind: engineapi.BlocksStored, Blocks: chain}
@@ -156,7 +156,7 @@
 	naive.apply(stored)
 	naive.apply(unrelated)
 	if !naive[chain[7]] {
-		t.Fatal("the naive directory was expected to keep believing in evicted blocks")
+		t.Fatal("the naive directory should still record the evicted blocks as resident")
 	}
 
 	d := New(Params{})
@@ -178,7 +178,7 @@
 	}
 }
 
-// naiveResidency applies events without looking at their sequence.
+// naiveResidency applies events without checking their sequence numbers.
 type naiveResidency map[block.Hash]bool
 
 func (n naiveResidency) apply(e engineapi.CacheEvent) {
@@ -187,13 +187,13 @@
 	}
 }
 
-// Whatever happens, a lookup returns only what its own organisation and version put
-// in, also when equal hashes appear under several scopes, and never more blocks than
-// the true common prefix. The twin keeps all chains in full.
-func TestNeverAcrossScopes(t *testing.T) {
+// TestLookupNeverCrossesScopes checks that a lookup returns only state of its own
+// organisation and version, even if equal hashes occur in several scopes, and never more
+// blocks than the true common prefix. The reference stores all chains in full.
+func TestLookupNeverCrossesScopes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New(Params{MaxContexts: rapid.IntRange(1, 8).Draw(t, "max")})
-		twin := map[block.Scope][][]block.Hash{}
+		reference := map[block.Scope][][]block.Hash{}
 		owner := map[string]block.Scope{}
 		scopes := []block.Scope{
 			{Org: "conche", Model: "m", Version: "v1"}, {Org: "temper", Model: "m", Version: "v1"}, {Org: "conche", Model: "m", Version: "v2"},
@@ -207,10 +207,10 @@
 			switch rapid.IntRange(0, 3).Draw(t, "op") {
 			case 0:
 				d.OnUse(scope, chain, now)
-				twin[scope] = append(twin[scope], chain)
+				reference[scope] = append(reference[scope], chain)
 			case 1:
 				d.OnAnswer(target, scope, chain, 0, now)
-				twin[scope] = append(twin[scope], chain)
+				reference[scope] = append(reference[scope], chain)
 			case 2:
 				name := fmt.Sprint("manifest-", step)
 				owner[name] = scope
@@ -220,18 +220,18 @@
 			}
 			probe := rapid.SampledFrom(scopes).Draw(t, "probe")
 			l := d.Lookup(probe, chain)
-			if most := longestPrefix(twin[probe], chain); l.KnownBlocks > most {
-				t.Fatalf("scope %v: known %d, but it shares only %d blocks", probe, l.KnownBlocks, most)
+			if limit := longestPrefix(reference[probe], chain); l.KnownBlocks > limit {
+				t.Fatalf("scope %v: known %d, but the common prefix has only %d blocks", probe, l.KnownBlocks, limit)
 			}
 			own := request.TargetID(probe.Org) + "-" + request.TargetID(probe.Version)
 			for _, r := range l.Resident {
 				if r.Target != own || r.Blocks > l.KnownBlocks {
-					t.Fatalf("scope %v was given %+v of known %d", probe, r, l.KnownBlocks)
+					t.Fatalf("lookup in scope %v returned %+v with known %d", probe, r, l.KnownBlocks)
 				}
 			}
 			for _, c := range l.Copies {
 				if owner[c.Manifest] != probe || c.Blocks > l.KnownBlocks {
-					t.Fatalf("scope %v was given copy %+v of known %d", probe, c, l.KnownBlocks)
+					t.Fatalf("lookup in scope %v returned copy %+v with known %d", probe, c, l.KnownBlocks)
 				}
 			}
 		}
@@ -260,13 +260,13 @@
 	return chain
 }
 
-// The bound of memory must hold: 128 MB for the default number of contexts, each with
-// a copy and two targets.
+// TestMemoryPerContext checks that the default number of contexts, each with a copy and
+// two targets, needs at most 128 MB.
 func TestMemoryPerContext(t *testing.T) {
 	const contexts = 10_000
 	const limit = 128 << 20
 	r := rand.New(rand.NewSource(1))
-	before := heap()
+	before := heapBytes()
 	d := New(Params{})
 	for i := range contexts {
 		scope := block.Scope{Org: request.OrgID(fmt.Sprint("org-", i%100)), Model: "m", Version: "v1"}
@@ -276,15 +276,15 @@
 		d.OnAnswer("t2", scope, chain, 0, epoch)
 		d.OnManifestCommitted(scope, chain, Copy{Manifest: fmt.Sprintf("m-%064x-%d", i, i), Store: "s1", Tier: storeapi.TierMemory, Blocks: 312})
 	}
-	perContext := float64(heap()-before) / contexts
-	t.Logf("%.0f bytes a context", perContext)
+	perContext := float64(heapBytes()-before) / contexts
+	t.Logf("%.0f bytes per context", perContext)
 	if perContext*defaultMaxContexts > limit {
-		t.Fatalf("%.0f bytes a context make %.0f MB for %d contexts", perContext, perContext*defaultMaxContexts/(1<<20), defaultMaxContexts)
+		t.Fatalf("%.0f bytes per context make %.0f MB for %d contexts", perContext, perContext*defaultMaxContexts/(1<<20), defaultMaxContexts)
 	}
 	runtime.KeepAlive(d)
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/contextdir/entry.go
+++ b/internal/contextdir/entry.go
@@ -5,7 +5,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// none marks the end of a list of entries.
+// none marks the end of the linked list of entries.
 const none int32 = -1
 
 // anchor is an indexed block of a context. Position counts blocks from 1.
@@ -14,14 +14,14 @@
 	position int32
 }
 
-// residency is the part of a context in one target's accelerator memory.
+// residency is the number of leading blocks of a context in one target's accelerator memory.
 type residency struct {
 	target uint32
 	blocks int32
 }
 
-// entry is one context. Entries live in a slice and are linked by their index, the
-// most recently used first.
+// entry is one context. Directory holds its entries in a slice and links them by index in
+// order of last use.
 type entry struct {
 	scope    uint32
 	length   int32 // blocks
@@ -44,23 +44,23 @@
 	return 0
 }
 
-// setBlocksAt replaces the residency at a target and makes it the newest. With zero
-// blocks it is removed.
+// setBlocksAt replaces the residency at a target and moves it to the newest position.
+// Zero blocks remove it.
 func (e *entry) setBlocksAt(target uint32, blocks int32, limit int) {
-	kept := e.resident[:0]
+	remaining := e.resident[:0]
 	for _, r := range e.resident {
 		if r.target != target {
-			kept = append(kept, r)
+			remaining = append(remaining, r)
 		}
 	}
 	if blocks > 0 {
-		if len(kept) >= limit {
-			copy(kept, kept[1:])
-			kept = kept[:len(kept)-1]
+		if len(remaining) >= limit {
+			copy(remaining, remaining[1:])
+			remaining = remaining[:len(remaining)-1]
 		}
-		kept = append(kept, residency{target: target, blocks: blocks})
+		remaining = append(remaining, residency{target: target, blocks: blocks})
 	}
-	e.resident = kept
+	e.resident = remaining
 }
 
 // positionOf returns the position of an anchor, or 0.
@@ -73,11 +73,11 @@
 	return 0
 }
 
-// scopes gives short numbers to scopes in use.
+// scopes assigns small numbers to the scopes in use.
 type scopes struct {
-	ids   map[block.Scope]uint32
-	byID  []scopeRecord
-	spare []uint32
+	ids     map[block.Scope]uint32
+	byID    []scopeRecord
+	freeIDs []uint32
 }
 
 type scopeRecord struct {
@@ -85,11 +85,11 @@
 	contexts int
 }
 
-// take returns the number of a scope and counts one more context in it.
-func (s *scopes) take(scope block.Scope) uint32 {
+// acquire returns the number of a scope and increments its count of contexts.
+func (s *scopes) acquire(scope block.Scope) uint32 {
 	id, ok := s.ids[scope]
 	if !ok {
-		id = s.fresh()
+		id = s.allocate()
 		s.ids[scope] = id
 		s.byID[id].scope = scope
 	}
@@ -97,17 +97,17 @@
 	return id
 }
 
-func (s *scopes) fresh() uint32 {
-	if n := len(s.spare); n > 0 {
-		id := s.spare[n-1]
-		s.spare = s.spare[:n-1]
+func (s *scopes) allocate() uint32 {
+	if n := len(s.freeIDs); n > 0 {
+		id := s.freeIDs[n-1]
+		s.freeIDs = s.freeIDs[:n-1]
 		return id
 	}
 	s.byID = append(s.byID, scopeRecord{})
 	return uint32(len(s.byID) - 1)
 }
 
-// release uncounts one context and forgets a scope without contexts.
+// release decrements a scope's count of contexts and removes a scope without contexts.
 func (s *scopes) release(id uint32) {
 	r := &s.byID[id]
 	r.contexts--
@@ -116,14 +116,14 @@
 	}
 	delete(s.ids, r.scope)
 	*r = scopeRecord{}
-	s.spare = append(s.spare, id)
+	s.freeIDs = append(s.freeIDs, id)
 }
 
-// targetState is what is known about a target's whole part.
+// targetState is the state of a target that applies to all its blocks.
 type targetState struct {
-	id          request.TargetID
-	incarnation uint64
-	seq         uint64 // newest event applied
-	unsure      bool
-	wrong       int // answers in a row with fewer cached tokens than remembered
+	id            request.TargetID
+	incarnation   uint64
+	seq           uint64 // newest applied event
+	unconfirmed   bool
+	overestimates int // consecutive answers with fewer cached blocks than recorded
 }
--- a/internal/contextdir/gaps.go
+++ b/internal/contextdir/gaps.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// gapHistory is the number of gaps kept for each context.
+// gapHistory is the number of gaps stored for each context.
 const gapHistory = 4
 
-// Gaps is the recent history of times between two uses of a context.
+// Gaps is the recent history of the times between uses of a context.
 type Gaps struct {
 	seconds [gapHistory]float32
-	count   uint8 // gaps seen, saturating
+	count   uint8 // gaps added, wraps around to gapHistory
 }
 
 // Add records one gap.
@@ -20,10 +20,10 @@
 	}
 }
 
-// Count returns the number of gaps kept.
+// Count returns the number of stored gaps.
 func (g Gaps) Count() int { return min(int(g.count), gapHistory) }
 
-// Expected returns the median gap and the distance from the shortest to the longest.
+// Expected returns the median gap and the difference of the longest and the shortest gap.
 // It returns false without history.
 func (g Gaps) Expected() (median, spread time.Duration, ok bool) {
 	n := g.Count()
--- a/internal/contextdir/types.go
+++ b/internal/contextdir/types.go
@@ -10,15 +10,15 @@
 const (
 	defaultMaxContexts = 120_000
 	defaultMaxTargets  = 8
-	// wrongAnswersBeforeSnapshot is how many answers in a row may show fewer cached
-	// tokens than remembered before the target's whole part is doubted.
-	wrongAnswersBeforeSnapshot = 3
+	// overestimatesBeforeSnapshot is the number of consecutive answers with fewer cached
+	// tokens than recorded after which the directory marks the target as unconfirmed.
+	overestimatesBeforeSnapshot = 3
 )
 
-// Params bounds a Directory. Zero values stand for the defaults.
+// Params bounds a Directory. Zero values select the defaults.
 type Params struct {
-	MaxContexts          int // contexts kept; the least recently used is forgotten first
-	MaxTargetsPerContext int // targets remembered for one context, the newest stay
+	MaxContexts          int // contexts recorded; the least recently used is evicted first
+	MaxTargetsPerContext int // targets recorded for one context; the oldest is evicted first
 }
 
 func (p Params) withDefaults() Params {
@@ -33,40 +33,40 @@
 
 // Copy is an exported copy of a context's leading blocks in a store VM.
 type Copy struct {
-	Manifest   string // name of the manifest object, unique for ever
+	Manifest   string // name of the manifest object, never reused
 	Generation uint64
 	Store      request.StoreID
 	Tier       storeapi.Tier
 	Blocks     int   // leading blocks that the manifest commits
 	Bytes      int64 // bytes of these blocks
-	// Shared marks a copy that another context owns: this one extends a part of it and
-	// must not free it.
+	// Shared marks a copy that another context owns. This context shares a prefix with the
+	// owner and must not free the copy.
 	Shared bool
 }
 
-// Resident says how many leading blocks a target is believed to hold in accelerator memory.
+// Resident is the estimated number of leading blocks in a target's accelerator memory.
 type Resident struct {
 	Target      request.TargetID
 	Blocks      int
-	Unconfirmed bool // an event gap or wrong answers put the target's part in doubt
+	Unconfirmed bool // blocks may be outdated after an event gap or overestimates
 }
 
-// LookupResult is what is known about a prompt's context. Its slices belong to the caller.
+// LookupResult is the recorded state of a prompt's context. Its slices belong to the caller.
 type LookupResult struct {
-	KnownBlocks int // leading blocks of the chain that the directory remembers
+	KnownBlocks int // leading blocks of the chain that the directory has recorded
 	Resident    []Resident
 	Copies      []Copy
 	LastUse     time.Time // zero if the context is new
 	Gaps        Gaps
 }
 
-// ActionKind says what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 const (
-	// RequestSnapshot asks for the target's Snapshot, to be handed to OnSnapshot.
+	// RequestSnapshot requests the target's Snapshot, to be passed to OnSnapshot.
 	RequestSnapshot ActionKind = iota
-	// FreeManifest asks to delete a manifest and then its blocks: no context uses it any longer.
+	// FreeManifest deletes a manifest that no context uses any longer, and then its blocks.
 	FreeManifest
 )
 
@@ -78,16 +78,16 @@
 	return "free-manifest"
 }
 
-// Action is an effect that the directory asks its shell for.
+// Action is an effect that the user of the directory executes.
 type Action struct {
 	Kind   ActionKind
 	Target request.TargetID // AskSnapshot
 	Copy   Copy             // FreeManifest
 }
 
-// Correction compares a target's answer with what was remembered.
+// Correction compares a target's answer with the recorded blocks.
 type Correction struct {
-	Assumed int // leading blocks believed resident before the answer
+	Assumed int // leading blocks recorded as resident before the answer
 	Actual  int // leading blocks that the target reported as cached
 	Actions []Action
 }
