--- a/internal/contextdir/directory_test.go
+++ b/internal/contextdir/directory_test.go
@@ -82,24 +82,24 @@
 	id := request.TargetID(target)
 	switch td.Cmd {
 	case "lookup":
-		return formatLocated(d.Lookup(scope, chain))
+		return formatLookup(d.Lookup(scope, chain))
 	case "used":
-		return formatActions(d.Used(scope, chain, now))
+		return formatActions(d.OnUse(scope, chain, now))
 	case "answered":
-		c := d.Answered(id, scope, chain, cached*block.TokensPerBlock, now)
-		return fmt.Sprintf("believed=%d actual=%d\n%s", c.Believed, c.Actual, formatActions(c.Actions))
+		c := d.OnAnswer(id, scope, chain, cached*block.TokensPerBlock, now)
+		return fmt.Sprintf("believed=%d actual=%d\n%s", c.Assumed, c.Actual, formatActions(c.Actions))
 	case "stored":
-		return formatActions(d.Stored(scope, chain, Copy{
+		return formatActions(d.OnManifestCommitted(scope, chain, Copy{
 			Manifest: manifest, Store: request.StoreID(store), Tier: storeapi.TierMemory, Blocks: blocks, Bytes: int64(blocks) * 100,
 		}))
 	case "moved":
-		d.Moved(manifest, storeapi.TierDisk)
+		d.OnManifestMoved(manifest, storeapi.TierDisk)
 	case "freed":
-		d.Freed(manifest)
+		d.OnManifestFreed(manifest)
 	case "store-lost":
-		d.StoreLost(request.StoreID(store))
+		d.OnStoreLost(request.StoreID(store))
 	case "target-lost":
-		d.TargetLost(id)
+		d.OnTargetLost(id)
 	case "event":
 		page := engineapi.EventPage{Incarnation: uint64(incarnation), Next: uint64(next)}
 		if seq > 0 {
@@ -108,7 +108,7 @@
 		return formatActions(d.OnEvents(id, page))
 	case "snapshot":
 		d.OnSnapshot(id, engineapi.Snapshot{Incarnation: uint64(incarnation), Seq: uint64(seq), Blocks: pick(chain, positions)})
-		return fmt.Sprintf("after=%d\n", d.After(id))
+		return fmt.Sprintf("after=%d\n", d.LastEventSeq(id))
 	case "dump":
 		dump := d.Dump()
 		return fmt.Sprintf("contexts=%d scopes=%d manifests=%d\n", dump.Contexts, dump.Scopes, dump.Manifests)
@@ -118,12 +118,12 @@
 	return ""
 }
 
-func formatLocated(l Located) string {
+func formatLookup(l LookupResult) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "known=%d gaps=%d\n", l.Known, l.Gaps.Count())
+	fmt.Fprintf(&b, "known=%d gaps=%d\n", l.KnownBlocks, l.Gaps.Count())
 	sort.Slice(l.Resident, func(i, j int) bool { return l.Resident[i].Target < l.Resident[j].Target })
 	for _, r := range l.Resident {
-		fmt.Fprintf(&b, "target %s blocks=%d unsure=%t\n", r.Target, r.Blocks, r.Unsure)
+		fmt.Fprintf(&b, "target %s blocks=%d unsure=%t\n", r.Target, r.Blocks, r.Unconfirmed)
 	}
 	for _, c := range l.Copies {
 		fmt.Fprintf(&b, "copy %s %s %s blocks=%d bytes=%d shared=%t\n", c.Manifest, c.Store, c.Tier, c.Blocks, c.Bytes, c.Shared)
@@ -139,12 +139,12 @@
 	return b.String()
 }
 
-// A caller returns and waits for a whole prefill although its home sent it to "the
-// target that has its context". The target had evicted the blocks; the page of events
-// that told so was lost, and later events looked like nothing had happened. The
-// naive directory applies what it gets and never asks: it believes in the blocks for
-// ever. Ours sees the hole in the sequence, doubts the target and asks for a snapshot.
-func TestEventGapIsNoticedAndRepaired(t *testing.T) {
+// TestEventGapTriggersSnapshot guards against a caller that waits for a full prefill at a
+// target that no longer holds its context. The target evicted the blocks, and the page with
+// the removal events was lost. A naive directory applies later events and records the blocks
+// indefinitely. Directory must detect the gap in the sequence, mark the target as
+// unconfirmed and request a snapshot.
+func TestEventGapTriggersSnapshot(t *testing.T) {
 	scope := block.Scope{Org: "conche", Model: "verdict", Version: "v1"}
 	chain := chainOf("abcdefgh")
 	stored := engineapi.CacheEvent{Seq: 1, Kind: engineapi.BlocksStored, Blocks: chain}
@@ -156,20 +156,20 @@
 	naive.apply(stored)
 	naive.apply(unrelated)
 	if !naive[chain[7]] {
-		t.Fatal("the naive directory was expected to keep believing in evicted blocks")
+		t.Fatal("the naive directory should still record the evicted blocks as resident")
 	}
 
 	d := New(Params{})
-	d.Used(scope, chain, epoch)
+	d.OnUse(scope, chain, epoch)
 	d.OnEvents("t1", engineapi.EventPage{Incarnation: 1, Next: 1, Events: []engineapi.CacheEvent{stored}})
-	if l := d.Lookup(scope, chain); len(l.Resident) != 1 || l.Resident[0].Blocks != 8 || l.Resident[0].Unsure {
+	if l := d.Lookup(scope, chain); len(l.Resident) != 1 || l.Resident[0].Blocks != 8 || l.Resident[0].Unconfirmed {
 		t.Fatalf("before the gap: %+v", l.Resident)
 	}
 	actions := d.OnEvents("t1", engineapi.EventPage{Incarnation: 1, Next: 3, Events: []engineapi.CacheEvent{unrelated}})
-	if len(actions) != 1 || actions[0].Kind != AskSnapshot || actions[0].Target != "t1" {
+	if len(actions) != 1 || actions[0].Kind != RequestSnapshot || actions[0].Target != "t1" {
 		t.Fatalf("after the gap: actions %v", actions)
 	}
-	if l := d.Lookup(scope, chain); len(l.Resident) != 1 || !l.Resident[0].Unsure {
+	if l := d.Lookup(scope, chain); len(l.Resident) != 1 || !l.Resident[0].Unconfirmed {
 		t.Fatalf("after the gap: %+v", l.Resident)
 	}
 	d.OnSnapshot("t1", snapshot)
@@ -178,7 +178,7 @@
 	}
 }
 
-// naiveResidency applies events without looking at their sequence.
+// naiveResidency applies events without checking their sequence numbers.
 type naiveResidency map[block.Hash]bool
 
 func (n naiveResidency) apply(e engineapi.CacheEvent) {
@@ -187,13 +187,13 @@
 	}
 }
 
-// Whatever happens, a lookup returns only what its own organisation and version put
-// in, also when equal hashes appear under several scopes, and never more blocks than
-// the true common prefix. The twin keeps all chains in full.
-func TestNeverAcrossScopes(t *testing.T) {
+// TestLookupNeverCrossesScopes checks that a lookup returns only state of its own
+// organisation and version, even if equal hashes occur in several scopes, and never more
+// blocks than the true common prefix. The reference stores all chains in full.
+func TestLookupNeverCrossesScopes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New(Params{MaxContexts: rapid.IntRange(1, 8).Draw(t, "max")})
-		twin := map[block.Scope][][]block.Hash{}
+		reference := map[block.Scope][][]block.Hash{}
 		owner := map[string]block.Scope{}
 		scopes := []block.Scope{
 			{Org: "conche", Model: "m", Version: "v1"}, {Org: "temper", Model: "m", Version: "v1"}, {Org: "conche", Model: "m", Version: "v2"},
@@ -206,32 +206,32 @@
 			now = now.Add(time.Second)
 			switch rapid.IntRange(0, 3).Draw(t, "op") {
 			case 0:
-				d.Used(scope, chain, now)
-				twin[scope] = append(twin[scope], chain)
+				d.OnUse(scope, chain, now)
+				reference[scope] = append(reference[scope], chain)
 			case 1:
-				d.Answered(target, scope, chain, 0, now)
-				twin[scope] = append(twin[scope], chain)
+				d.OnAnswer(target, scope, chain, 0, now)
+				reference[scope] = append(reference[scope], chain)
 			case 2:
 				name := fmt.Sprint("manifest-", step)
 				owner[name] = scope
-				d.Stored(scope, chain, Copy{Manifest: name, Store: "s1", Blocks: len(chain), Bytes: int64(len(chain))})
+				d.OnManifestCommitted(scope, chain, Copy{Manifest: name, Store: "s1", Blocks: len(chain), Bytes: int64(len(chain))})
 			case 3:
-				d.TargetLost(target)
+				d.OnTargetLost(target)
 			}
 			probe := rapid.SampledFrom(scopes).Draw(t, "probe")
 			l := d.Lookup(probe, chain)
-			if most := longestPrefix(twin[probe], chain); l.Known > most {
-				t.Fatalf("scope %v: known %d, but it shares only %d blocks", probe, l.Known, most)
+			if limit := longestPrefix(reference[probe], chain); l.KnownBlocks > limit {
+				t.Fatalf("scope %v: known %d, but the common prefix has only %d blocks", probe, l.KnownBlocks, limit)
 			}
 			own := request.TargetID(probe.Org) + "-" + request.TargetID(probe.Version)
 			for _, r := range l.Resident {
-				if r.Target != own || r.Blocks > l.Known {
-					t.Fatalf("scope %v was given %+v of known %d", probe, r, l.Known)
+				if r.Target != own || r.Blocks > l.KnownBlocks {
+					t.Fatalf("lookup in scope %v returned %+v with known %d", probe, r, l.KnownBlocks)
 				}
 			}
 			for _, c := range l.Copies {
-				if owner[c.Manifest] != probe || c.Blocks > l.Known {
-					t.Fatalf("scope %v was given copy %+v of known %d", probe, c, l.Known)
+				if owner[c.Manifest] != probe || c.Blocks > l.KnownBlocks {
+					t.Fatalf("lookup in scope %v returned copy %+v with known %d", probe, c, l.KnownBlocks)
 				}
 			}
 		}
@@ -260,31 +260,31 @@
 	return chain
 }
 
-// The bound of memory must hold: 128 MB for the default number of contexts, each with
-// a copy and two targets.
+// TestMemoryPerContext checks that the default number of contexts, each with a copy and
+// two targets, needs at most 128 MB.
 func TestMemoryPerContext(t *testing.T) {
 	const contexts = 10_000
 	const limit = 128 << 20
 	r := rand.New(rand.NewSource(1))
-	before := heap()
+	before := heapBytes()
 	d := New(Params{})
 	for i := range contexts {
 		scope := block.Scope{Org: request.OrgID(fmt.Sprint("org-", i%100)), Model: "m", Version: "v1"}
 		chain := syntheticChain(r, 312)
-		d.Used(scope, chain, epoch)
-		d.Answered("t1", scope, chain, 0, epoch)
-		d.Answered("t2", scope, chain, 0, epoch)
-		d.Stored(scope, chain, Copy{Manifest: fmt.Sprintf("m-%064x-%d", i, i), Store: "s1", Tier: storeapi.TierMemory, Blocks: 312})
+		d.OnUse(scope, chain, epoch)
+		d.OnAnswer("t1", scope, chain, 0, epoch)
+		d.OnAnswer("t2", scope, chain, 0, epoch)
+		d.OnManifestCommitted(scope, chain, Copy{Manifest: fmt.Sprintf("m-%064x-%d", i, i), Store: "s1", Tier: storeapi.TierMemory, Blocks: 312})
 	}
-	perContext := float64(heap()-before) / contexts
-	t.Logf("%.0f bytes a context", perContext)
+	perContext := float64(heapBytes()-before) / contexts
+	t.Logf("%.0f bytes per context", perContext)
 	if perContext*defaultMaxContexts > limit {
-		t.Fatalf("%.0f bytes a context make %.0f MB for %d contexts", perContext, perContext*defaultMaxContexts/(1<<20), defaultMaxContexts)
+		t.Fatalf("%.0f bytes per context make %.0f MB for %d contexts", perContext, perContext*defaultMaxContexts/(1<<20), defaultMaxContexts)
 	}
 	runtime.KeepAlive(d)
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -300,7 +300,7 @@
 			chains := make([][]block.Hash, 0, 500)
 			for i := range contexts {
 				chain := syntheticChain(r, 312)
-				d.Answered("t1", scope, chain, 0, epoch)
+				d.OnAnswer("t1", scope, chain, 0, epoch)
 				if i%(contexts/500) == 0 {
 					chains = append(chains, append(chain, syntheticChain(r, 8)...))
 				}
