--- a/internal/ctl/explaincmd.go
+++ b/internal/ctl/explaincmd.go
@@ -29,7 +29,7 @@
 				return err
 			}
 			if c.String(flagOutput) == outputTable {
-				if _, err := fmt.Fprintln(t.deps.Stdout, way.Verdict); err != nil {
+				if _, err := fmt.Fprintln(t.deps.Stdout, way.Summary); err != nil {
 					return errors.Wrap(err, "write")
 				}
 			}
@@ -38,7 +38,7 @@
 	}
 }
 
-func (t *tool) explainFiles(request string, files []string) (*explain.Way, error) {
+func (t *tool) explainFiles(request string, files []string) (*explain.RequestHistory, error) {
 	if len(files) == 0 {
 		return explain.Explain(request, []explain.Log{{Daemon: "stdin", Text: t.deps.Stdin}})
 	}
@@ -55,7 +55,7 @@
 	return explain.Explain(request, logs)
 }
 
-func gridOfWay(w *explain.Way) grid {
+func gridOfWay(w *explain.RequestHistory) grid {
 	g := grid{header: []string{"TIME", "DAEMON", "MS", "WHAT", "REPLICA", "HOW", "WHY"}}
 	for _, l := range w.Lines {
 		how := strings.TrimSpace(strings.Join([]string{l.Outcome, l.Code}, " "))
--- a/internal/ctl/lossescmd.go
+++ b/internal/ctl/lossescmd.go
@@ -33,8 +33,8 @@
 			&cli.IntFlag{Name: flagWindows, Value: defaultWorst, Usage: "how many windows are told, the worst first"},
 		},
 		Action: func(c *cli.Context) error {
-			o := losses.Options{Span: c.Duration(flagSpan), Windows: c.Int(flagWindows), Causes: causesTold}
-			if o.Span <= 0 || o.Windows < 0 {
+			o := losses.Options{WindowLength: c.Duration(flagSpan), MaxWindows: c.Int(flagWindows), MaxCauses: causesTold}
+			if o.WindowLength <= 0 || o.MaxWindows < 0 {
 				return usagef("--%s must be above 0, --%s not below", flagSpan, flagWindows)
 			}
 			table, err := t.countLosses(o, c.Args().Slice())
@@ -46,7 +46,7 @@
 	}
 }
 
-func (t *tool) countLosses(o losses.Options, files []string) (*losses.Table, error) {
+func (t *tool) countLosses(o losses.Options, files []string) (*losses.Summary, error) {
 	if len(files) == 0 {
 		return losses.Count(o, t.deps.Stdin)
 	}
@@ -63,7 +63,7 @@
 }
 
 // gridOfLosses lists all causes first, and then the worst windows.
-func gridOfLosses(table *losses.Table) grid {
+func gridOfLosses(table *losses.Summary) grid {
 	g := grid{header: []string{"WHEN", "ENDED", "LOST", "HOW", "ROUTE", "CAUSE"}}
 	for _, l := range table.Losses {
 		g.rows = append(g.rows, []string{"all", fmt.Sprint(table.Ended), fmt.Sprint(l.Count), string(l.Kind), l.Route, l.Cause})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -74,7 +74,7 @@
 	stewards *steward.Service
 	limiter  *limiter.Limiter
 	planner  *planner.Planner
-	suspects *suspect.Keeper
+	suspects *suspect.Registry
 	gateway  *gateway.Gateway
 	fleet    *fleet.Fleet
 
@@ -139,7 +139,7 @@
 		d.vms = newVMCache(platform.NewVMListClient(c.Platform.VMList))
 	}
 	d.table = table.NewReplica(table.ReplicaOptions{KV: d.kv, Logger: d.log.Named("table"), Metrics: d.metrics})
-	d.suspects = suspect.New(suspect.Options{KV: d.kv, Urge: func() { d.members.Urge() }, Logger: d.log, Metrics: d.metrics})
+	d.suspects = suspect.New(suspect.Options{KV: d.kv, NotifyPeers: func() { d.members.Urge() }, Logger: d.log, Metrics: d.metrics})
 	d.members = membership.New(membership.Options{
 		Self: &peer.Member{
 			Id:            c.Daemon.ID,
@@ -307,7 +307,7 @@
 func (d *Daemon) witness(t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint) {
 	ctx, cancel := context.WithTimeout(context.Background(), witnessTimeout)
 	defer cancel()
-	d.suspects.Witness(ctx, t, incarnation, fingerprints)
+	d.suspects.OnCoordinatorReport(ctx, t, incarnation, fingerprints)
 }
 
 func placementParams(p config.Placement) placement.Params {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -31,7 +31,7 @@
 	Code    string    `json:"code,omitempty"`    // of a refusal
 	Ran     string    `json:"ran,omitempty"`
 	Status  int       `json:"status,omitempty"`
-	Try     int       `json:"try,omitempty"`
+	Attempt int       `json:"try,omitempty"`
 	Events  int       `json:"events,omitempty"` // passed on to the caller
 	FirstMs int64     `json:"first_ms,omitempty"`
 	AfterMs int64     `json:"after_ms"` // since the request came
@@ -40,10 +40,10 @@
 	Cause   string    `json:"cause,omitempty"`
 }
 
-// Way is what became of one request.
-type Way struct {
+// RequestHistory is what became of one request.
+type RequestHistory struct {
 	Request string `json:"request"`
-	Verdict string `json:"verdict"` // one sentence
+	Summary string `json:"verdict"` // one sentence
 	Lines   []Line `json:"lines"`   // by time
 }
 
@@ -53,20 +53,20 @@
 	Text   io.Reader
 }
 
-// ErrUnknown says that no line names the request.
-var ErrUnknown = errors.New("explain: no line names the request; its lines may be of another daemon, or were left out under load")
+// ErrUnknownRequest says that no line names the request.
+var ErrUnknownRequest = errors.New("explain: no line names the request; its lines may be of another daemon, or were left out under load")
 
 // Explain reads logs and returns the way of a request. Lines that are not the daemons' own
 // JSON are passed over.
-func Explain(request string, logs []Log) (*Way, error) {
-	way := &Way{Request: request}
+func Explain(request string, logs []Log) (*RequestHistory, error) {
+	way := &RequestHistory{Request: request}
 	outages := map[string][]Line{}
 	for _, log := range logs {
 		err := scan(log, func(l Line) {
 			switch {
 			case l.Request == request:
 				way.Lines = append(way.Lines, l)
-			case l.Message == loglines.KVLost || l.Message == loglines.KVRegained:
+			case l.Message == loglines.KVUnavailable || l.Message == loglines.KVRecovered:
 				outages[l.Daemon] = append(outages[l.Daemon], l)
 			}
 		})
@@ -75,15 +75,15 @@
 		}
 	}
 	if len(way.Lines) == 0 {
-		return nil, errors.Wrap(ErrUnknown, request)
+		return nil, errors.Wrap(ErrUnknownRequest, request)
 	}
 	slices.SortStableFunc(way.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	way.Verdict = verdict(way.Lines, outages)
+	way.Summary = verdict(way.Lines, outages)
 	return way, nil
 }
 
 func scan(log Log, take func(Line)) error {
-	err := loglines.Each(log.Text, func(object []byte) {
+	err := loglines.ForEach(log.Text, func(object []byte) {
 		l := Line{Daemon: log.Daemon}
 		if json.Unmarshal(object, &l) == nil && l.Message != "" {
 			take(l)
@@ -98,18 +98,18 @@
 	switch last.Message {
 	case loglines.Answered:
 		return answered(lines, last)
-	case loglines.BrokenOff:
+	case loglines.StreamBroken:
 		return fmt.Sprintf("The stream broke off after %d events and %d ms: %s.", last.Events, last.AfterMs, lost(lines, last.Cause))
 	case loglines.Refused:
 		return refused(lines, last, outages)
 	}
-	return fmt.Sprintf("Its end is in no line; the last one tells of try %d at replica %s: %s.", last.Try, last.Replica, cmp.Or(last.Error, last.Outcome))
+	return fmt.Sprintf("Its end is in no line; the last one tells of try %d at replica %s: %s.", last.Attempt, last.Replica, cmp.Or(last.Error, last.Outcome))
 }
 
 func answered(lines []Line, last Line) string {
 	tries := 0
 	for _, l := range lines {
-		if l.Message == loglines.TryFailed {
+		if l.Message == loglines.AttemptFailed {
 			tries++
 		}
 	}
@@ -147,13 +147,13 @@
 // lost names the try that failed last, if there is one.
 func lost(lines []Line, otherwise string) string {
 	for _, l := range slices.Backward(lines) {
-		if l.Message != loglines.TryFailed {
+		if l.Message != loglines.AttemptFailed {
 			continue
 		}
 		if l.Outcome == outcomeEnded {
-			return fmt.Sprintf("the caller left or its time was over, in try %d at replica %s", l.Try, l.Replica)
+			return fmt.Sprintf("the caller left or its time was over, in try %d at replica %s", l.Attempt, l.Replica)
 		}
-		return fmt.Sprintf("try %d at replica %s ended after %d ms: %s", l.Try, l.Replica, l.AfterMs, cmp.Or(l.Error, l.Outcome))
+		return fmt.Sprintf("try %d at replica %s ended after %d ms: %s", l.Attempt, l.Replica, l.AfterMs, cmp.Or(l.Error, l.Outcome))
 	}
 	return otherwise
 }
@@ -166,7 +166,7 @@
 			break
 		}
 		since = ""
-		if l.Message == loglines.KVLost {
+		if l.Message == loglines.KVUnavailable {
 			since = fmt.Sprintf("the key-value service had not answered %s since %s (%s)", l.Daemon, l.At.Format(time.TimeOnly), l.Error)
 		}
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			return err.Error() + "\n"
 		}
-		out := way.Verdict + "\n"
+		out := way.Summary + "\n"
 		for _, l := range way.Lines {
 			out += fmt.Sprintf("%s %s after %d ms\n", l.Daemon, l.Message, l.AfterMs)
 		}
@@ -48,7 +48,7 @@
 	if err != nil || len(way.Lines) != 1 {
 		t.Fatalf("%+v, %v", way, err)
 	}
-	if _, err := Explain("other", []Log{{Daemon: "d", Text: strings.NewReader(text)}}); !errors.Is(err, ErrUnknown) {
+	if _, err := Explain("other", []Log{{Daemon: "d", Text: strings.NewReader(text)}}); !errors.Is(err, ErrUnknownRequest) {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -133,7 +133,7 @@
 		return // it has left, and daemons learn that from the registry
 	}
 	state := &State{
-		Replica: r.Hash(), BusyMs: int32(a.Busy.Milliseconds()),
+		Replica: r.Hash(), BusyMs: int32(a.BusyFor.Milliseconds()),
 		Model: string(a.Model), Weights: a.Weights,
 	}
 	s.mu.Lock()
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -73,7 +73,7 @@
 	flight.End()
 	await("its end shows", func() bool { return seen() == replicas.Work{} })
 
-	a.Announce(weights.State{Replica: "r", Busy: time.Minute, Model: "m", Weights: 3})
+	a.Announce(weights.State{Replica: "r", BusyFor: time.Minute, Model: "m", Weights: 3})
 	await("the replica is busy", func() bool { return b.set.Get("r").Busy(time.Now()) && b.set.Get("r").Weights("m") == 3 })
 	a.Announce(weights.State{Replica: "r"})
 	await("the replica takes requests", func() bool { return !b.set.Get("r").Busy(time.Now()) })
--- a/internal/loglines/loglines.go
+++ b/internal/loglines/loglines.go
@@ -13,9 +13,9 @@
 // maxLine bounds a log line, in bytes. Longer ones are none of ours.
 const maxLine = 1 << 20
 
-// Each calls take with the JSON of each line that has some. Collectors put a time or a name
+// ForEach calls take with the JSON of each line that has some. Collectors put a time or a name
 // before it.
-func Each(log io.Reader, take func(object []byte)) error {
+func ForEach(log io.Reader, take func(object []byte)) error {
 	s := bufio.NewScanner(log)
 	s.Buffer(nil, maxLine)
 	for s.Scan() {
--- a/internal/loglines/loglines_test.go
+++ b/internal/loglines/loglines_test.go
@@ -10,14 +10,14 @@
 // same file.
 func TestWhatCollectorsAddIsPassedOver(t *testing.T) {
 	var got []string
-	err := Each(strings.NewReader("12.1 vm-1 {\"a\":1}\nno line of ours\n{\"b\":2}\n"), func(o []byte) { got = append(got, string(o)) })
+	err := ForEach(strings.NewReader("12.1 vm-1 {\"a\":1}\nno line of ours\n{\"b\":2}\n"), func(o []byte) { got = append(got, string(o)) })
 	if err != nil || !slices.Equal(got, []string{`{"a":1}`, `{"b":2}`}) {
 		t.Errorf("got %q, %v", got, err)
 	}
 }
 
 func TestLineWithoutEndIsAnError(t *testing.T) {
-	if err := Each(strings.NewReader("{"+strings.Repeat("x", 2*maxLine)), func([]byte) {}); err == nil {
+	if err := ForEach(strings.NewReader("{"+strings.Repeat("x", 2*maxLine)), func([]byte) {}); err == nil {
 		t.Error("a line of 2 MB is taken")
 	}
 }
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -57,8 +57,8 @@
 	Largest []Loss    `json:"largest"` // of its losses
 }
 
-// Table is what logs tell.
-type Table struct {
+// Summary is what logs tell.
+type Summary struct {
 	Ended   int      `json:"ended"`
 	Losses  []Loss   `json:"losses"`  // the largest first
 	Windows []Window `json:"windows"` // those that lost most, the worst first
@@ -66,9 +66,9 @@
 
 // Options bound a table.
 type Options struct {
-	Span    time.Duration // of a window
-	Windows int           // how many are told
-	Causes  int           // how many are told of each window
+	WindowLength time.Duration // of a window
+	MaxWindows   int           // how many are told
+	MaxCauses    int           // how many are told of each window
 }
 
 // key is what losses are counted by.
@@ -84,12 +84,12 @@
 
 // Count reads logs. Lines that are not the daemons' own JSON, and answers to requests that
 // name no route, are passed over.
-func Count(o Options, logs ...io.Reader) (*Table, error) {
+func Count(o Options, logs ...io.Reader) (*Summary, error) {
 	windows := map[time.Time]*window{}
 	total := &window{lost: map[key]int{}}
 	for _, log := range logs {
 		err := scan(log, func(l line) {
-			from := l.At.Truncate(o.Span)
+			from := l.At.Truncate(o.WindowLength)
 			w := windows[from]
 			if w == nil {
 				w = &window{lost: map[key]int{}}
@@ -106,16 +106,16 @@
 			return nil, err
 		}
 	}
-	return &Table{Ended: total.ended, Losses: total.losses(), Windows: worst(o, windows)}, nil
+	return &Summary{Ended: total.ended, Losses: total.losses(), Windows: worst(o, windows)}, nil
 }
 
 func scan(log io.Reader, take func(line)) error {
-	err := loglines.Each(log, func(object []byte) {
+	err := loglines.ForEach(log, func(object []byte) {
 		var l line
 		if json.Unmarshal(object, &l) != nil || l.Route == "" {
 			return
 		}
-		if l.Message == loglines.Answered || l.Message == loglines.Refused || l.Message == loglines.BrokenOff {
+		if l.Message == loglines.Answered || l.Message == loglines.Refused || l.Message == loglines.StreamBroken {
 			take(l)
 		}
 	})
@@ -127,7 +127,7 @@
 
 func lossOf(l line) (key, bool) {
 	switch {
-	case l.Message == loglines.BrokenOff:
+	case l.Message == loglines.StreamBroken:
 		return key{Broken, l.Route, plain(l.Cause)}, true
 	case l.Message == loglines.Refused && l.Code == "deadline":
 		return key{Failed, l.Route, plain(l.Why)}, true
@@ -169,7 +169,7 @@
 			told.Lost += loss.Count
 		}
 		if told.Lost > 0 {
-			told.Largest = told.Largest[:min(len(told.Largest), o.Causes)]
+			told.Largest = told.Largest[:min(len(told.Largest), o.MaxCauses)]
 			out = append(out, told)
 		}
 	}
@@ -177,5 +177,5 @@
 	slices.SortFunc(out, func(a, b Window) int {
 		return cmp.Or(cmp.Compare(share(b), share(a)), a.From.Compare(b.From))
 	})
-	return out[:min(len(out), o.Windows)]
+	return out[:min(len(out), o.MaxWindows)]
 }
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -19,7 +19,7 @@
 {"@message":"A stream is broken off","@timestamp":"2026-01-01T00:00:03Z","request":"6","route":"brief","cause":"relay: stream: unexpected EOF"}
 {"@message":"A request is answered","@timestamp":"2026-01-01T00:00:03.2Z","request":"7","route":"tile","status":500}
 {"@message":"A store is kept here","@timestamp":"2026-01-01T00:00:03.2Z","store":"s"}`
-	table, err := Count(Options{Span: 2 * time.Second, Windows: 5, Causes: 1}, strings.NewReader(one), strings.NewReader(two))
+	table, err := Count(Options{WindowLength: 2 * time.Second, MaxWindows: 5, MaxCauses: 1}, strings.NewReader(one), strings.NewReader(two))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 func FuzzCount(f *testing.F) {
 	f.Add(`{"@message":"A request is refused","@timestamp":"2026-01-01T00:00:02.1Z","request":"4","route":"r","code":"x"}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		table, err := Count(Options{Span: time.Second, Windows: 3, Causes: 2}, strings.NewReader(text))
+		table, err := Count(Options{WindowLength: time.Second, MaxWindows: 3, MaxCauses: 2}, strings.NewReader(text))
 		if err != nil {
 			return
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -28,8 +28,8 @@
 	return scope, reporter.HTTPHandler(), closer
 }
 
-// Latencies are the buckets of request times: fine around the aims of 150 to 600 ms.
-var Latencies = tally.DurationBuckets{
+// LatencyBuckets are the buckets of request times: fine around the aims of 150 to 600 ms.
+var LatencyBuckets = tally.DurationBuckets{
 	10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 	150 * time.Millisecond, 250 * time.Millisecond, 400 * time.Millisecond, 600 * time.Millisecond,
 	time.Second, 2 * time.Second, 5 * time.Second, 15 * time.Second,
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -315,7 +315,7 @@
 	if lasted >= outageAfter {
 		f.returning = true
 	}
-	f.o.Logger.Info(loglines.KVRegained, "failed_for_ms", lasted.Milliseconds())
+	f.o.Logger.Info(loglines.KVRecovered, "failed_for_ms", lasted.Milliseconds())
 }
 
 func (f *Follower) failed(err error) {
@@ -325,5 +325,5 @@
 		return
 	}
 	f.failing = time.Now()
-	f.o.Logger.Warn(loglines.KVLost, "error", err)
+	f.o.Logger.Warn(loglines.KVUnavailable, "error", err)
 }
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -73,7 +73,7 @@
 // end gives the final answer to a request that no replica answered.
 func (s *Server) end(ctx context.Context, w http.ResponseWriter, j *Job, k *sink, mayRun bool, cause error) {
 	if k.started {
-		s.o.Logger.Info(loglines.BrokenOff, "request", j.ID, "route", j.Route.Name, "events", k.count, "cause", cause, "after_ms", sinceMs(j.Start))
+		s.o.Logger.Info(loglines.StreamBroken, "request", j.ID, "route", j.Route.Name, "events", k.count, "cause", cause, "after_ms", sinceMs(j.Start))
 		s.o.Metrics.Counter("streams_broken").Inc(1)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -16,7 +16,7 @@
 		status = t.response.Status
 	}
 	s.o.Metrics.Tagged(map[string]string{"outcome": t.outcome.String()}).Counter("tries").Inc(1)
-	s.o.Logger.Info(loglines.TryFailed, "request", j.ID, "try", sends, "replica", t.placement.Send.Replica,
+	s.o.Logger.Info(loglines.AttemptFailed, "request", j.ID, "try", sends, "replica", t.placement.Send.Replica,
 		"outcome", t.outcome.String(), "status", status, "weights", t.placement.Send.Weights,
 		"why", t.placement.Reason, "error", t.err, "retry_after_ms", t.answer.RetryAfter.Milliseconds(), "after_ms", sinceMs(j.Start))
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -505,7 +505,7 @@
 	started uint64 // of the replica that died last
 }
 
-func (c *counted) Refused(fingerprint func() quarantine.Fingerprint) *request.Error {
+func (c *counted) Check(fingerprint func() quarantine.Fingerprint) *request.Error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.deaths[fingerprint()] < 3 {
@@ -514,14 +514,14 @@
 	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, time.Minute, "replicas died")
 }
 
-func (c *counted) Died(_ context.Context, s quarantine.Sighting) {
+func (c *counted) RecordCrash(_ context.Context, s quarantine.Sighting) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deaths[s.Fingerprint]++
 	c.started = s.Incarnation
 }
 
-func (c *counted) Answered(context.Context, func() quarantine.Fingerprint) {}
+func (c *counted) RecordSuccess(context.Context, func() quarantine.Fingerprint) {}
 
 func (c *counted) all() int {
 	c.mu.Lock()
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -97,8 +97,8 @@
 	}
 	for _, kind := range []routing.Kind{routing.KindIdempotent, routing.KindOnce, routing.KindStream} {
 		scope := o.Metrics.Tagged(map[string]string{"kind": string(kind)})
-		s.first[kind] = scope.Histogram("first_answer", metrics.Latencies)
-		s.whole[kind] = scope.Histogram("whole_answer", metrics.Latencies)
+		s.first[kind] = scope.Histogram("first_answer", metrics.LatencyBuckets)
+		s.whole[kind] = scope.Histogram("whole_answer", metrics.LatencyBuckets)
 	}
 	return s
 }
@@ -123,7 +123,7 @@
 		return
 	}
 	if s.o.Suspects != nil {
-		if err := s.o.Suspects.Refused(j.fingerprint); err != nil {
+		if err := s.o.Suspects.Check(j.fingerprint); err != nil {
 			s.refuse(w, j, err)
 			return
 		}
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -12,12 +12,12 @@
 // Suspects knows requests at which replicas died. The fingerprint is asked for only where it
 // is needed: it covers the whole body.
 type Suspects interface {
-	// Refused returns the final answer to a request that must not run any more.
-	Refused(fingerprint func() quarantine.Fingerprint) *request.Error
-	// Died notes that a replica died while it ran a request.
-	Died(ctx context.Context, s quarantine.Sighting)
-	// Answered notes that a replica ran a request to its end.
-	Answered(ctx context.Context, fingerprint func() quarantine.Fingerprint)
+	// Check returns the final answer to a request that must not run any more.
+	Check(fingerprint func() quarantine.Fingerprint) *request.Error
+	// RecordCrash notes that a replica died while it ran a request.
+	RecordCrash(ctx context.Context, s quarantine.Sighting)
+	// RecordSuccess notes that a replica ran a request to its end.
+	RecordSuccess(ctx context.Context, fingerprint func() quarantine.Fingerprint)
 }
 
 const (
@@ -48,13 +48,13 @@
 			return
 		}
 		// A replica may start again under its id: each of its starts dies once.
-		s.o.Suspects.Died(ctx, quarantine.Sighting{Fingerprint: j.fingerprint(), Target: r.Info().ID, Incarnation: uint64(r.Info().Started)})
+		s.o.Suspects.RecordCrash(ctx, quarantine.Sighting{Fingerprint: j.fingerprint(), Target: r.Info().ID, Incarnation: uint64(r.Info().Started)})
 	}()
 }
 
 // ranToItsEnd clears a request that a replica answered.
 func (s *Server) ranToItsEnd(ctx context.Context, j *Job) {
 	if s.o.Suspects != nil {
-		s.o.Suspects.Answered(context.WithoutCancel(ctx), j.fingerprint)
+		s.o.Suspects.RecordSuccess(context.WithoutCancel(ctx), j.fingerprint)
 	}
 }
--- a/internal/suspect/counted.go
+++ b/internal/suspect/counting.go
@@ -22,34 +22,34 @@
 	storeAt = 2
 )
 
-// CountedOptions are the options of NewCounted.
-type CountedOptions struct {
+// CountingOptions are the options of NewCounted.
+type CountingOptions struct {
 	KV       platform.KV
 	Follower *mirror.Follower          // of the service; its owner runs it
-	Tell     func(quarantine.Sighting) // tells all daemons soon; nil: nobody
+	Notify   func(quarantine.Sighting) // tells all daemons soon; nil: nobody
 	Logger   hclog.Logger
 	Now      func() time.Time // nil: time.Now
 }
 
-// Counted refuses requests at which targets died too often, for daemons that can't empty a
+// CountingRegistry refuses requests at which targets died too often, for daemons that can't empty a
 // target for a suspect. Suspects run like all others; one that a target answers is cleared.
 // It is safe for concurrent use.
 //
 // Sightings are told to all daemons at once; findings of two deaths and more lie in the
 // key-value service as well, so that they outlive all daemons.
-type Counted struct {
-	o      CountedOptions
-	keeper *Keeper // holds the register, and reads and writes its pages
+type CountingRegistry struct {
+	o      CountingOptions
+	keeper *Registry // holds the register, and reads and writes its pages
 	mirror *mirror.Mirror
 	any    atomic.Bool // there are findings
 }
 
-// NewCounted returns a register that knows nothing.
-func NewCounted(o CountedOptions) *Counted {
+// NewCountingRegistry returns a register that knows nothing.
+func NewCountingRegistry(o CountingOptions) *CountingRegistry {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
-	c := &Counted{
+	c := &CountingRegistry{
 		o: o, keeper: New(Options{KV: o.KV, Logger: o.Logger, Now: o.Now, Params: quarantine.Params{Counted: refuseAt}}),
 	}
 	c.o.Logger = o.Logger.Named("suspect")
@@ -58,9 +58,9 @@
 }
 
 // Mirror returns the mirror of stored findings, whose copies peers may ask for.
-func (c *Counted) Mirror() *mirror.Mirror { return c.mirror }
+func (c *CountingRegistry) Mirror() *mirror.Mirror { return c.mirror }
 
-func (c *Counted) apply(u mirror.Update) {
+func (c *CountingRegistry) apply(u mirror.Update) {
 	for _, e := range u.Entries {
 		if !e.Deleted {
 			c.keeper.mergeValue(e.Value)
@@ -69,37 +69,37 @@
 	c.any.Store(c.keeper.count() > 0)
 }
 
-// Refused returns the final answer to a request that has brought down too many targets; nil
+// Check returns the final answer to a request that has brought down too many targets; nil
 // if it may run. fingerprint is called only where there are findings at all.
-func (c *Counted) Refused(fingerprint func() quarantine.Fingerprint) *request.Error {
+func (c *CountingRegistry) Check(fingerprint func() quarantine.Fingerprint) *request.Error {
 	if !c.any.Load() {
 		return nil
 	}
 	return c.keeper.gate(fingerprint()).Err
 }
 
-// Died notes that a target died while it ran a request here, and tells the other daemons. It
+// RecordCrash notes that a target died while it ran a request here, and tells the other daemons. It
 // returns once a finding of several deaths is written, or the write has failed.
-func (c *Counted) Died(ctx context.Context, s quarantine.Sighting) {
+func (c *CountingRegistry) RecordCrash(ctx context.Context, s quarantine.Sighting) {
 	found := c.note(s)
-	if c.o.Tell != nil {
-		c.o.Tell(s)
+	if c.o.Notify != nil {
+		c.o.Notify(s)
 	}
 	c.store(ctx, found)
 }
 
-// Heard notes a sighting of another daemon, which writes it if it must be written.
-func (c *Counted) Heard(s quarantine.Sighting) { c.note(s) }
+// OnPeerReport notes a sighting of another daemon, which writes it if it must be written.
+func (c *CountingRegistry) OnPeerReport(s quarantine.Sighting) { c.note(s) }
 
-func (c *Counted) note(s quarantine.Sighting) []quarantine.Finding {
+func (c *CountingRegistry) note(s quarantine.Sighting) []quarantine.Finding {
 	c.any.Store(true)
 	c.keeper.mu.Lock()
 	defer c.keeper.mu.Unlock()
 	return c.keeper.register.OnSighting(c.keeper.opts.Now(), s)
 }
 
-// Answered notes that a target ran a request to its end.
-func (c *Counted) Answered(ctx context.Context, fingerprint func() quarantine.Fingerprint) {
+// RecordSuccess notes that a target ran a request to its end.
+func (c *CountingRegistry) RecordSuccess(ctx context.Context, fingerprint func() quarantine.Fingerprint) {
 	if !c.any.Load() {
 		return
 	}
@@ -111,7 +111,7 @@
 }
 
 // store writes the findings that must outlive this daemon.
-func (c *Counted) store(ctx context.Context, found []quarantine.Finding) {
+func (c *CountingRegistry) store(ctx context.Context, found []quarantine.Finding) {
 	for _, f := range found {
 		if len(f.Deaths) < storeAt {
 			continue
@@ -124,4 +124,4 @@
 }
 
 // State returns the findings for a dump.
-func (c *Counted) State() any { return c.keeper.State() }
+func (c *CountingRegistry) State() any { return c.keeper.State() }
--- a/internal/suspect/counted_test.go
+++ b/internal/suspect/counting_test.go
@@ -14,11 +14,11 @@
 )
 
 // counting starts a daemon's register that follows a key-value service.
-func counting(t *testing.T, fake *kv.Fake, name string, tell func(quarantine.Sighting)) *Counted {
+func counting(t *testing.T, fake *kv.Fake, name string, tell func(quarantine.Sighting)) *CountingRegistry {
 	t.Helper()
 	client := fake.Client(name)
 	follower := mirror.New(mirror.Options{KV: client, Wait: func() time.Duration { return 10 * time.Millisecond }})
-	c := NewCounted(CountedOptions{KV: client, Follower: follower, Tell: tell})
+	c := NewCountingRegistry(CountingOptions{KV: client, Follower: follower, Notify: tell})
 	ctx, cancel := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	run.Go(func() { _ = follower.Run(ctx) }) // ends with ctx
@@ -42,10 +42,10 @@
 // the others are gone.
 func TestRequestThatCrashesReplicasIsRefusedEverywhere(t *testing.T) {
 	fake := kv.NewFake(time.Now)
-	var all []*Counted
+	var all []*CountingRegistry
 	tell := func(s quarantine.Sighting) {
 		for _, c := range all {
-			c.Heard(s)
+			c.OnPeerReport(s)
 		}
 	}
 	for i := range 3 {
@@ -53,21 +53,21 @@
 	}
 	const poison = quarantine.Fingerprint("ab12")
 	for n, c := range all {
-		if err := c.Refused(fixed(poison)); err != nil {
+		if err := c.Check(fixed(poison)); err != nil {
 			t.Fatalf("refused after %d deaths", n)
 		}
-		c.Died(context.Background(), death(poison, n))
+		c.RecordCrash(context.Background(), death(poison, n))
 	}
 	for i, c := range all {
-		if err := c.Refused(fixed(poison)); err == nil || err.RetryAfter <= 0 || err.Ran != request.NotRun {
+		if err := c.Check(fixed(poison)); err == nil || err.RetryAfter <= 0 || err.Ran != request.NotRun {
 			t.Errorf("daemon %d: %+v", i, err)
 		}
-		if err := c.Refused(fixed("cd34")); err != nil {
+		if err := c.Check(fixed("cd34")); err != nil {
 			t.Errorf("another request is refused: %v", err)
 		}
 	}
 	late := counting(t, fake, "late", nil)
-	for deadline := time.Now().Add(5 * time.Second); late.Refused(fixed(poison)) == nil; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); late.Check(fixed(poison)) == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("a daemon that starts later lets it run")
 		}
@@ -80,13 +80,13 @@
 	c := counting(t, kv.NewFake(time.Now), "d", nil)
 	const fp = quarantine.Fingerprint("ab12")
 	for n := range 2 {
-		c.Died(context.Background(), death(fp, n))
+		c.RecordCrash(context.Background(), death(fp, n))
 	}
-	c.Answered(context.Background(), fixed(fp))
+	c.RecordSuccess(context.Background(), fixed(fp))
 	for n := range 5 {
-		c.Died(context.Background(), death(fp, 10+n))
+		c.RecordCrash(context.Background(), death(fp, 10+n))
 	}
-	if err := c.Refused(fixed(fp)); err != nil {
+	if err := c.Check(fixed(fp)); err != nil {
 		t.Errorf("refused: %v", err)
 	}
 }
@@ -96,9 +96,9 @@
 	c := counting(t, kv.NewFake(time.Now), "d", nil)
 	const fp = quarantine.Fingerprint("ab12")
 	for range 5 {
-		c.Heard(death(fp, 1))
+		c.OnPeerReport(death(fp, 1))
 	}
-	if err := c.Refused(fixed(fp)); err != nil {
+	if err := c.Check(fixed(fp)); err != nil {
 		t.Errorf("refused: %v", err)
 	}
 }
@@ -109,12 +109,12 @@
 	c := counting(t, kv.NewFake(time.Now), "d", nil)
 	const poison = quarantine.Fingerprint("ab12")
 	for started := range uint64(3) {
-		if err := c.Refused(fixed(poison)); err != nil {
+		if err := c.Check(fixed(poison)); err != nil {
 			t.Fatalf("refused after %d deaths", started)
 		}
-		c.Died(context.Background(), quarantine.Sighting{Fingerprint: poison, Target: "r", Incarnation: 1000 + started})
+		c.RecordCrash(context.Background(), quarantine.Sighting{Fingerprint: poison, Target: "r", Incarnation: 1000 + started})
 	}
-	if c.Refused(fixed(poison)) == nil {
+	if c.Check(fixed(poison)) == nil {
 		t.Error("still runs after three deaths of one replica")
 	}
 }
--- a/internal/suspect/pages.go
+++ b/internal/suspect/pages.go
@@ -33,7 +33,7 @@
 	return out
 }
 
-func (k *Keeper) read(ctx context.Context, name string) error {
+func (k *Registry) read(ctx context.Context, name string) error {
 	ctx, cancel := context.WithTimeout(ctx, ioTimeout)
 	defer cancel()
 	entry, err := k.opts.KV.Get(ctx, name)
@@ -49,7 +49,7 @@
 
 // write joins findings with a stored page. Merging is idempotent, so a write whose
 // outcome is unknown is simply made again.
-func (k *Keeper) write(ctx context.Context, name string, found []quarantine.Finding) error {
+func (k *Registry) write(ctx context.Context, name string, found []quarantine.Finding) error {
 	ctx, cancel := context.WithTimeout(ctx, ioTimeout)
 	defer cancel()
 	var err error
@@ -64,7 +64,7 @@
 	return err
 }
 
-func (k *Keeper) writeOnce(ctx context.Context, name string, found []quarantine.Finding) error {
+func (k *Registry) writeOnce(ctx context.Context, name string, found []quarantine.Finding) error {
 	var stored []quarantine.Finding
 	entry, err := k.opts.KV.Get(ctx, name)
 	switch {
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -35,16 +35,16 @@
 
 // Options configures a Keeper.
 type Options struct {
-	KV      platform.KV
-	Urge    func() // tells peers soon; may be nil
-	Logger  hclog.Logger
-	Metrics tally.Scope
-	Now     func() time.Time // nil: time.Now
-	Params  quarantine.Params
+	KV          platform.KV
+	NotifyPeers func() // tells peers soon; may be nil
+	Logger      hclog.Logger
+	Metrics     tally.Scope
+	Now         func() time.Time // nil: time.Now
+	Params      quarantine.Params
 }
 
-// Keeper holds the register of one daemon. It is safe for concurrent use.
-type Keeper struct {
+// Registry holds the register of one daemon. It is safe for concurrent use.
+type Registry struct {
 	opts     Options
 	log      hclog.Logger
 	findings tally.Counter
@@ -56,17 +56,17 @@
 }
 
 // New returns a keeper that knows nothing until Load.
-func New(opts Options) *Keeper {
+func New(opts Options) *Registry {
 	if opts.Metrics == nil {
 		opts.Metrics = tally.NoopScope
 	}
 	if opts.Now == nil {
 		opts.Now = time.Now
 	}
-	if opts.Urge == nil {
-		opts.Urge = func() {}
+	if opts.NotifyPeers == nil {
+		opts.NotifyPeers = func() {}
 	}
-	return &Keeper{
+	return &Registry{
 		opts:     opts,
 		log:      opts.Logger.Named("suspect"),
 		findings: opts.Metrics.Counter("quarantine_findings"),
@@ -76,7 +76,7 @@
 
 // Gate says how a request may run. A suspect is let through only after the stored
 // findings were read: another daemon may know of a second death.
-func (k *Keeper) Gate(ctx context.Context, fp quarantine.Fingerprint) quarantine.Verdict {
+func (k *Registry) Gate(ctx context.Context, fp quarantine.Fingerprint) quarantine.Verdict {
 	v := k.gate(fp)
 	if v.Mode != quarantine.Alone && !k.mustRead() {
 		return v
@@ -96,19 +96,19 @@
 // requests of a daemon for as long as the service is away would cost every caller, and
 // findings are lost only if all daemons stop within the outage. After a failed read no
 // request waits for another one for a while.
-func (k *Keeper) mustRead() bool {
+func (k *Registry) mustRead() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return !k.loaded && k.opts.Now().Sub(k.failed) >= readPause
 }
 
-func (k *Keeper) readFailed() {
+func (k *Registry) readFailed() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.failed = k.opts.Now()
 }
 
-func (k *Keeper) gate(fp quarantine.Fingerprint) quarantine.Verdict {
+func (k *Registry) gate(fp quarantine.Fingerprint) quarantine.Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.register.Gate(k.opts.Now(), fp)
@@ -116,7 +116,7 @@
 
 // Begin enters a request that is about to be sent. If it returns false the request
 // must not be sent now.
-func (k *Keeper) Begin(fp quarantine.Fingerprint, id request.ID, t request.TargetID, alone bool) bool {
+func (k *Registry) Begin(fp quarantine.Fingerprint, id request.ID, t request.TargetID, alone bool) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_, ok := k.register.Begin(k.opts.Now(), fp, id, t, alone)
@@ -124,7 +124,7 @@
 }
 
 // End is told that a request is no longer in flight.
-func (k *Keeper) End(id request.ID) {
+func (k *Registry) End(id request.ID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.register.End(id)
@@ -132,15 +132,15 @@
 
 // TargetDied makes suspects of what this daemon had in flight at a target. It returns
 // once the findings are written, or the write has failed.
-func (k *Keeper) TargetDied(ctx context.Context, t request.TargetID, incarnation uint64) {
+func (k *Registry) TargetDied(ctx context.Context, t request.TargetID, incarnation uint64) {
 	k.mu.Lock()
 	found := k.register.OnTargetDied(k.opts.Now(), t, incarnation)
 	k.mu.Unlock()
 	k.publish(ctx, t, found)
 }
 
-// Witness makes suspects of requests that other daemons had in flight at a target.
-func (k *Keeper) Witness(ctx context.Context, t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint) {
+// OnCoordinatorReport makes suspects of requests that other daemons had in flight at a target.
+func (k *Registry) OnCoordinatorReport(ctx context.Context, t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint) {
 	k.mu.Lock()
 	found := k.register.OnWitness(k.opts.Now(), t, incarnation, fingerprints)
 	k.mu.Unlock()
@@ -148,13 +148,13 @@
 }
 
 // publish writes findings and has them sent to peers.
-func (k *Keeper) publish(ctx context.Context, t request.TargetID, found []quarantine.Finding) {
+func (k *Registry) publish(ctx context.Context, t request.TargetID, found []quarantine.Finding) {
 	if len(found) == 0 {
 		return
 	}
 	k.findings.Inc(int64(len(found)))
 	k.log.Warn("Target died with requests in flight", "target", t, "suspects", len(found))
-	k.opts.Urge()
+	k.opts.NotifyPeers()
 	for name, page := range byPage(found) {
 		if err := k.write(ctx, name, page); err != nil {
 			k.log.Warn("Findings were not written; peers are told", "error", err)
@@ -163,7 +163,7 @@
 }
 
 // Load reads all stored findings.
-func (k *Keeper) Load(ctx context.Context) error {
+func (k *Registry) Load(ctx context.Context) error {
 	entries, _, err := k.opts.KV.List(ctx, keyPrefix)
 	if err != nil {
 		return errors.Wrap(err, "suspect: load")
@@ -178,21 +178,21 @@
 }
 
 // Hash covers All. It serves the exchange with peers.
-func (k *Keeper) Hash() uint64 {
+func (k *Registry) Hash() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.register.Hash(k.opts.Now())
 }
 
 // count returns how many findings count now.
-func (k *Keeper) count() int {
+func (k *Registry) count() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.register.All(k.opts.Now()))
 }
 
 // All returns the findings for peers.
-func (k *Keeper) All() []*peer.Finding {
+func (k *Registry) All() []*peer.Finding {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []*peer.Finding
@@ -207,7 +207,7 @@
 }
 
 // Merge takes findings of a peer and returns how many were new.
-func (k *Keeper) Merge(findings []*peer.Finding) int {
+func (k *Registry) Merge(findings []*peer.Finding) int {
 	in := make([]quarantine.Finding, 0, len(findings))
 	for _, m := range findings {
 		f := quarantine.Finding{Fingerprint: quarantine.Fingerprint(m.Fingerprint), Expires: time.UnixMilli(m.ExpiresUnixMs), Proven: m.Proven}
@@ -219,7 +219,7 @@
 	return k.merge(in)
 }
 
-func (k *Keeper) merge(in []quarantine.Finding) int {
+func (k *Registry) merge(in []quarantine.Finding) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.register.Merge(k.opts.Now(), in))
@@ -227,7 +227,7 @@
 
 // mergeValue takes a stored page. One that can't be read is passed over: it is
 // written anew with the next finding.
-func (k *Keeper) mergeValue(value []byte) []quarantine.Finding {
+func (k *Registry) mergeValue(value []byte) []quarantine.Finding {
 	var stored []quarantine.Finding
 	if err := json.Unmarshal(value, &stored); err != nil {
 		k.log.Error("Stored findings can not be read", "error", err)
@@ -238,7 +238,7 @@
 }
 
 // State returns the findings for a dump.
-func (k *Keeper) State() any {
+func (k *Registry) State() any {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.register.All(k.opts.Now())
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -14,12 +14,12 @@
 
 const crasher quarantine.Fingerprint = "a1"
 
-func newKeeper(service *kv.Fake, id string) *Keeper {
+func newKeeper(service *kv.Fake, id string) *Registry {
 	return New(Options{KV: service.Client(id), Logger: hclog.NewNullLogger()})
 }
 
 // falls lets targets die with a request in flight, and nothing beside it.
-func falls(t *testing.T, k *Keeper, fp quarantine.Fingerprint, targets ...request.TargetID) {
+func falls(t *testing.T, k *Registry, fp quarantine.Fingerprint, targets ...request.TargetID) {
 	t.Helper()
 	for _, id := range targets {
 		alone := k.Gate(t.Context(), fp).Mode == quarantine.Alone
@@ -31,7 +31,7 @@
 	}
 }
 
-func wantMode(t *testing.T, k *Keeper, fp quarantine.Fingerprint, want quarantine.Mode) {
+func wantMode(t *testing.T, k *Registry, fp quarantine.Fingerprint, want quarantine.Mode) {
 	t.Helper()
 	v := k.Gate(t.Context(), fp)
 	if v.Mode != want {
--- a/internal/weights/duty.go
+++ b/internal/weights/controller.go
@@ -82,26 +82,26 @@
 
 // Order tells a replica to load weights.
 type Order struct {
-	Model    request.Model
-	Version  uint64
-	Holder   request.DaemonID
-	Epoch    uint64
-	Expected uint64 // orders that the replica has accepted; any other number voids this one
-	// RunsGoOn lets what runs go on under the new weights. Else the replica refuses new
+	Model          request.Model
+	Version        uint64
+	Holder         request.DaemonID
+	Epoch          uint64
+	ExpectedOrders uint64 // orders that the replica has accepted; any other number voids this one
+	// KeepRunning lets what runs go on under the new weights. Else the replica refuses new
 	// requests until all that run have ended, and then loads.
-	RunsGoOn bool
+	KeepRunning bool
 }
 
 // State is what peers are told of a replica. Zero times end what was told before.
 type State struct {
 	Replica request.TargetID
-	Busy    time.Duration // it takes no requests for so long
+	BusyFor time.Duration // it takes no requests for so long
 	Model   request.Model
 	Weights uint64 // that it serves; zero: not told
 }
 
-// Replicas carries out calls to replicas.
-type Replicas interface {
+// ReplicaClient carries out calls to replicas.
+type ReplicaClient interface {
 	Report(ctx context.Context, r *replicas.Replica) (Report, error)
 	// Load gives an order. An error says nothing about whether it is carried out.
 	Load(ctx context.Context, r *replicas.Replica, o Order) error
@@ -113,22 +113,22 @@
 	Leases *lease.Manager
 	Self   request.DaemonID
 	Set    *replicas.Set
-	Calls  Replicas
+	Client ReplicaClient
 	// OrderLease is the time within which two daemons must not both give orders.
 	OrderLease time.Duration
-	// Named returns the versions that operators named last.
-	Named func() map[request.Model]uint64
+	// RequestedVersions returns the versions that operators named last.
+	RequestedVersions func() map[request.Model]uint64
 	// Rank returns this daemon's place among those that may take the duty, 0 first.
 	Rank func() int
-	// Outdated returns since when a version is not the newest.
-	Outdated func(m request.Model, version uint64) (since time.Time, outdated bool)
+	// OutdatedSince returns since when a version is not the newest.
+	OutdatedSince func(m request.Model, version uint64) (since time.Time, outdated bool)
 	// Announce tells peers of a replica's state; nil: nobody.
 	Announce func(State)
 	Logger   hclog.Logger
 }
 
-// Duty is one daemon's part in the rollout of weights.
-type Duty struct {
+// Controller is one daemon's part in the rollout of weights.
+type Controller struct {
 	o        Options
 	rollouts map[request.Model]*rollout.Rollout
 	lease    *lease.Lease
@@ -154,16 +154,16 @@
 }
 
 // New returns a duty that holds nothing.
-func New(o Options) *Duty {
+func New(o Options) *Controller {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
 	o.Logger = o.Logger.Named("weights")
-	return &Duty{o: o, ordered: map[request.TargetID]ordered{}, told: map[request.TargetID]time.Time{}, recent: map[request.TargetID]time.Time{}, left: make(chan struct{})}
+	return &Controller{o: o, ordered: map[request.TargetID]ordered{}, told: map[request.TargetID]time.Time{}, recent: map[request.TargetID]time.Time{}, left: make(chan struct{})}
 }
 
 // Run does the duty while this daemon holds it, until ctx ends.
-func (d *Duty) Run(ctx context.Context) error {
+func (d *Controller) Run(ctx context.Context) error {
 	defer close(d.left)
 	for ctx.Err() == nil {
 		if d.leaving.Load() {
@@ -179,9 +179,9 @@
 	return nil
 }
 
-// Leave gives the duty back, so that another daemon goes on at once. It returns when that
+// Shutdown gives the duty back, so that another daemon goes on at once. It returns when that
 // is done: the next holder must not give orders within OrderLease of this one's last.
-func (d *Duty) Leave(ctx context.Context) {
+func (d *Controller) Shutdown(ctx context.Context) {
 	d.leaving.Store(true)
 	select {
 	case <-d.left:
@@ -189,7 +189,7 @@
 	}
 }
 
-func (d *Duty) giveBack(ctx context.Context) {
+func (d *Controller) giveBack(ctx context.Context) {
 	if d.lease == nil || !d.lease.Valid() {
 		return
 	}
@@ -211,7 +211,7 @@
 }
 
 // step does what is to be done now and reports whether replicas are behind.
-func (d *Duty) step(ctx context.Context) bool {
+func (d *Controller) step(ctx context.Context) bool {
 	now := time.Now()
 	late := d.behind()
 	d.settle(late)
@@ -230,7 +230,7 @@
 }
 
 // settle takes the replicas back into use that have reached their version.
-func (d *Duty) settle(late []behind) {
+func (d *Controller) settle(late []behind) {
 	type place struct {
 		id    request.TargetID
 		model request.Model
@@ -259,15 +259,15 @@
 
 // forget drops the order to a replica that is gone or has started again: its new start
 // counts orders anew and knows nothing of this one.
-func (d *Duty) forget(id request.TargetID) {
+func (d *Controller) forget(id request.TargetID) {
 	for _, r := range d.rollouts {
 		r.Forget(id)
 	}
 }
 
-func (d *Duty) behind() []behind {
+func (d *Controller) behind() []behind {
 	var late []behind
-	for model, version := range d.o.Named() {
+	for model, version := range d.o.RequestedVersions() {
 		for _, r := range d.o.Set.All() {
 			if _, serves := r.Info().Weights[model]; serves && r.Weights(model) < version {
 				late = append(late, behind{replica: r, model: model, version: version})
@@ -278,7 +278,7 @@
 }
 
 // hold reports whether this daemon holds the duty, and asks for it if it is its turn.
-func (d *Duty) hold(ctx context.Context, now time.Time, work bool) bool {
+func (d *Controller) hold(ctx context.Context, now time.Time, work bool) bool {
 	if d.lease != nil && d.lease.Valid() {
 		return true
 	}
@@ -304,7 +304,7 @@
 }
 
 // take begins a term as the holder.
-func (d *Duty) take(ctx context.Context, now time.Time, l *lease.Lease) bool {
+func (d *Controller) take(ctx context.Context, now time.Time, l *lease.Lease) bool {
 	p, err := takePlan(ctx, d.o.KV, l.Epoch())
 	if err != nil {
 		d.o.Logger.Warn("The plan of the holder before could not be taken over", "error", err)
--- a/internal/weights/models_test.go
+++ b/internal/weights/models_test.go
@@ -39,7 +39,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := r.Info().ID
-	if f.loading[id] || o.Expected != f.orders[id] {
+	if f.loading[id] || o.ExpectedOrders != f.orders[id] {
 		f.refused++
 		return errors.New("another order is carried out")
 	}
@@ -92,11 +92,11 @@
 	set.Apply(time.Now(), replicas.Change{Full: true, Present: present})
 	store, began := kv.NewFake(time.Now).Client("d"), time.Now()
 	d := New(Options{
-		KV: store, Self: "d", Set: set, Calls: f, OrderLease: 100 * time.Millisecond,
-		Leases:   lease.NewManager(lease.Options{KV: store, Self: "d", TTL: 30 * time.Second, Margin: time.Second}),
-		Named:    func() map[request.Model]uint64 { return named },
-		Outdated: func(m request.Model, v uint64) (time.Time, bool) { return began, v < named[m] },
-		Rank:     func() int { return 0 },
+		KV: store, Self: "d", Set: set, Client: f, OrderLease: 100 * time.Millisecond,
+		Leases:            lease.NewManager(lease.Options{KV: store, Self: "d", TTL: 30 * time.Second, Margin: time.Second}),
+		RequestedVersions: func() map[request.Model]uint64 { return named },
+		OutdatedSince:     func(m request.Model, v uint64) (time.Time, bool) { return began, v < named[m] },
+		Rank:              func() int { return 0 },
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
--- a/internal/weights/orders.go
+++ b/internal/weights/orders.go
@@ -19,7 +19,7 @@
 
 // act orders what may be ordered now, one model after the other: a replica that serves several
 // takes one order at a time.
-func (d *Duty) act(ctx context.Context, late []behind) {
+func (d *Controller) act(ctx context.Context, late []behind) {
 	byModel := map[request.Model][]behind{}
 	for _, b := range late {
 		byModel[b.model] = append(byModel[b.model], b)
@@ -32,7 +32,7 @@
 	}
 }
 
-func (d *Duty) actOn(ctx context.Context, model request.Model, late []behind) {
+func (d *Controller) actOn(ctx context.Context, model request.Model, late []behind) {
 	r := d.rollouts[model]
 	if r == nil {
 		r = rollout.New(rollout.Params{
@@ -68,7 +68,7 @@
 
 // writeDown adds replicas to the plan before they are ordered, and drops those whose last
 // order, of this holder or the one before, is long past.
-func (d *Duty) writeDown(ctx context.Context, orders []rollout.Order) error {
+func (d *Controller) writeDown(ctx context.Context, orders []rollout.Order) error {
 	now := time.Now()
 	for _, a := range orders {
 		d.recent[a.Target] = now
@@ -91,10 +91,10 @@
 }
 
 // lateFor returns for how long some replica has served weights that were replaced.
-func (d *Duty) lateFor(late []behind) time.Duration {
+func (d *Controller) lateFor(late []behind) time.Duration {
 	var longest time.Duration
 	for _, b := range late {
-		if since, outdated := d.o.Outdated(b.model, b.replica.Weights(b.model)); outdated {
+		if since, outdated := d.o.OutdatedSince(b.model, b.replica.Weights(b.model)); outdated {
 			longest = max(longest, time.Since(since))
 		}
 	}
@@ -115,7 +115,7 @@
 
 // drain keeps new requests from a replica that loads soon. Peers are told anew before
 // they forget it.
-func (d *Duty) drain(late []behind, a rollout.Drain) {
+func (d *Controller) drain(late []behind, a rollout.Drain) {
 	for _, b := range late {
 		if b.replica.Info().ID == a.Target {
 			d.keepBusy(b)
@@ -124,7 +124,7 @@
 	}
 }
 
-func (d *Duty) loadCap(model request.Model) int {
+func (d *Controller) loadCap(model request.Model) int {
 	all := 0
 	for _, r := range d.o.Set.All() {
 		if _, serves := r.Info().Weights[model]; serves {
@@ -136,7 +136,7 @@
 
 // view returns what is wanted of all replicas of the model of late, and what is known of
 // them. Replicas with an order are asked.
-func (d *Duty) view(ctx context.Context, late []behind) ([]rollout.Wanted, []rollout.Observed, map[request.TargetID]Report) {
+func (d *Controller) view(ctx context.Context, late []behind) ([]rollout.Wanted, []rollout.Observed, map[request.TargetID]Report) {
 	now := time.Now()
 	reports := d.ask(ctx, late)
 	var wanted []rollout.Wanted
@@ -168,7 +168,7 @@
 }
 
 // addDone adds the replicas that are not behind: the shares count them.
-func (d *Duty) addDone(wanted []rollout.Wanted, observed []rollout.Observed, late []behind, now time.Time) ([]rollout.Wanted, []rollout.Observed) {
+func (d *Controller) addDone(wanted []rollout.Wanted, observed []rollout.Observed, late []behind, now time.Time) ([]rollout.Wanted, []rollout.Observed) {
 	model, version := late[0].model, late[0].version
 	for _, r := range d.o.Set.All() {
 		if _, serves := r.Info().Weights[model]; !serves || r.Weights(model) < version {
@@ -186,7 +186,7 @@
 func versionOf(n uint64) request.Version { return request.Version(strconv.FormatUint(n, 10)) }
 
 // ask reads the state of the replicas that have an order, at once.
-func (d *Duty) ask(ctx context.Context, late []behind) map[request.TargetID]Report {
+func (d *Controller) ask(ctx context.Context, late []behind) map[request.TargetID]Report {
 	type reply struct {
 		b      behind
 		report Report
@@ -222,10 +222,10 @@
 	return out
 }
 
-func (d *Duty) report(ctx context.Context, r *replicas.Replica) (Report, error) {
+func (d *Controller) report(ctx context.Context, r *replicas.Replica) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	report, err := d.o.Calls.Report(ctx, r)
+	report, err := d.o.Client.Report(ctx, r)
 	if err == nil && !d.o.Set.SawStart(r, report.Started) {
 		return Report{}, errStartedAgain
 	}
@@ -236,24 +236,24 @@
 var errStartedAgain = errors.New("weights: the replica has started again")
 
 // keepBusy says again that a replica takes no requests while its order is under way.
-func (d *Duty) keepBusy(b behind) {
+func (d *Controller) keepBusy(b behind) {
 	now := time.Now()
 	id := b.replica.Info().ID
 	b.replica.SetBusy(now.Add(busyFor))
 	if now.Sub(d.told[id]) > busyFor/3 {
 		d.told[id] = now
-		d.announce(State{Replica: id, Busy: busyFor})
+		d.announce(State{Replica: id, BusyFor: busyFor})
 	}
 }
 
-func (d *Duty) announce(s State) {
+func (d *Controller) announce(s State) {
 	if d.o.Announce != nil {
 		d.o.Announce(s)
 	}
 }
 
 // order gives an order, after reading how many the replica has accepted.
-func (d *Duty) order(ctx context.Context, late []behind, a rollout.Order, reports map[request.TargetID]Report) {
+func (d *Controller) order(ctx context.Context, late []behind, a rollout.Order, reports map[request.TargetID]Report) {
 	i := slices.IndexFunc(late, func(b behind) bool { return b.replica.Info().ID == a.Target })
 	if i < 0 {
 		return
@@ -278,15 +278,15 @@
 	}()
 }
 
-func (d *Duty) send(ctx context.Context, l *lease.Lease, b behind, report Report, runsGoOn bool) {
+func (d *Controller) send(ctx context.Context, l *lease.Lease, b behind, report Report, runsGoOn bool) {
 	if l.Left() <= callTimeout {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	o := Order{Model: b.model, Version: b.version, Holder: d.o.Self, Epoch: l.Epoch(), Expected: report.Orders, RunsGoOn: runsGoOn}
+	o := Order{Model: b.model, Version: b.version, Holder: d.o.Self, Epoch: l.Epoch(), ExpectedOrders: report.Orders, KeepRunning: runsGoOn}
 	d.lastSent.Set(time.Now())
-	err := d.o.Calls.Load(ctx, b.replica, o)
+	err := d.o.Client.Load(ctx, b.replica, o)
 	d.o.Logger.Info("A replica is ordered to load weights", "replica", b.replica.Info().ID, "model", b.model,
-		"version", b.version, "epoch", o.Epoch, "expected", o.Expected, "runs_go_on", o.RunsGoOn, "error", err)
+		"version", b.version, "epoch", o.Epoch, "expected", o.ExpectedOrders, "runs_go_on", o.KeepRunning, "error", err)
 }
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -47,7 +47,7 @@
 		f.lose--
 		return errors.New("no answer")
 	}
-	if o.Expected != f.orders[id] {
+	if o.ExpectedOrders != f.orders[id] {
 		return errors.New("another number of orders")
 	}
 	f.orders[id]++
@@ -97,19 +97,19 @@
 	return b
 }
 
-func (b *bench) duty(id request.DaemonID) *Duty {
+func (b *bench) duty(id request.DaemonID) *Controller {
 	store := b.fake.Client(string(id))
 	return New(Options{
-		KV: store, Self: id, Set: b.set, Calls: b.calls, OrderLease: 300 * time.Millisecond,
-		Leases:   lease.NewManager(lease.Options{KV: store, Self: id, TTL: 2 * time.Second, Margin: 100 * time.Millisecond}),
-		Named:    func() map[request.Model]uint64 { return map[request.Model]uint64{model: b.named} },
-		Outdated: func(_ request.Model, v uint64) (time.Time, bool) { return b.since, v < b.named },
-		Rank:     func() int { return 0 },
+		KV: store, Self: id, Set: b.set, Client: b.calls, OrderLease: 300 * time.Millisecond,
+		Leases:            lease.NewManager(lease.Options{KV: store, Self: id, TTL: 2 * time.Second, Margin: 100 * time.Millisecond}),
+		RequestedVersions: func() map[request.Model]uint64 { return map[request.Model]uint64{model: b.named} },
+		OutdatedSince:     func(_ request.Model, v uint64) (time.Time, bool) { return b.since, v < b.named },
+		Rank:              func() int { return 0 },
 	})
 }
 
 // runUntil steps a duty until all replicas serve a version.
-func runUntil(t *testing.T, b *bench, d *Duty, version uint64) {
+func runUntil(t *testing.T, b *bench, d *Controller, version uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -150,7 +150,7 @@
 		t.Errorf("%d orders", n)
 	}
 	for _, o := range b.calls.given {
-		if o.Expected != 0 {
+		if o.ExpectedOrders != 0 {
 			t.Errorf("order %+v", o)
 		}
 	}
@@ -207,7 +207,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = d.Run(ctx) }()
-	d.Leave(ctx)
+	d.Shutdown(ctx)
 	if took := time.Since(sent); took < d.o.OrderLease {
 		t.Errorf("given back %s after an order", took)
 	}
@@ -252,7 +252,7 @@
 	b.calls.mu.Lock()
 	defer b.calls.mu.Unlock()
 	last := slices.Index(b.calls.givenTo[1:], id) + 1
-	if last == 0 || b.calls.given[last].Expected != 0 {
+	if last == 0 || b.calls.given[last].ExpectedOrders != 0 {
 		t.Errorf("orders %+v to %v", b.calls.given, b.calls.givenTo)
 	}
 }
