--- a/internal/weights/controller.go
+++ b/internal/weights/controller.go
@@ -1,9 +1,9 @@
-// Package weights brings the model replicas to the weight versions that operators name.
+// Package weights rolls out the weight versions that operators request to the model replicas.
 //
-// One daemon at a time holds the duty, under a lease with an epoch. It decides with
-// policy/rollout, gives orders that carry the epoch, and reads a replica's state before
-// each: an order whose answer is lost may be carried out seconds later, and the number of
-// orders that the replica has taken, sent along, then makes it void.
+// One daemon at a time runs the rollout, under a lease with an epoch. The controller decides
+// with policy/rollout and reads a replica's state before it sends an order. Each order carries
+// the epoch and the number of orders that the replica has accepted: a replica may execute an
+// order seconds after its response was lost, and rejects it if that number has changed.
 package weights
 
 import (
@@ -25,59 +25,63 @@
 
 const (
 	leaseName = "weights"
-	// stepEvery is how often the duty looks while replicas are behind.
-	stepEvery = 100 * time.Millisecond
-	// restEvery is how often it looks while none is.
-	restEvery = 250 * time.Millisecond
-	// callTimeout bounds one call to a replica; they answer in a few ms.
+	// reconcileInterval applies while some replicas serve outdated weights.
+	reconcileInterval = 100 * time.Millisecond
+	// idleInterval applies while all replicas are up to date.
+	idleInterval = 250 * time.Millisecond
+	// callTimeout bounds one call to a replica; replicas normally respond within a few ms.
 	callTimeout = 600 * time.Millisecond
-	// effectAfter is how long an order may take to show in the replica's state, which
-	// lags by some hundred ms.
-	effectAfter = time.Second
-	// backupAfter is how long work must have waited before the daemon of the next rank
-	// asks for the duty.
-	backupAfter = 800 * time.Millisecond
-	// acquireEvery is how often a daemon asks for the duty, at most.
-	acquireEvery = 700 * time.Millisecond
-	// outShare is the part of a model's replicas that may be out at once. New weights find
-	// empty memories and stores, so that prompts cost two to five times as much, and the
-	// others have to bear that. With a fifth out at once all are done within the time
-	// allowed; being sooner costs callers more than answers on the weights before.
-	outShare = 0.22
-	// hastenShare and hurryShare hold where a rollout is late, mostly since its holder died.
-	hastenAfter = 4500 * time.Millisecond
-	hastenShare = 0.3
-	hurryAfter  = 6 * time.Second
-	hurryShare  = 0.5
-	// loadShare is the part that may load at once: each load takes under half a second,
-	// but some at once slow each other.
-	loadShare = 0.23
-	// drainFor is how long a replica is kept free of new requests before it is ordered to
-	// load: those that end within it end on the weights that they began with. Streams take
-	// 2 s and more. Waiting 1.5 s for them, and then for the last of them, kept a replica out
-	// for 3 s and a rollout over 12 replicas running for 9 s, with up to 80 of 300 callers
-	// refused in two seconds; now it takes 5 s and refuses less than ten.
-	drainFor = 200 * time.Millisecond
-	// computeFor is how long it is kept free of them at most while prompts are being
-	// computed there: their KV cache must not come from two versions.
-	computeFor = 1500 * time.Millisecond
-	// busyFor is how long a replica with an order is left alone by all daemons, unless it
-	// is seen to be done before.
-	busyFor = 700 * time.Millisecond
-	// hearFirst is how long before an order peers are told, so that what they have sent
-	// has arrived and nothing more comes: the replica would refuse it.
-	hearFirst = 80 * time.Millisecond
-	// heldPause is how long a daemon without work for it leaves a duty alone that another
-	// holds.
-	heldPause = 2 * time.Second
+	// orderVisibleTimeout bounds the time until an order shows in the replica's reported state,
+	// which lags by some hundred ms.
+	orderVisibleTimeout = time.Second
+	// takeoverDelay, multiplied by its rank, is how long a daemon waits while replicas are
+	// outdated before it tries to acquire the lease.
+	takeoverDelay = 800 * time.Millisecond
+	// acquireInterval is the minimum time between two attempts to acquire the lease.
+	acquireInterval = 700 * time.Millisecond
+	// maxUnavailableShare is the share of a model's replicas that may be unavailable at once.
+	// A replica with new weights starts with empty caches and stores, which makes prompts two
+	// to five times as expensive and adds load to the other replicas. With a fifth unavailable
+	// at once the rollout ends within the allowed time; a faster rollout would cost callers
+	// more than responses on the previous weights do.
+	maxUnavailableShare = 0.22
+	// The larger shares apply to a rollout that is past lateAfter or veryLateAfter, usually
+	// because the previous lease holder died.
+	lateAfter                = 4500 * time.Millisecond
+	lateUnavailableShare     = 0.3
+	veryLateAfter            = 6 * time.Second
+	veryLateUnavailableShare = 0.5
+	// maxLoadingShare is the share of replicas that may load at once. One load takes less than
+	// half a second, but concurrent loads slow each other down.
+	maxLoadingShare = 0.23
+	// drainTimeout is how long a replica receives no new requests before it is ordered to load.
+	// Requests that finish within it finish on the weights that they started with. It does not
+	// wait for streams, which take 2 s and more: waiting 1.5 s, and then for the last stream,
+	// kept a replica unavailable for 3 s and a rollout over 12 replicas running for 9 s, with
+	// up to 80 of 300 callers refused within two seconds. With 200 ms the rollout takes 5 s and
+	// refuses fewer than ten callers.
+	drainTimeout = 200 * time.Millisecond
+	// prefillTimeout bounds how long a replica receives no new requests while it still computes
+	// prompts: their KV cache must not mix two weight versions.
+	prefillTimeout = 1500 * time.Millisecond
+	// busyTTL is how long all daemons send no requests to a replica with a pending order, unless
+	// the order is seen to complete earlier.
+	busyTTL = 700 * time.Millisecond
+	// announceLead is the time between the announcement to peers and the order. Requests that
+	// peers have already sent arrive within it, and the peers send no more, which the replica
+	// would refuse.
+	announceLead = 80 * time.Millisecond
+	// heldRetryDelay is how long a daemon waits before it retries to acquire a lease that
+	// another daemon holds, while no replica is outdated.
+	heldRetryDelay = 2 * time.Second
 )
 
-// Report is a replica's own word on its state.
+// Report is the state that a replica reports about itself.
 type Report struct {
 	Weights map[request.Model]uint64
-	Busy    bool   // it carries out an order
-	Orders  uint64 // accepted since its start
-	Started int64  // names its start, as replicas.Info does; zero: not told
+	Busy    bool   // the replica is executing an order
+	Orders  uint64 // orders accepted since the process started
+	Started int64  // identifies the process start, as in replicas.Info; zero: not reported
 }
 
 // Order tells a replica to load weights.
@@ -86,24 +90,24 @@
 	Version        uint64
 	Holder         request.DaemonID
 	Epoch          uint64
-	ExpectedOrders uint64 // orders that the replica has accepted; any other number voids this one
-	// KeepRunning lets what runs go on under the new weights. Else the replica refuses new
-	// requests until all that run have ended, and then loads.
+	ExpectedOrders uint64 // the replica rejects this order if it has accepted any other number
+	// KeepRunning lets running requests continue under the new weights. Otherwise the replica
+	// refuses new requests, waits until the running ones have ended, and then loads.
 	KeepRunning bool
 }
 
-// State is what peers are told of a replica. Zero times end what was told before.
+// State is a replica's state as announced to peers. A zero BusyFor ends an earlier busy period.
 type State struct {
 	Replica request.TargetID
-	BusyFor time.Duration // it takes no requests for so long
+	BusyFor time.Duration // the replica accepts no requests for this long
 	Model   request.Model
-	Weights uint64 // that it serves; zero: not told
+	Weights uint64 // version that the replica serves; zero: not announced
 }
 
-// ReplicaClient carries out calls to replicas.
+// ReplicaClient calls replicas.
 type ReplicaClient interface {
 	Report(ctx context.Context, r *replicas.Replica) (Report, error)
-	// Load gives an order. An error says nothing about whether it is carried out.
+	// Load sends an order. After an error the replica may or may not execute it.
 	Load(ctx context.Context, r *replicas.Replica, o Order) error
 }
 
@@ -114,213 +118,216 @@
 	Self   request.DaemonID
 	Set    *replicas.Set
 	Client ReplicaClient
-	// OrderLease is the time within which two daemons must not both give orders.
+	// OrderLease is the time within which a replica must not receive orders from two daemons.
 	OrderLease time.Duration
-	// RequestedVersions returns the versions that operators named last.
+	// RequestedVersions returns the latest versions that operators requested.
 	RequestedVersions func() map[request.Model]uint64
-	// Rank returns this daemon's place among those that may take the duty, 0 first.
+	// Rank returns this daemon's position among the candidates for the lease, 0 first.
 	Rank func() int
-	// OutdatedSince returns since when a version is not the newest.
+	// OutdatedSince reports whether a newer version was requested, and since when.
 	OutdatedSince func(m request.Model, version uint64) (since time.Time, outdated bool)
-	// Announce tells peers of a replica's state; nil: nobody.
+	// Announce sends a replica's state to peers; may be nil.
 	Announce func(State)
 	Logger   hclog.Logger
 }
 
-// Controller is one daemon's part in the rollout of weights.
+// Controller rolls out weights while its daemon holds the lease.
 type Controller struct {
-	o        Options
-	rollouts map[request.Model]*rollout.Rollout
-	lease    *lease.Lease
-	askAt    time.Time // not before
-	since    time.Time // since when replicas are behind; zero: none is
-	ordered  map[request.TargetID]ordered
-	recent   map[request.TargetID]time.Time // when a replica was ordered last
-	told     map[request.TargetID]time.Time // when peers were told last that it is busy
+	o             Options
+	rollouts      map[request.Model]*rollout.Rollout
+	lease         *lease.Lease
+	acquireAfter  time.Time // earliest next attempt to acquire the lease
+	outdatedSince time.Time // since when some replica is outdated; zero: none is
+	pending       map[request.TargetID]pendingOrder
+	orderedAt     map[request.TargetID]time.Time // when a replica was last ordered to load
+	announcedAt   map[request.TargetID]time.Time // when a replica was last announced as busy
 
-	plan    *plan                          // while the duty is held
-	foreign map[request.TargetID]time.Time // until when the holder before may count as a replica's
+	plan           *plan                          // set while the lease is held
+	inheritedUntil map[request.TargetID]time.Time // until when orders of the previous holder may be pending
 
-	leaving  atomic.Bool
-	left     chan struct{} // closed once the duty is given back
+	stopping atomic.Bool
+	stopped  chan struct{} // closed once the lease is released
 	lastSent steady.Moment // when the last order was sent
 }
 
-// ordered is an order under way.
-type ordered struct {
-	replica *replicas.Replica
-	model   request.Model
-	at      time.Time
+// pendingOrder is an order that is not yet known to be complete.
+type pendingOrder struct {
+	replica   *replicas.Replica
+	model     request.Model
+	orderedAt time.Time
 }
 
-// New returns a duty that holds nothing.
+// New returns a controller that does not hold the lease.
 func New(o Options) *Controller {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
 	o.Logger = o.Logger.Named("weights")
-	return &Controller{o: o, ordered: map[request.TargetID]ordered{}, told: map[request.TargetID]time.Time{}, recent: map[request.TargetID]time.Time{}, left: make(chan struct{})}
+	return &Controller{o: o, pending: map[request.TargetID]pendingOrder{}, announcedAt: map[request.TargetID]time.Time{}, orderedAt: map[request.TargetID]time.Time{}, stopped: make(chan struct{})}
 }
 
-// Run does the duty while this daemon holds it, until ctx ends.
-func (d *Controller) Run(ctx context.Context) error {
-	defer close(d.left)
+// Run acquires the lease when it is this daemon's turn and rolls out weights, until ctx ends or
+// Shutdown is called.
+func (c *Controller) Run(ctx context.Context) error {
+	defer close(c.stopped)
 	for ctx.Err() == nil {
-		if d.leaving.Load() {
-			d.giveBack(ctx)
+		if c.stopping.Load() {
+			c.releaseLease(ctx)
 			return nil
 		}
-		next := restEvery
-		if d.step(ctx) {
-			next = stepEvery
+		next := idleInterval
+		if c.reconcile(ctx) {
+			next = reconcileInterval
 		}
-		_ = pause.For(ctx, next) // the loop asks the context itself
+		_ = pause.For(ctx, next) // the loop condition checks ctx
 	}
 	return nil
 }
 
-// Shutdown gives the duty back, so that another daemon goes on at once. It returns when that
-// is done: the next holder must not give orders within OrderLease of this one's last.
-func (d *Controller) Shutdown(ctx context.Context) {
-	d.leaving.Store(true)
+// Shutdown releases the lease, which lets another daemon continue at once. It returns when the
+// lease is released or ctx ends. The lease is released no earlier than OrderLease after the last
+// order, since the next holder must not send orders before that.
+func (c *Controller) Shutdown(ctx context.Context) {
+	c.stopping.Store(true)
 	select {
-	case <-d.left:
+	case <-c.stopped:
 	case <-ctx.Done():
 	}
 }
 
-func (d *Controller) giveBack(ctx context.Context) {
-	if d.lease == nil || !d.lease.Valid() {
+func (c *Controller) releaseLease(ctx context.Context) {
+	if c.lease == nil || !c.lease.Valid() {
 		return
 	}
-	if sent, any := d.lastSent.Time(); any {
-		_ = pause.For(ctx, time.Until(sent.Add(d.o.OrderLease))) // released in any case
+	if sent, any := c.lastSent.Time(); any {
+		_ = pause.For(ctx, time.Until(sent.Add(c.o.OrderLease))) // the lease is released even if ctx ends
 	}
-	if err := d.lease.Release(ctx); err != nil {
-		d.o.Logger.Warn("The duty could not be given back; it lapses", "error", err)
+	if err := c.lease.Release(ctx); err != nil {
+		c.o.Logger.Warn("Failed to release the weights lease; it will expire", "error", err)
 		return
 	}
-	d.o.Logger.Info("The duty is given back", "epoch", d.lease.Epoch())
+	c.o.Logger.Info("Released the weights lease", "epoch", c.lease.Epoch())
 }
 
-// behind is a replica that serves other weights than were named.
-type behind struct {
+// outdatedReplica is a replica that serves an older version than the requested one.
+type outdatedReplica struct {
 	replica *replicas.Replica
 	model   request.Model
 	version uint64
 }
 
-// step does what is to be done now and reports whether replicas are behind.
-func (d *Controller) step(ctx context.Context) bool {
+// reconcile runs one iteration of the rollout and reports whether replicas are outdated.
+func (c *Controller) reconcile(ctx context.Context) bool {
 	now := time.Now()
-	late := d.behind()
-	d.settle(late)
-	if len(late) == 0 {
-		d.since = time.Time{}
-	} else if d.since.IsZero() {
-		d.since = now
+	outdated := c.outdatedReplicas()
+	c.completeOrders(outdated)
+	if len(outdated) == 0 {
+		c.outdatedSince = time.Time{}
+	} else if c.outdatedSince.IsZero() {
+		c.outdatedSince = now
 	}
-	if held := d.hold(ctx, now, len(late) > 0); !held {
-		return len(late) > 0
+	if held := c.ensureLease(ctx, now, len(outdated) > 0); !held {
+		return len(outdated) > 0
 	}
-	if len(late) > 0 {
-		d.act(ctx, late)
+	if len(outdated) > 0 {
+		c.orderLoads(ctx, outdated)
 	}
-	return len(late) > 0
+	return len(outdated) > 0
 }
 
-// settle takes the replicas back into use that have reached their version.
-func (d *Controller) settle(late []behind) {
-	type place struct {
+// completeOrders returns the replicas that have reached their version to service.
+func (c *Controller) completeOrders(outdated []outdatedReplica) {
+	type modelReplica struct {
 		id    request.TargetID
 		model request.Model
 	}
-	still := make(map[place]bool, len(late))
-	for _, b := range late {
-		still[place{b.replica.Info().ID, b.model}] = true
+	unfinished := make(map[modelReplica]bool, len(outdated))
+	for _, r := range outdated {
+		unfinished[modelReplica{r.replica.Info().ID, r.model}] = true
 	}
-	for id, o := range d.ordered {
-		r := d.o.Set.Get(id)
-		if r == o.replica && still[place{id, o.model}] {
+	for id, o := range c.pending {
+		r := c.o.Set.Get(id)
+		if r == o.replica && unfinished[modelReplica{id, o.model}] {
 			continue
 		}
-		delete(d.ordered, id)
-		delete(d.told, id)
+		delete(c.pending, id)
+		delete(c.announcedAt, id)
 		if r != o.replica {
-			d.forget(id)
+			c.forgetOrders(id)
 			continue
 		}
 		r.SetBusy(time.Time{})
-		d.announce(State{Replica: id, Model: o.model, Weights: r.Weights(o.model)})
-		d.o.Logger.Info("A replica serves new weights", "replica", id, "model", o.model,
-			"version", r.Weights(o.model), "after_ms", time.Since(o.at).Milliseconds())
+		c.announce(State{Replica: id, Model: o.model, Weights: r.Weights(o.model)})
+		c.o.Logger.Info("Replica serves new weights", "replica", id, "model", o.model,
+			"version", r.Weights(o.model), "after_ms", time.Since(o.orderedAt).Milliseconds())
 	}
 }
 
-// forget drops the order to a replica that is gone or has started again: its new start
-// counts orders anew and knows nothing of this one.
-func (d *Controller) forget(id request.TargetID) {
-	for _, r := range d.rollouts {
+// forgetOrders drops the order to a replica that was removed or has restarted: the new process
+// counts orders from zero and does not know this one.
+func (c *Controller) forgetOrders(id request.TargetID) {
+	for _, r := range c.rollouts {
 		r.Forget(id)
 	}
 }
 
-func (d *Controller) behind() []behind {
-	var late []behind
-	for model, version := range d.o.RequestedVersions() {
-		for _, r := range d.o.Set.All() {
+func (c *Controller) outdatedReplicas() []outdatedReplica {
+	var outdated []outdatedReplica
+	for model, version := range c.o.RequestedVersions() {
+		for _, r := range c.o.Set.All() {
 			if _, serves := r.Info().Weights[model]; serves && r.Weights(model) < version {
-				late = append(late, behind{replica: r, model: model, version: version})
+				outdated = append(outdated, outdatedReplica{replica: r, model: model, version: version})
 			}
 		}
 	}
-	return late
+	return outdated
 }
 
-// hold reports whether this daemon holds the duty, and asks for it if it is its turn.
-func (d *Controller) hold(ctx context.Context, now time.Time, work bool) bool {
-	if d.lease != nil && d.lease.Valid() {
+// ensureLease reports whether this daemon holds the lease, and tries to acquire it if it is this
+// daemon's turn.
+func (c *Controller) ensureLease(ctx context.Context, now time.Time, hasWork bool) bool {
+	if c.lease != nil && c.lease.Valid() {
 		return true
 	}
-	d.lease = nil
-	clear(d.ordered)
-	rank := d.o.Rank()
-	turn := rank == 0 || work && now.Sub(d.since) > time.Duration(rank)*backupAfter
-	if !turn || now.Before(d.askAt) {
+	c.lease = nil
+	clear(c.pending)
+	rank := c.o.Rank()
+	eligible := rank == 0 || hasWork && now.Sub(c.outdatedSince) > time.Duration(rank)*takeoverDelay
+	if !eligible || now.Before(c.acquireAfter) {
 		return false
 	}
-	d.askAt = now.Add(acquireEvery)
-	l, err := d.o.Leases.Acquire(ctx, leaseName)
+	c.acquireAfter = now.Add(acquireInterval)
+	l, err := c.o.Leases.Acquire(ctx, leaseName)
 	if err != nil {
 		switch {
 		case !errors.Is(err, lease.ErrHeld):
-			d.o.Logger.Warn("The duty could not be taken", "error", err)
-		case !work:
-			d.askAt = now.Add(heldPause)
+			c.o.Logger.Warn("Failed to acquire the weights lease", "error", err)
+		case !hasWork:
+			c.acquireAfter = now.Add(heldRetryDelay)
 		}
 		return false
 	}
-	return d.take(ctx, now, l)
+	return c.startTerm(ctx, now, l)
 }
 
-// take begins a term as the holder.
-func (d *Controller) take(ctx context.Context, now time.Time, l *lease.Lease) bool {
-	p, err := takePlan(ctx, d.o.KV, l.Epoch())
+// startTerm takes over the plan and initializes the state of a new term as lease holder.
+func (c *Controller) startTerm(ctx context.Context, now time.Time, l *lease.Lease) bool {
+	p, err := takeOverPlan(ctx, c.o.KV, l.Epoch())
 	if err != nil {
-		d.o.Logger.Warn("The plan of the holder before could not be taken over", "error", err)
+		c.o.Logger.Warn("Failed to take over the plan of the previous lease holder", "error", err)
 		return false
 	}
-	d.lease, d.plan, d.rollouts = l, p, map[request.Model]*rollout.Rollout{}
-	d.foreign = map[request.TargetID]time.Time{}
+	c.lease, c.plan, c.rollouts = l, p, map[request.Model]*rollout.Rollout{}
+	c.inheritedUntil = map[request.TargetID]time.Time{}
 	for _, id := range p.Ordered {
-		d.foreign[id] = now.Add(d.o.OrderLease)
+		c.inheritedUntil[id] = now.Add(c.o.OrderLease)
 	}
 	if l.Lapsed() == lease.UnknownHolder {
-		// What its holder before wrote down may be lost: any replica may have its orders.
-		for _, r := range d.o.Set.All() {
-			d.foreign[r.Info().ID] = now.Add(d.o.OrderLease)
+		// The plan of the previous holder may be lost: any replica may have a pending order.
+		for _, r := range c.o.Set.All() {
+			c.inheritedUntil[r.Info().ID] = now.Add(c.o.OrderLease)
 		}
 	}
-	d.o.Logger.Info("This daemon rolls out weights", "epoch", l.Epoch(), "ordered_before", len(p.Ordered))
+	c.o.Logger.Info("Acquired the weights lease", "epoch", l.Epoch(), "ordered_before", len(p.Ordered))
 	return true
 }
--- a/internal/weights/models_test.go
+++ b/internal/weights/models_test.go
@@ -16,32 +16,32 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
 )
 
-// severalModels are replicas that serve two models and load one at a time.
-type severalModels struct {
-	mu       sync.Mutex
-	versions map[request.TargetID]map[request.Model]uint64
-	orders   map[request.TargetID]uint64
-	loading  map[request.TargetID]bool
-	refused  int // orders that came while another was carried out
-	most     int // replicas that loaded at once
+// multiModelReplicas fakes replicas that serve two models and load one at a time.
+type multiModelReplicas struct {
+	mu         sync.Mutex
+	versions   map[request.TargetID]map[request.Model]uint64
+	orders     map[request.TargetID]uint64
+	loading    map[request.TargetID]bool
+	refused    int // orders that arrived during another load or with a wrong count
+	maxLoading int // largest number of replicas that loaded at once
 }
 
-const loadTakes = 30 * time.Millisecond
+const loadDuration = 30 * time.Millisecond
 
-func (f *severalModels) Report(_ context.Context, r *replicas.Replica) (Report, error) {
+func (f *multiModelReplicas) Report(_ context.Context, r *replicas.Replica) (Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := r.Info().ID
 	return Report{Weights: maps.Clone(f.versions[id]), Orders: f.orders[id], Busy: f.loading[id]}, nil
 }
 
-func (f *severalModels) Load(_ context.Context, r *replicas.Replica, o Order) error {
+func (f *multiModelReplicas) Load(_ context.Context, r *replicas.Replica, o Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := r.Info().ID
 	if f.loading[id] || o.ExpectedOrders != f.orders[id] {
 		f.refused++
-		return errors.New("another order is carried out")
+		return errors.New("another order is being executed")
 	}
 	f.orders[id]++
 	f.loading[id] = true
@@ -51,8 +51,8 @@
 			n++
 		}
 	}
-	f.most = max(f.most, n)
-	time.AfterFunc(loadTakes, func() {
+	f.maxLoading = max(f.maxLoading, n)
+	time.AfterFunc(loadDuration, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.versions[id][o.Model] = o.Version
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (f *severalModels) behind(named map[request.Model]uint64) int {
+func (f *multiModelReplicas) countOutdated(named map[request.Model]uint64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -75,13 +75,13 @@
 	return n
 }
 
-// Operators name weights of two models at the same moment, and all replicas serve both. Each
-// replica must take both orders, one after the other, and no more replicas be out at once
-// than with one model. With one view for both, replicas counted as behind in the model that
-// they had, and got orders that they had carried out.
+// Operators request weights of two models at the same time, and all replicas serve both. Each
+// replica must receive both orders, one after the other, and no more replicas may be unavailable at
+// once than with one model. When both models shared one view, replicas that had loaded one model
+// counted as outdated in it and received the same order again.
 func TestTwoModelsAreRolledOutTogether(t *testing.T) {
 	named := map[request.Model]uint64{"a": 2, "b": 3}
-	f := &severalModels{versions: map[request.TargetID]map[request.Model]uint64{}, orders: map[request.TargetID]uint64{}, loading: map[request.TargetID]bool{}}
+	f := &multiModelReplicas{versions: map[request.TargetID]map[request.Model]uint64{}, orders: map[request.TargetID]uint64{}, loading: map[request.TargetID]bool{}}
 	set := replicas.NewSet()
 	var present []replicas.Info
 	for i := range 10 {
@@ -100,11 +100,11 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	for f.behind(named) > 0 {
+	for f.countOutdated(named) > 0 {
 		if ctx.Err() != nil {
-			t.Fatalf("%d weights are behind", f.behind(named))
+			t.Fatalf("%d weights are outdated", f.countOutdated(named))
 		}
-		d.step(ctx)
+		d.reconcile(ctx)
 		time.Sleep(5 * time.Millisecond)
 	}
 	f.mu.Lock()
@@ -115,9 +115,9 @@
 		}
 	}
 	if f.refused > 0 {
-		t.Errorf("%d orders came while another was carried out", f.refused)
+		t.Errorf("%d orders arrived during another load", f.refused)
 	}
-	if f.most > 4 { // a fifth of ten for each model
-		t.Errorf("%d of 10 replicas loaded at once", f.most)
+	if f.maxLoading > 4 { // a fifth of ten for each model
+		t.Errorf("%d of 10 replicas loaded at once", f.maxLoading)
 	}
 }
--- a/internal/weights/orders.go
+++ b/internal/weights/orders.go
@@ -17,276 +17,277 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// act orders what may be ordered now, one model after the other: a replica that serves several
-// takes one order at a time.
-func (d *Controller) act(ctx context.Context, late []behind) {
-	byModel := map[request.Model][]behind{}
-	for _, b := range late {
-		byModel[b.model] = append(byModel[b.model], b)
+// orderLoads sends the orders that are allowed now, one model after the other: a replica that
+// serves several models accepts one order at a time.
+func (c *Controller) orderLoads(ctx context.Context, outdated []outdatedReplica) {
+	byModel := map[request.Model][]outdatedReplica{}
+	for _, r := range outdated {
+		byModel[r.model] = append(byModel[r.model], r)
 	}
 	for _, model := range slices.Sorted(maps.Keys(byModel)) {
-		if d.lease == nil {
+		if c.lease == nil {
 			return
 		}
-		d.actOn(ctx, model, byModel[model])
+		c.orderModelLoads(ctx, model, byModel[model])
 	}
 }
 
-func (d *Controller) actOn(ctx context.Context, model request.Model, late []behind) {
-	r := d.rollouts[model]
+func (c *Controller) orderModelLoads(ctx context.Context, model request.Model, outdated []outdatedReplica) {
+	r := c.rollouts[model]
 	if r == nil {
 		r = rollout.New(rollout.Params{
-			LoadCap: d.loadCap(model), MaxOutShare: outShare, OrderTimeout: effectAfter,
-			LoadTimeout: 4 * effectAfter, DrainFor: drainFor, ComputeFor: computeFor,
-			TakeoverWait: time.Nanosecond, // OrderAfter says it for each replica
+			LoadCap: c.maxLoading(model), MaxOutShare: maxUnavailableShare, OrderTimeout: orderVisibleTimeout,
+			LoadTimeout: 4 * orderVisibleTimeout, DrainFor: drainTimeout, ComputeFor: prefillTimeout,
+			TakeoverWait: time.Nanosecond, // OrderAfter holds the wait of each replica
 		})
-		d.rollouts[model] = r
+		c.rollouts[model] = r
 	}
-	r.SetMaxOutShare(outShareAt(d.lateFor(late)))
-	wanted, observed, reports := d.view(ctx, late)
+	r.SetMaxOutShare(unavailableShareAt(c.longestOutdated(outdated)))
+	desired, observed, reports := c.observe(ctx, outdated)
 	var orders []rollout.Order
-	for _, a := range r.Step(time.Now(), d.lease.Epoch(), wanted, observed) {
+	for _, a := range r.Step(time.Now(), c.lease.Epoch(), desired, observed) {
 		switch a := a.(type) {
 		case rollout.Order:
 			orders = append(orders, a)
 		case rollout.Drain:
-			d.drain(late, a)
+			c.drain(outdated, a)
 		}
 	}
 	if len(orders) == 0 {
 		return
 	}
-	if err := d.writeDown(ctx, orders); err != nil {
-		d.o.Logger.Warn("No order is given, the plan could not be written", "error", err)
-		d.lease = nil // asks anew, and learns what the record says
+	if err := c.recordOrders(ctx, orders); err != nil {
+		c.o.Logger.Warn("Sent no orders because the plan could not be written", "error", err)
+		c.lease = nil // the next acquisition reads the stored plan again
 		return
 	}
 	for _, a := range orders {
-		d.order(ctx, late, a, reports)
+		c.startOrder(ctx, outdated, a, reports)
 	}
 }
 
-// writeDown adds replicas to the plan before they are ordered, and drops those whose last
-// order, of this holder or the one before, is long past.
-func (d *Controller) writeDown(ctx context.Context, orders []rollout.Order) error {
+// recordOrders adds replicas to the plan before they are ordered. It drops those whose last order,
+// from this holder or the previous one, can no longer be pending.
+func (c *Controller) recordOrders(ctx context.Context, orders []rollout.Order) error {
 	now := time.Now()
 	for _, a := range orders {
-		d.recent[a.Target] = now
+		c.orderedAt[a.Target] = now
 	}
 	var ids []request.TargetID
-	for id, at := range d.recent {
-		if now.Sub(at) > 2*d.o.OrderLease {
-			delete(d.recent, id)
+	for id, at := range c.orderedAt {
+		if now.Sub(at) > 2*c.o.OrderLease {
+			delete(c.orderedAt, id)
 			continue
 		}
 		ids = append(ids, id)
 	}
-	for id, until := range d.foreign {
-		if _, mine := d.recent[id]; !mine && now.Before(until) {
+	for id, until := range c.inheritedUntil {
+		if _, mine := c.orderedAt[id]; !mine && now.Before(until) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
-	return d.plan.set(ctx, d.o.KV, ids)
+	return c.plan.replaceOrdered(ctx, c.o.KV, ids)
 }
 
-// lateFor returns for how long some replica has served weights that were replaced.
-func (d *Controller) lateFor(late []behind) time.Duration {
+// longestOutdated returns the longest time that a replica has served weights that were replaced.
+func (c *Controller) longestOutdated(outdated []outdatedReplica) time.Duration {
 	var longest time.Duration
-	for _, b := range late {
-		if since, outdated := d.o.OutdatedSince(b.model, b.replica.Weights(b.model)); outdated {
+	for _, r := range outdated {
+		if since, outdated := c.o.OutdatedSince(r.model, r.replica.Weights(r.model)); outdated {
 			longest = max(longest, time.Since(since))
 		}
 	}
 	return longest
 }
 
-// outShareAt returns the share of replicas that may be out. It grows while the time runs
-// out in which the old weights may be used at all: replicas on them are then of no use.
-func outShareAt(late time.Duration) float64 {
+// unavailableShareAt returns the share of replicas that may be unavailable. It grows as the old
+// weights approach the end of their allowed use, after which a replica that serves them is useless.
+func unavailableShareAt(delay time.Duration) float64 {
 	switch {
-	case late > hurryAfter:
-		return hurryShare
-	case late > hastenAfter:
-		return hastenShare
+	case delay > veryLateAfter:
+		return veryLateUnavailableShare
+	case delay > lateAfter:
+		return lateUnavailableShare
 	}
-	return outShare
+	return maxUnavailableShare
 }
 
-// drain keeps new requests from a replica that loads soon. Peers are told anew before
-// they forget it.
-func (d *Controller) drain(late []behind, a rollout.Drain) {
-	for _, b := range late {
-		if b.replica.Info().ID == a.Target {
-			d.keepBusy(b)
+// drain stops new requests to a replica that loads soon. It renews the announcement to peers before
+// the previous one expires.
+func (c *Controller) drain(outdated []outdatedReplica, a rollout.Drain) {
+	for _, r := range outdated {
+		if r.replica.Info().ID == a.Target {
+			c.markBusy(r)
 			return
 		}
 	}
 }
 
-func (d *Controller) loadCap(model request.Model) int {
+func (c *Controller) maxLoading(model request.Model) int {
 	all := 0
-	for _, r := range d.o.Set.All() {
+	for _, r := range c.o.Set.All() {
 		if _, serves := r.Info().Weights[model]; serves {
 			all++
 		}
 	}
-	return max(1, int(loadShare*float64(all)))
+	return max(1, int(maxLoadingShare*float64(all)))
 }
 
-// view returns what is wanted of all replicas of the model of late, and what is known of
-// them. Replicas with an order are asked.
-func (d *Controller) view(ctx context.Context, late []behind) ([]rollout.Wanted, []rollout.Observed, map[request.TargetID]Report) {
+// observe returns the desired and the observed state of all replicas that serve the model of the
+// given ones, all of one model. It reads the reports of replicas with a pending order.
+func (c *Controller) observe(ctx context.Context, outdated []outdatedReplica) ([]rollout.Wanted, []rollout.Observed, map[request.TargetID]Report) {
 	now := time.Now()
-	reports := d.ask(ctx, late)
-	var wanted []rollout.Wanted
+	reports := c.readReports(ctx, outdated)
+	var desired []rollout.Wanted
 	var observed []rollout.Observed
-	for _, b := range late {
-		id := b.replica.Info().ID
-		wanted = append(wanted, rollout.Wanted{Target: id, Model: b.model, Version: versionOf(b.version)})
-		work := b.replica.Load.Total(now)
+	for _, r := range outdated {
+		id := r.replica.Info().ID
+		desired = append(desired, rollout.Wanted{Target: id, Model: r.model, Version: versionOf(r.version)})
+		work := r.replica.Load.Total(now)
 		o := rollout.Observed{
-			Target: id, ReadAt: now, Reachable: !b.replica.Health.Resting(now),
-			Work: work.Requests, Computing: work.Prefill, OrderAfter: d.foreign[id],
+			Target: id, ReadAt: now, Reachable: !r.replica.Health.Resting(now),
+			Work: work.Requests, Computing: work.Prefill, OrderAfter: c.inheritedUntil[id],
 		}
-		o.State.Version = versionOf(b.replica.Weights(b.model))
-		if report, asked := reports[id]; asked {
-			o.State.Version = versionOf(report.Weights[b.model])
+		o.State.Version = versionOf(r.replica.Weights(r.model))
+		if report, reported := reports[id]; reported {
+			o.State.Version = versionOf(report.Weights[r.model])
 			if report.Busy {
-				o.State.Loading = versionOf(b.version)
+				o.State.Loading = versionOf(r.version)
 			}
-		} else if _, has := d.ordered[id]; has {
+		} else if _, has := c.pending[id]; has {
 			o.Reachable = false
 		}
-		if other, has := d.ordered[id]; has && other.model != b.model {
-			o.State.Loading = versionOf(b.version) // it takes the order for this model later
+		if other, has := c.pending[id]; has && other.model != r.model {
+			o.State.Loading = versionOf(r.version) // the replica accepts the order for this model later
 		}
 		observed = append(observed, o)
 	}
-	wanted, observed = d.addDone(wanted, observed, late, now)
-	return wanted, observed, reports
+	desired, observed = c.addUpToDate(desired, observed, outdated, now)
+	return desired, observed, reports
 }
 
-// addDone adds the replicas that are not behind: the shares count them.
-func (d *Controller) addDone(wanted []rollout.Wanted, observed []rollout.Observed, late []behind, now time.Time) ([]rollout.Wanted, []rollout.Observed) {
-	model, version := late[0].model, late[0].version
-	for _, r := range d.o.Set.All() {
+// addUpToDate adds the replicas that are up to date, since the shares are shares of all replicas.
+func (c *Controller) addUpToDate(desired []rollout.Wanted, observed []rollout.Observed, outdated []outdatedReplica, now time.Time) ([]rollout.Wanted, []rollout.Observed) {
+	model, version := outdated[0].model, outdated[0].version
+	for _, r := range c.o.Set.All() {
 		if _, serves := r.Info().Weights[model]; !serves || r.Weights(model) < version {
 			continue
 		}
 		id := r.Info().ID
-		wanted = append(wanted, rollout.Wanted{Target: id, Model: model, Version: versionOf(version)})
+		desired = append(desired, rollout.Wanted{Target: id, Model: model, Version: versionOf(version)})
 		observed = append(observed, rollout.Observed{
 			Target: id, ReadAt: now, Reachable: true, State: engineapi.State{Version: versionOf(version)},
 		})
 	}
-	return wanted, observed
+	return desired, observed
 }
 
 func versionOf(n uint64) request.Version { return request.Version(strconv.FormatUint(n, 10)) }
 
-// ask reads the state of the replicas that have an order, at once.
-func (d *Controller) ask(ctx context.Context, late []behind) map[request.TargetID]Report {
+// readReports concurrently reads the reports of the replicas with a pending order.
+func (c *Controller) readReports(ctx context.Context, outdated []outdatedReplica) map[request.TargetID]Report {
 	type reply struct {
-		b      behind
-		report Report
-		err    error
+		outdated outdatedReplica
+		report   Report
+		err      error
 	}
-	replies := make(chan reply, len(late))
-	asked := 0
-	for _, b := range late {
-		if _, has := d.ordered[b.replica.Info().ID]; !has {
+	replies := make(chan reply, len(outdated))
+	calls := 0
+	for _, r := range outdated {
+		if _, has := c.pending[r.replica.Info().ID]; !has {
 			continue
 		}
-		asked++
+		calls++
 		go func() {
-			report, err := d.report(ctx, b.replica)
-			replies <- reply{b: b, report: report, err: err}
+			report, err := c.report(ctx, r.replica)
+			replies <- reply{outdated: r, report: report, err: err}
 		}()
 	}
 	out := map[request.TargetID]Report{}
-	for range asked {
+	for range calls {
 		r := <-replies
-		id := r.b.replica.Info().ID
+		id := r.outdated.replica.Info().ID
 		if r.err != nil {
-			d.o.Logger.Info("A replica does not tell its state", "replica", id, "error", r.err)
+			c.o.Logger.Info("Failed to read a replica's state", "replica", id, "error", r.err)
 			continue
 		}
 		out[id] = r.report
-		if r.report.Weights[r.b.model] >= r.b.version {
-			r.b.replica.SawWeights(r.b.model, r.report.Weights[r.b.model])
+		if r.report.Weights[r.outdated.model] >= r.outdated.version {
+			r.outdated.replica.SawWeights(r.outdated.model, r.report.Weights[r.outdated.model])
 		} else {
-			d.keepBusy(r.b)
+			c.markBusy(r.outdated)
 		}
 	}
 	return out
 }
 
-func (d *Controller) report(ctx context.Context, r *replicas.Replica) (Report, error) {
+func (c *Controller) report(ctx context.Context, r *replicas.Replica) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	report, err := d.o.Client.Report(ctx, r)
-	if err == nil && !d.o.Set.SawStart(r, report.Started) {
-		return Report{}, errStartedAgain
+	report, err := c.o.Client.Report(ctx, r)
+	if err == nil && !c.o.Set.SawStart(r, report.Started) {
+		return Report{}, errRestarted
 	}
 	return report, err
 }
 
-// errStartedAgain is the outcome of asking a replica whose process is another one by now.
-var errStartedAgain = errors.New("weights: the replica has started again")
+// errRestarted reports that the replica's process is not the known one.
+var errRestarted = errors.New("weights: the replica has restarted")
 
-// keepBusy says again that a replica takes no requests while its order is under way.
-func (d *Controller) keepBusy(b behind) {
+// markBusy extends the time for which a replica receives no requests while its order is pending,
+// and announces it to peers.
+func (c *Controller) markBusy(r outdatedReplica) {
 	now := time.Now()
-	id := b.replica.Info().ID
-	b.replica.SetBusy(now.Add(busyFor))
-	if now.Sub(d.told[id]) > busyFor/3 {
-		d.told[id] = now
-		d.announce(State{Replica: id, BusyFor: busyFor})
+	id := r.replica.Info().ID
+	r.replica.SetBusy(now.Add(busyTTL))
+	if now.Sub(c.announcedAt[id]) > busyTTL/3 {
+		c.announcedAt[id] = now
+		c.announce(State{Replica: id, BusyFor: busyTTL})
 	}
 }
 
-func (d *Controller) announce(s State) {
-	if d.o.Announce != nil {
-		d.o.Announce(s)
+func (c *Controller) announce(s State) {
+	if c.o.Announce != nil {
+		c.o.Announce(s)
 	}
 }
 
-// order gives an order, after reading how many the replica has accepted.
-func (d *Controller) order(ctx context.Context, late []behind, a rollout.Order, reports map[request.TargetID]Report) {
-	i := slices.IndexFunc(late, func(b behind) bool { return b.replica.Info().ID == a.Target })
+// startOrder announces a replica as busy, reads how many orders it has accepted, and sends the order.
+func (c *Controller) startOrder(ctx context.Context, outdated []outdatedReplica, a rollout.Order, reports map[request.TargetID]Report) {
+	i := slices.IndexFunc(outdated, func(r outdatedReplica) bool { return r.replica.Info().ID == a.Target })
 	if i < 0 {
 		return
 	}
-	b := late[i]
-	d.ordered[a.Target] = ordered{replica: b.replica, model: b.model, at: time.Now()}
-	d.keepBusy(b)
-	l := d.lease
+	r := outdated[i]
+	c.pending[a.Target] = pendingOrder{replica: r.replica, model: r.model, orderedAt: time.Now()}
+	c.markBusy(r)
+	l := c.lease
 	go func() {
-		if pause.For(ctx, hearFirst) != nil {
+		if pause.For(ctx, announceLead) != nil {
 			return
 		}
 		report, known := reports[a.Target]
 		if !known {
 			var err error
-			if report, err = d.report(ctx, b.replica); err != nil {
-				d.o.Logger.Info("A replica gets no order, its state is not known", "replica", a.Target, "error", err)
+			if report, err = c.report(ctx, r.replica); err != nil {
+				c.o.Logger.Info("Sent no order to a replica whose state could not be read", "replica", a.Target, "error", err)
 				return
 			}
 		}
-		d.send(ctx, l, b, report, a.Computed)
+		c.sendLoad(ctx, l, r, report, a.Computed)
 	}()
 }
 
-func (d *Controller) send(ctx context.Context, l *lease.Lease, b behind, report Report, runsGoOn bool) {
+func (c *Controller) sendLoad(ctx context.Context, l *lease.Lease, r outdatedReplica, report Report, keepRunning bool) {
 	if l.Left() <= callTimeout {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	o := Order{Model: b.model, Version: b.version, Holder: d.o.Self, Epoch: l.Epoch(), ExpectedOrders: report.Orders, KeepRunning: runsGoOn}
-	d.lastSent.Set(time.Now())
-	err := d.o.Client.Load(ctx, b.replica, o)
-	d.o.Logger.Info("A replica is ordered to load weights", "replica", b.replica.Info().ID, "model", b.model,
-		"version", b.version, "epoch", o.Epoch, "expected", o.ExpectedOrders, "runs_go_on", o.KeepRunning, "error", err)
+	o := Order{Model: r.model, Version: r.version, Holder: c.o.Self, Epoch: l.Epoch(), ExpectedOrders: report.Orders, KeepRunning: keepRunning}
+	c.lastSent.Set(time.Now())
+	err := c.o.Client.Load(ctx, r.replica, o)
+	c.o.Logger.Info("Ordered a replica to load weights", "replica", r.replica.Info().ID, "model", r.model,
+		"version", r.version, "epoch", o.Epoch, "expected", o.ExpectedOrders, "runs_go_on", o.KeepRunning, "error", err)
 }
--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -16,10 +16,10 @@
 	planTimeout = 700 * time.Millisecond
 )
 
-// plan is the record of the replicas that may have had an order lately. A holder writes a
-// replica down before it orders it. The next one takes the record over, which stops the
-// writes of the one before, and so knows which replicas it must leave alone for a while:
-// all others it may order at once.
+// plan is the stored record of the replicas that may have received an order recently. The lease
+// holder adds a replica to the plan before it sends the order. The next holder takes the plan
+// over, which makes further writes of the previous holder fail. It must wait before it sends
+// orders to the recorded replicas and may send orders to all others at once.
 type plan struct {
 	Epoch   uint64             `json:"epoch"`
 	Ordered []request.TargetID `json:"ordered"`
@@ -27,12 +27,12 @@
 	revision platform.Revision
 }
 
-// errPlanLost says that another daemon has taken the record over.
-var errPlanLost = errors.New("weights: another daemon holds the plan")
+// errPlanLost reports that another daemon has taken the plan over.
+var errPlanLost = errors.New("weights: plan was taken over by another daemon")
 
-// takePlan takes the record over and returns the replicas that its holder before may have
-// ordered.
-func takePlan(ctx context.Context, kv platform.KV, epoch uint64) (*plan, error) {
+// takeOverPlan writes the plan under a new epoch and returns it with the replicas that the
+// previous holder may have ordered.
+func takeOverPlan(ctx context.Context, kv platform.KV, epoch uint64) (*plan, error) {
 	ctx, cancel := context.WithTimeout(ctx, planTimeout)
 	defer cancel()
 	entry, err := kv.Get(ctx, planKey)
@@ -42,7 +42,7 @@
 	p := &plan{}
 	if entry.Revision > 0 {
 		if err := json.Unmarshal(entry.Value, p); err != nil {
-			return nil, errors.Wrap(err, "weights: plan")
+			return nil, errors.Wrap(err, "weights: decode the plan")
 		}
 	}
 	if p.Epoch > epoch {
@@ -52,8 +52,8 @@
 	return p, p.write(ctx, kv)
 }
 
-// set replaces the replicas of the record.
-func (p *plan) set(ctx context.Context, kv platform.KV, ordered []request.TargetID) error {
+// replaceOrdered replaces the replicas in the stored plan.
+func (p *plan) replaceOrdered(ctx context.Context, kv platform.KV, ordered []request.TargetID) error {
 	ctx, cancel := context.WithTimeout(ctx, planTimeout)
 	defer cancel()
 	next := plan{Epoch: p.Epoch, Ordered: ordered, revision: p.revision}
