--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	defaultTimeout = time.Second
-	slowFraction   = 4 // an answer is late after this part of the timeout
-	readTries      = 3
-	minBackoff     = 20 * time.Millisecond
-	maxBackoff     = time.Second
+	defaultTimeout  = time.Second
+	slowDivisor     = 4 // a response is slow after the timeout divided by this
+	maxReadAttempts = 3
+	minBackoff      = 20 * time.Millisecond
+	maxBackoff      = time.Second
 )
 
-// Options of NewClient.
+// Options configures a Client.
 type Options struct {
-	Addresses       []string      // host:port, host an IP number; tried in turn
-	ClientID        string        // this daemon, for the service's own counts
+	Addresses       []string      // host:port with an IP address as host; tried in turn
+	ClientID        string        // identifies this daemon in the service's statistics
 	Timeout         time.Duration // of one attempt; zero: 1 s
-	ReadsPerSecond  float64       // call budget; zero: none
-	WritesPerSecond float64       // call budget; zero: none
+	ReadsPerSecond  float64       // call budget; zero: unlimited
+	WritesPerSecond float64       // call budget; zero: unlimited
 	Logger          hclog.Logger
 	Metrics         tally.Scope
 }
 
-// Client is KV over HTTP. In a long outage reads fail with ErrUnavailable after a
-// few tries, and writes with ErrUnavailable if none left this process, else with
-// ErrUncertain when their context ends; so every write needs a deadline.
+// Client implements KV over HTTP. During a long outage reads fail with ErrUnavailable after a few
+// attempts. Writes fail with ErrUnavailable if no attempt left this process, and otherwise with
+// ErrUncertain when their context ends. Every write therefore needs a deadline.
 type Client struct {
 	transport *transport
 	health    *healthTracker
@@ -51,7 +51,7 @@
 
 var _ KV = (*Client)(nil)
 
-// NewClient returns a client. It connects at the first call.
+// NewClient returns a client, which connects on the first call.
 func NewClient(opts Options) *Client {
 	if opts.Timeout <= 0 {
 		opts.Timeout = defaultTimeout
@@ -62,7 +62,7 @@
 	if opts.Metrics == nil {
 		opts.Metrics = tally.NoopScope
 	}
-	health := &healthTracker{slowAfter: opts.Timeout / slowFraction}
+	health := &healthTracker{slowAfter: opts.Timeout / slowDivisor}
 	return &Client{
 		transport: newTransport(opts, health),
 		health:    health,
@@ -82,46 +82,46 @@
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1)
 }
 
-// Health judges the service from recent calls.
+// Health returns the health of the service, derived from recent calls.
 func (c *Client) Health() Health { return c.health.health() }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.http.HTTP.CloseIdleConnections() }
 
 // Get implements KV.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
 	r := request{method: http.MethodGet, path: kvapi.PathGet, query: url.Values{"key": {key}}}
-	a, err := c.read(ctx, r)
+	resp, err := c.read(ctx, r)
 	if err != nil {
 		return Entry{}, err
 	}
-	if a.status == http.StatusNotFound {
+	if resp.status == http.StatusNotFound {
 		return Entry{}, ErrNotFound
 	}
 	var e kvapi.Entry
-	if err := a.decode(&e); err != nil {
+	if err := resp.decode(&e); err != nil {
 		return Entry{}, err
 	}
-	return c.open(e), nil
+	return c.unwrap(e), nil
 }
 
 // List implements KV.
 func (c *Client) List(ctx context.Context, prefix string) ([]Entry, Revision, error) {
 	r := request{method: http.MethodGet, path: kvapi.PathList, query: url.Values{"prefix": {prefix}}}
-	a, err := c.read(ctx, r)
+	resp, err := c.read(ctx, r)
 	if err != nil {
 		return nil, 0, err
 	}
 	var out kvapi.ListResponse
-	if err := a.decode(&out); err != nil {
+	if err := resp.decode(&out); err != nil {
 		return nil, 0, err
 	}
-	return c.openAll(out.Entries), Revision(out.Revision), nil
+	return c.unwrapAll(out.Entries), Revision(out.Revision), nil
 }
 
-// Watch implements KV. It is sent once: its caller repeats it anyway.
+// Watch implements KV. The client does not retry it, since callers repeat watches anyway.
 func (c *Client) Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Entry, Revision, error) {
-	if err := c.spend(ctx, c.reads); err != nil {
+	if err := c.waitBudget(ctx, c.reads); err != nil {
 		return nil, 0, err
 	}
 	r := request{
@@ -134,26 +134,26 @@
 		},
 		wait: wait,
 	}
-	a, err := c.transport.attempt(ctx, r)
+	resp, err := c.transport.attempt(ctx, r)
 	if err != nil {
 		return nil, 0, err
 	}
 	var out kvapi.WatchResponse
-	if err := a.decode(&out); err != nil {
+	if err := resp.decode(&out); err != nil {
 		return nil, 0, err
 	}
-	return c.openAll(out.Entries), Revision(out.Revision), nil
+	return c.unwrapAll(out.Entries), Revision(out.Revision), nil
 }
 
-// GrantLease implements KV. A lease whose grant lost its answer lapses unused.
+// GrantLease implements KV. If the response to a grant is lost, the lease expires unused.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	var out kvapi.LeaseResponse
 	err := c.lease(ctx, kvapi.PathGrant, kvapi.LeaseRequest{TTLMillis: ttl.Milliseconds()}, &out)
 	return LeaseID(out.ID), err
 }
 
-// KeepAlive implements KV. It is not held back by the call budget: a lease lost for
-// want of budget would cost more calls than it saves.
+// KeepAlive implements KV. The call budget does not apply to it: losing a lease because the budget
+// is exhausted would cost more calls than it saves.
 func (c *Client) KeepAlive(ctx context.Context, id LeaseID) error {
 	return c.lease(ctx, kvapi.PathKeepAlive, kvapi.LeaseRequest{ID: string(id)}, nil)
 }
@@ -165,39 +165,39 @@
 
 func (c *Client) lease(ctx context.Context, path string, body kvapi.LeaseRequest, out *kvapi.LeaseResponse) error {
 	c.metrics.Counter("writes").Inc(1)
-	a, err := c.retry(ctx, request{method: http.MethodPost, path: path, body: body})
+	resp, err := c.retry(ctx, request{method: http.MethodPost, path: path, body: body})
 	if err != nil {
 		return err
 	}
-	if a.status == http.StatusNotFound {
+	if resp.status == http.StatusNotFound {
 		return ErrNotFound
 	}
 	if out == nil {
 		return nil
 	}
-	return a.decode(out)
+	return resp.decode(out)
 }
 
-func (c *Client) read(ctx context.Context, r request) (answer, error) {
-	if err := c.spend(ctx, c.reads); err != nil {
-		return answer{}, err
+func (c *Client) read(ctx context.Context, r request) (response, error) {
+	if err := c.waitBudget(ctx, c.reads); err != nil {
+		return response{}, err
 	}
 	c.metrics.Counter("reads").Inc(1)
 	return c.retry(ctx, r)
 }
 
-// retry repeats a call that may be sent twice.
-func (c *Client) retry(ctx context.Context, r request) (answer, error) {
-	op := func() (answer, error) { return c.transport.attempt(ctx, r) }
-	a, err := backoff.Retry(ctx, op, backoff.WithBackOff(newBackOff()), backoff.WithMaxTries(readTries))
+// retry sends an idempotent call up to maxReadAttempts times.
+func (c *Client) retry(ctx context.Context, r request) (response, error) {
+	op := func() (response, error) { return c.transport.attempt(ctx, r) }
+	resp, err := backoff.Retry(ctx, op, backoff.WithBackOff(newBackOff()), backoff.WithMaxTries(maxReadAttempts))
 	if err != nil {
-		return answer{}, errors.Mark(err, ErrUnavailable)
+		return response{}, errors.Mark(err, ErrUnavailable)
 	}
-	return a, nil
+	return resp, nil
 }
 
-// spend waits a short while for the call budget.
-func (c *Client) spend(ctx context.Context, budget *rate.Limiter) error {
+// waitBudget waits at most the timeout of one attempt for the call budget.
+func (c *Client) waitBudget(ctx context.Context, budget *rate.Limiter) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	if err := budget.Wait(ctx); err != nil {
@@ -214,8 +214,8 @@
 	return b
 }
 
-// open takes a value out of its envelope and remembers the chain of its writes.
-func (c *Client) open(e kvapi.Entry) Entry {
+// unwrap takes a value out of its envelope and caches the chain of its writes.
+func (c *Client) unwrap(e kvapi.Entry) Entry {
 	out := toEntry(e)
 	if e.Deleted {
 		return out
@@ -226,10 +226,10 @@
 	return out
 }
 
-func (c *Client) openAll(in []kvapi.Entry) []Entry {
+func (c *Client) unwrapAll(in []kvapi.Entry) []Entry {
 	out := make([]Entry, 0, len(in))
 	for _, e := range in {
-		out = append(out, c.open(e))
+		out = append(out, c.unwrap(e))
 	}
 	return out
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -16,14 +16,14 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
 )
 
-// wire is a service whose calls a test can act on, as a network would.
-type wire struct {
+// faultyServer is a key-value service whose calls a test can intercept to simulate network faults.
+type faultyServer struct {
 	*kv.Server
 	mu sync.Mutex
 	on func(w http.ResponseWriter, r *http.Request, next http.Handler)
 }
 
-func (s *wire) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *faultyServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	on := s.on
 	s.mu.Unlock()
@@ -34,14 +34,14 @@
 	on(w, r, s.Server)
 }
 
-func (s *wire) intercept(on func(w http.ResponseWriter, r *http.Request, next http.Handler)) {
+func (s *faultyServer) intercept(on func(w http.ResponseWriter, r *http.Request, next http.Handler)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.on = on
 }
 
-func newWire(t *testing.T) (*wire, string) {
-	s := &wire{Server: kv.NewServer(kv.Options{})}
+func newFaultyServer(t *testing.T) (*faultyServer, string) {
+	s := &faultyServer{Server: kv.NewServer(kv.Options{})}
 	srv := httptest.NewServer(s)
 	t.Cleanup(srv.Close)
 	return s, srv.Listener.Addr().String()
@@ -67,8 +67,8 @@
 	return func() T { return v }
 }
 
-// naiveSwap sends a write once and, when the answer is lost, sends it again with the
-// revision that it then finds.
+// naiveSwap sends a write once and, if the response is lost, writes again over the revision that it
+// then reads.
 func naiveSwap(t *testing.T, ctx context.Context, kv platform.KV, first func() error, key string, value []byte) {
 	if first() == nil {
 		return
@@ -82,13 +82,13 @@
 	}
 }
 
-// Story: operator one sets a limit; the write takes effect but its answer is lost.
-// Before the client reads back, operator two changes the limit. A client that finds
-// "not my value" and writes again silently undoes operator two's accepted change.
-func TestLostAnswerThenWrittenOver(t *testing.T) {
+// Operator one sets a limit; the write takes effect but its response is lost. Before the client
+// retries, operator two changes the limit. A client that reads a foreign value and writes again
+// silently reverts operator two's accepted change.
+func TestLostResponseThenOverwritten(t *testing.T) {
 	ctx := testContext(t)
-	run := func(swap func(one platform.KV, s *wire, base platform.Revision)) string {
-		s, addr := newWire(t)
+	run := func(swap func(one platform.KV, s *faultyServer, base platform.Revision)) string {
+		s, addr := newFaultyServer(t)
 		one, two := newClient(t, "one", addr), newClient(t, "two", addr)
 		base, err := one.CompareAndSwap(ctx, "k", 0, []byte("base"), "")
 		must(t, base, err)
@@ -110,10 +110,10 @@
 		return string(must(t, e, err)().Value)
 	}
 
-	got := run(func(one platform.KV, _ *wire, base platform.Revision) {
+	got := run(func(one platform.KV, _ *faultyServer, base platform.Revision) {
 		rev, err := one.CompareAndSwap(ctx, "k", base, []byte("one"), "")
 		if err != nil || rev != base+1 {
-			t.Errorf("lost write settled as revision %d, error %v; want %d", rev, err, base+1)
+			t.Errorf("lost write resolved to revision %d, error %v; want %d", rev, err, base+1)
 		}
 		_, err = one.CompareAndSwap(ctx, "k", rev, []byte("one again"), "")
 		if !errors.Is(err, platform.ErrConflict) {
@@ -124,7 +124,7 @@
 		t.Errorf("kept %q, want the later change", got)
 	}
 
-	naive := run(func(one platform.KV, _ *wire, base platform.Revision) {
+	naive := run(func(one platform.KV, _ *faultyServer, base platform.Revision) {
 		naiveSwap(t, ctx, one, func() error {
 			_, err := one.CompareAndSwap(ctx, "k", base, []byte("one"), "")
 			return errors.CombineErrors(err, platform.ErrUnavailable)
@@ -135,11 +135,11 @@
 	}
 }
 
-// Story: the same, but so many writes follow that the value no longer names ours, or
-// the key was deleted and created again. The client must not guess.
-func TestLostAnswerBeyondHistory(t *testing.T) {
+// The response to a write is lost, and then so many writes follow that the history no longer lists
+// it, or the key is deleted or created again. The client must return ErrUncertain.
+func TestLostResponseBeyondHistory(t *testing.T) {
 	ctx := testContext(t)
-	for name, bury := range map[string]func(two platform.KV, rev platform.Revision) error{
+	for name, overwrite := range map[string]func(two platform.KV, rev platform.Revision) error{
 		"many writes": func(two platform.KV, rev platform.Revision) error {
 			for range 9 {
 				var err error
@@ -162,7 +162,7 @@
 	} {
 		for _, create := range []bool{true, false} {
 			t.Run(name, func(t *testing.T) {
-				s, addr := newWire(t)
+				s, addr := newFaultyServer(t)
 				one, two := newClient(t, "one", addr), newClient(t, "two", addr)
 				var base platform.Revision
 				if !create {
@@ -174,7 +174,7 @@
 					next.ServeHTTP(httptest.NewRecorder(), r)
 					e, err := two.Get(ctx, "k")
 					must(t, e, err)
-					if err := bury(two, e.Revision); err != nil {
+					if err := overwrite(two, e.Revision); err != nil {
 						t.Error(err)
 					}
 					panic(http.ErrAbortHandler)
@@ -188,11 +188,11 @@
 	}
 }
 
-// Story: the answers of several writes and of a delete are lost in a row; each is
-// settled, and a write that lost against another is a conflict, never a guess.
-func TestLostAnswersSettle(t *testing.T) {
+// The responses to several writes and to a delete are lost one after the other. The client
+// determines each outcome, and a stale write is a conflict.
+func TestLostResponsesAreResolved(t *testing.T) {
 	ctx := testContext(t)
-	s, addr := newWire(t)
+	s, addr := newFaultyServer(t)
 	c := newClient(t, "one", addr)
 	var rev platform.Revision
 	for range 3 {
@@ -214,10 +214,10 @@
 	}
 }
 
-// Story: the service takes writes but no answer returns until the deadline: the
-// outcome is unknown. When nothing listens, the write surely did not happen.
+// The service receives writes but sends no response before the deadline: their outcome is unknown.
+// If the connection is refused, the write certainly had no effect.
 func TestOutageOfWrites(t *testing.T) {
-	s, addr := newWire(t)
+	s, addr := newFaultyServer(t)
 	c := newClient(t, "one", addr)
 	s.SetDown(true)
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
@@ -232,29 +232,29 @@
 		t.Errorf("health %v, want down", c.Health())
 	}
 
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
-	refused := newClient(t, "two", gone.Listener.Addr().String())
+	unreachable := httptest.NewServer(http.NotFoundHandler())
+	unreachable.Close()
+	refused := newClient(t, "two", unreachable.Listener.Addr().String())
 	_, err := refused.CompareAndSwap(testContext(t), "k", 0, nil, "")
 	if !errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUncertain) {
 		t.Errorf("got %v, want ErrUnavailable only", err)
 	}
 
 	s.SetDown(false)
-	both := newClient(t, "three", gone.Listener.Addr().String(), addr)
+	both := newClient(t, "three", unreachable.Listener.Addr().String(), addr)
 	if _, err := both.CompareAndSwap(testContext(t), "k2", 0, nil, ""); err != nil {
 		t.Errorf("second address: %v", err)
 	}
 	s.Cut("three", true)
 	if _, err := both.Get(testContext(t), "k2"); !errors.Is(err, platform.ErrUnavailable) {
-		t.Errorf("cut client: %v", err)
+		t.Errorf("partitioned client: %v", err)
 	}
 }
 
-// Leases, watches, the cap, the budget and the counts, over the wire.
+// Leases, watches, the size limit, the call budget and the call counts work over HTTP.
 func TestLeaseWatchBudget(t *testing.T) {
 	ctx := testContext(t)
-	s, addr := newWire(t)
+	s, addr := newFaultyServer(t)
 	c := newClient(t, "one", addr)
 	id, err := c.GrantLease(ctx, time.Hour)
 	must(t, id, err)
@@ -280,10 +280,10 @@
 		t.Errorf("watch got %+v, want none", got)
 	}
 	if err := c.KeepAlive(ctx, id); !errors.Is(err, platform.ErrNotFound) {
-		t.Errorf("keep-alive of a lapsed lease: %v", err)
+		t.Errorf("keep-alive of an expired lease: %v", err)
 	}
 	if _, err := c.CompareAndSwap(ctx, "s/1", 0, nil, id); !errors.Is(err, platform.ErrNotFound) {
-		t.Errorf("write under a lapsed lease: %v", err)
+		t.Errorf("write under an expired lease: %v", err)
 	}
 	if _, err := c.CompareAndSwap(ctx, "big", 0, make([]byte, kvapi.MaxValue), ""); !errors.Is(err, platform.ErrTooLarge) {
 		t.Errorf("big value: %v", err)
@@ -291,20 +291,20 @@
 	if n := s.Counts(); n.Watches != 3 || n.ByClient["one"] < 9 {
 		t.Errorf("counts %+v", n)
 	}
-	tight := platform.NewClient(platform.Options{Addresses: []string{addr}, ReadsPerSecond: 0.001})
-	defer tight.Close()
-	_, err = tight.Get(ctx, "k")
+	limited := platform.NewClient(platform.Options{Addresses: []string{addr}, ReadsPerSecond: 0.001})
+	defer limited.Close()
+	_, err = limited.Get(ctx, "k")
 	if !errors.Is(err, platform.ErrNotFound) {
 		t.Error(err)
 	}
-	if _, err = tight.Get(ctx, "k"); !errors.Is(err, platform.ErrBudget) {
+	if _, err = limited.Get(ctx, "k"); !errors.Is(err, platform.ErrBudget) {
 		t.Errorf("over budget: %v", err)
 	}
 }
 
-// A write refused for the service's rate surely did not happen, and the VM list is read
-// as it is.
-func TestRefusedRateAndVMList(t *testing.T) {
+// A write that the service refuses for its rate limit certainly had no effect. The VM list is
+// returned unchanged.
+func TestRateLimitAndVMList(t *testing.T) {
 	ctx := testContext(t)
 	limited := httptest.NewServer(kv.NewServer(kv.Options{WritesPerSecond: 0.001}))
 	defer limited.Close()
@@ -314,7 +314,7 @@
 	}
 	_, err := c.CompareAndSwap(ctx, "k2", 0, nil, "")
 	if !errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUncertain) {
-		t.Errorf("over the service's rate: %v", err)
+		t.Errorf("over the service's rate limit: %v", err)
 	}
 
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -327,11 +327,11 @@
 	}
 }
 
-// Story: the table grew, and its listing comes over a small link for longer than the time limit
-// of a call. Cut as a whole it was asked for again and again, and a daemon that started then never had
-// the table.
-func TestLongListingIsReadToItsEnd(t *testing.T) {
-	s, addr := newWire(t)
+// The table has grown, and its listing takes longer over a slow link than the timeout of a call. When
+// the timeout covered the whole response, the client retried forever and a daemon that started then
+// never received the table.
+func TestSlowListingIsReadCompletely(t *testing.T) {
+	s, addr := newFaultyServer(t)
 	c := platform.NewClient(platform.Options{Addresses: []string{addr}, ClientID: "one", Timeout: 300 * time.Millisecond})
 	t.Cleanup(c.Close)
 	const keys, size = 4, 30_000 // bytes
@@ -341,10 +341,10 @@
 		}
 	}
 	s.intercept(func(w http.ResponseWriter, r *http.Request, next http.Handler) {
-		whole := httptest.NewRecorder()
-		next.ServeHTTP(whole, r)
-		w.WriteHeader(whole.Code)
-		for body := whole.Body.Bytes(); len(body) > 0; {
+		recorded := httptest.NewRecorder()
+		next.ServeHTTP(recorded, r)
+		w.WriteHeader(recorded.Code)
+		for body := recorded.Body.Bytes(); len(body) > 0; {
 			n := min(len(body), 16<<10)
 			if _, err := w.Write(body[:n]); err != nil {
 				return
--- a/internal/platform/envelope.go
+++ b/internal/platform/envelope.go
@@ -5,17 +5,17 @@
 	"encoding/binary"
 )
 
-// writeID identifies one write. It is random, so that no two writes share it.
+// writeID identifies one write. It is random and therefore unique.
 type writeID [16]byte
 
-// written is an earlier write of a key: its identity and the revision that it got.
-type written struct {
+// historyEntry is an earlier write of a key, with the revision that it created.
+type historyEntry struct {
 	id       writeID
 	revision Revision
 }
 
-// historyLength is the number of earlier writes that a value names. A write whose
-// answer was lost stays provable until that many writes went over it.
+// historyLength is the number of earlier writes that a value lists. A write whose response was
+// lost stays provable until that many writes have replaced it.
 const historyLength = 8
 
 var envelopeMagic = []byte("bsw1")
@@ -26,13 +26,13 @@
 	EnvelopeOverhead = 4 + 1 + 16 + historyLength*envelopeEntrySize
 )
 
-// envelope wraps a value with the identity of its write and of those before it.
-// The service's answer to a write can be lost; the identity in the value is how
-// the writer finds out whether the write took effect, even after another writer
-// went over it, because each writer carries on the identities that it replaced.
+// envelope wraps a value with the identities of its write and of earlier writes. If the service's
+// response to a write is lost, the writer uses these identities to determine whether the write took
+// effect. This works even after another writer has replaced the value, because each writer copies
+// the identities of the writes that it replaces.
 type envelope struct {
 	id      writeID
-	history []written // newest first
+	history []historyEntry // newest first
 	payload []byte
 }
 
@@ -48,7 +48,7 @@
 	return append(out, e.payload...)
 }
 
-// decodeEnvelope also takes values that another tool wrote without an envelope.
+// decodeEnvelope also accepts values that another tool wrote without an envelope.
 func decodeEnvelope(value []byte) envelope {
 	rest, ok := bytes.CutPrefix(value, envelopeMagic)
 	if !ok || len(rest) < len(writeID{})+1 {
@@ -62,7 +62,7 @@
 		return envelope{payload: value}
 	}
 	for range n {
-		var w written
+		var w historyEntry
 		copy(w.id[:], rest)
 		w.revision = Revision(binary.BigEndian.Uint64(rest[len(w.id):]))
 		e.history = append(e.history, w)
@@ -72,37 +72,37 @@
 	return e
 }
 
-// successorHistory is the history of the write that follows e, which is at revision.
-func (e envelope) successorHistory(revision Revision) []written {
-	out := append([]written{{id: e.id, revision: revision}}, e.history...)
+// successorHistory returns the history of the write that replaces e, which is at revision.
+func (e envelope) successorHistory(revision Revision) []historyEntry {
+	out := append([]historyEntry{{id: e.id, revision: revision}}, e.history...)
 	return out[:min(len(out), historyLength)]
 }
 
-// verdict is what a value read after a lost answer tells of the lost write.
-type verdict int
+// writeOutcome is the outcome of a write with a lost response, as far as the current value proves it.
+type writeOutcome int
 
 const (
-	verdictUnknown verdict = iota
-	verdictApplied
-	verdictNotApplied
+	outcomeUnknown writeOutcome = iota
+	outcomeApplied
+	outcomeNotApplied
 )
 
-// settle judges a write that expected revision expect from the value now current.
-// Deleting a key ends its history, so only a history that reaches back to expect
-// proves that the write was not applied.
-func settle(id writeID, expect Revision, current envelope, revision Revision) (verdict, Revision) {
+// resolveOutcome determines from the current value whether a write that expected revision expect
+// was applied, and at which revision. Deleting a key ends its history. Only a history that reaches
+// back to expect therefore proves that the write was not applied.
+func resolveOutcome(id writeID, expect Revision, current envelope, revision Revision) (writeOutcome, Revision) {
 	if current.id == id {
-		return verdictApplied, revision
+		return outcomeApplied, revision
 	}
 	for _, w := range current.history {
 		if w.id == id {
-			return verdictApplied, w.revision
+			return outcomeApplied, w.revision
 		}
 	}
 	for _, w := range current.history {
 		if expect != 0 && w.revision == expect {
-			return verdictNotApplied, 0
+			return outcomeNotApplied, 0
 		}
 	}
-	return verdictUnknown, 0
+	return outcomeUnknown, 0
 }
--- a/internal/platform/envelope_test.go
+++ b/internal/platform/envelope_test.go
@@ -8,15 +8,15 @@
 	_ "github.com/bluebellscale/bluebellscale/internal/testseed" // the same seeds in each run
 )
 
-// register is one key of the service with its true history.
+// register models one key of the service.
 type register struct {
-	revision Revision // of the service
-	at       Revision // of the key; zero: absent
+	revision Revision // latest revision of the service
+	at       Revision // revision of the key; zero: absent
 	current  envelope
 }
 
-// write puts a value; carry tells whether its writer names the writes before it, as
-// Client does and another tool does not.
+// write replaces the value. carry tells whether the writer copies the history of earlier writes, as
+// Client does and other tools do not.
 func (r *register) write(id writeID, carry bool) Revision {
 	r.revision++
 	next := envelope{id: id}
@@ -32,9 +32,9 @@
 	r.current, r.at = envelope{}, 0
 }
 
-// Whatever other writers do after a write whose answer was lost, and however late it
-// arrives, the judgement of it is right or says that it does not know.
-func TestSettleAgainstTruth(t *testing.T) {
+// The response to a write is lost. No matter what other writers do afterwards and how late the write
+// arrives, resolveOutcome returns the true outcome or outcomeUnknown.
+func TestResolveOutcomeAgainstTrueHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r register
 		others := 0
@@ -61,13 +61,13 @@
 			case "delete":
 				r.delete()
 			}
-			v, revision := settle(lost, expect, r.current, r.at)
-			refuted = refuted || v == verdictNotApplied
-			if v == verdictApplied && (applied == 0 || revision != applied) {
-				t.Fatalf("judged applied at %d; it was applied at %d", revision, applied)
+			outcome, revision := resolveOutcome(lost, expect, r.current, r.at)
+			refuted = refuted || outcome == outcomeNotApplied
+			if outcome == outcomeApplied && (applied == 0 || revision != applied) {
+				t.Fatalf("resolved as applied at %d; it was applied at %d", revision, applied)
 			}
 			if refuted && applied != 0 {
-				t.Fatal("judged not applied")
+				t.Fatal("resolved as not applied, but it was applied")
 			}
 		}
 	})
--- a/internal/platform/health.go
+++ b/internal/platform/health.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	healthWindow    = 16 // calls looked at
-	healthDownAfter = 3  // failed calls in a row
+	healthWindow    = 16 // recent calls taken into account
+	healthDownAfter = 3  // consecutive failed calls
 )
 
-// healthTracker judges the service from recent calls. A single failure is not an
-// outage and a single late answer is not slowness.
+// healthTracker derives the health of the service from recent calls. A single failure does not
+// count as an outage and a single late response does not count as slowness.
 type healthTracker struct {
 	slowAfter time.Duration
 
 	mu       sync.Mutex
-	recent   []time.Duration // of calls that answered
-	failures int             // in a row
+	recent   []time.Duration // durations of successful calls
+	failures int             // consecutive
 }
 
 func (h *healthTracker) observe(took time.Duration, answered bool) {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is the interface to what the platform gives: the key-value
-// service and the VM list. Everything that must outlive a daemon goes through KV.
+// Package platform is the interface to the services that the platform provides: the key-value
+// service and the VM list. State that must outlive a daemon is stored through KV.
 package platform
 
 import (
@@ -11,28 +11,28 @@
 
 // Revision orders writes of the key-value service. Zero stands for an absent key.
 //
-// A service may come back from a copy of some seconds ago, and then gives the numbers of the writes
-// that it lost out again. Each return begins another era, which counts before the number: what
-// was read in an older era is older, whatever its number.
+// The service may be restored from a backup that is some seconds old, and then reuses the numbers
+// of the writes that it lost. Each restore begins a new era, which takes precedence over the
+// number: a revision of an older era is older, whatever its number.
 type Revision uint64
 
-// eraShift is the number of bits below an era. At 10,000 writes a second they last for three
-// years.
+// eraShift is the number of bits below the era. At 10,000 writes per second they suffice for
+// three years.
 const eraShift = 40
 
-// NewRevision returns the revision of a number in an era.
+// NewRevision returns the revision with the given number in an era.
 func NewRevision(era, number uint64) Revision { return Revision(era<<eraShift | number) }
 
-// Era returns how often the service has come back from a copy; zero where it doesn't tell.
+// Era returns the number of restores of the service; zero if the service does not report it.
 func (r Revision) Era() uint64 { return uint64(r) >> eraShift }
 
-// Number returns what the service itself calls the revision.
+// Number returns the revision number that the service itself uses.
 func (r Revision) Number() uint64 { return uint64(r) & (1<<eraShift - 1) }
 
-// LeaseID names a lease of the key-value service.
+// LeaseID identifies a lease of the key-value service.
 type LeaseID string
 
-// Entry is one key with its value.
+// Entry is a key with its value.
 type Entry struct {
 	Key      string
 	Value    []byte
@@ -43,27 +43,27 @@
 
 // Errors of KV. Test for them with errors.Is.
 var (
-	// ErrNotFound reports an absent key or a lapsed lease.
+	// ErrNotFound reports an absent key or an expired lease.
 	ErrNotFound = errors.New("platform: not found")
 	// ErrConflict reports a compare-and-swap whose expected revision was not current;
-	// the write had no effect. errors.As to *ConflictError gives the current entry. A
+	// the write had no effect. errors.As with *ConflictError returns the current entry. A
 	// revision of an older era is never current.
 	ErrConflict = errors.New("platform: conflict")
-	// ErrUnavailable reports that the service did not answer; a read can be repeated.
+	// ErrUnavailable reports that the service did not respond; a read can be retried.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrUncertain reports a write that may or may not have taken effect and could not
-	// be settled in time. The caller must read before it acts again.
+	// ErrUncertain reports a write that may or may not have taken effect and whose outcome could
+	// not be determined in time. The caller must read the key before it acts again.
 	ErrUncertain = errors.New("platform: write outcome unknown")
-	// ErrTooLarge reports a value above the service's cap.
+	// ErrTooLarge reports a value above the service's size limit.
 	ErrTooLarge = errors.New("platform: value too large")
-	// ErrCompacted reports a watch from a revision whose history is gone; the prefix must
-	// be listed anew.
-	ErrCompacted = errors.New("platform: history is gone")
-	// ErrBudget reports that this process's call budget is spent.
-	ErrBudget = errors.New("platform: call budget spent")
+	// ErrCompacted reports a watch from a revision whose history was compacted; the prefix must
+	// be listed again.
+	ErrCompacted = errors.New("platform: revision history was compacted")
+	// ErrBudget reports that this process's call budget is exhausted.
+	ErrBudget = errors.New("platform: call budget exhausted")
 )
 
-// ConflictError carries the entry that a compare-and-swap met.
+// ConflictError carries the current entry after a failed compare-and-swap.
 type ConflictError struct {
 	Current Entry
 }
@@ -79,22 +79,22 @@
 	Get(ctx context.Context, key string) (Entry, error)
 	List(ctx context.Context, prefix string) ([]Entry, Revision, error)
 	// CompareAndSwap writes value if the key is at revision expect and returns the new
-	// revision. An answer that is lost is settled by reading back before it returns.
+	// revision. If the response is lost, it determines the outcome before it returns.
 	CompareAndSwap(ctx context.Context, key string, expect Revision, value []byte, lease LeaseID) (Revision, error)
 	// Delete removes the key if it is at revision expect.
 	Delete(ctx context.Context, key string, expect Revision) error
-	// Watch waits up to wait for changes below prefix after a revision. It is bounded,
-	// so that a connection gone silent is noticed.
+	// Watch waits up to wait for changes below prefix after a revision. The wait is bounded to
+	// detect connections that have gone silent.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Entry, Revision, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	KeepAlive(ctx context.Context, id LeaseID) error
 	RevokeLease(ctx context.Context, id LeaseID) error
 }
 
-// VM is one entry of the platform's VM list, which lags.
+// VM is an entry of the platform's VM list, which lags behind the actual state.
 type VM struct {
 	ID            string `json:"id"`
-	Address       string `json:"address"` // IP number
+	Address       string `json:"address"` // IP address
 	FailureDomain string `json:"failure_domain"`
 	Region        string `json:"region"`
 	Role          string `json:"role"` // "entry", "target" or "store"
@@ -106,15 +106,15 @@
 	VMs(ctx context.Context) ([]VM, error)
 }
 
-// Health tells how the key-value service answers.
+// Health describes how well the key-value service responds.
 type Health int
 
 const (
-	// HealthFine means that calls answer in the usual time.
+	// HealthFine means that calls complete in the usual time.
 	HealthFine Health = iota
-	// HealthSlow means that calls answer late.
+	// HealthSlow means that calls complete late.
 	HealthSlow
-	// HealthDown means that calls do not answer.
+	// HealthDown means that calls fail.
 	HealthDown
 )
 
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -19,24 +19,24 @@
 
 const clientHeader = "X-Client"
 
-// maxAnswerBytes bounds one answer; a list may carry many values.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds one response; a list may contain many values.
+const maxResponseBytes = 64 << 20
 
-// errNotSent marks a failure before the request left this process, such as a
-// refused connection: the service certainly did not see it.
+// errNotSent marks a request that certainly had no effect, because it did not leave this process
+// (a refused connection, for example) or because the service refused it for its rate limit.
 var errNotSent = errors.New("platform: request not sent")
 
-// answer is what one attempt got.
-type answer struct {
+// response is the service's response to one attempt.
+type response struct {
 	status int
 	body   []byte
 }
 
-func (a answer) decode(into any) error {
-	return errors.Wrap(json.Unmarshal(a.body, into), "decode answer of the key-value service")
+func (resp response) decode(into any) error {
+	return errors.Wrap(json.Unmarshal(resp.body, into), "decode response of the key-value service")
 }
 
-// transport sends single attempts, each to one of several addresses in turn.
+// transport sends single attempts. It uses one address until an attempt fails, then the next one.
 type transport struct {
 	addresses []string
 	clientID  string
@@ -61,7 +61,7 @@
 	}
 }
 
-// request is one call of the service.
+// request is one call to the service.
 type request struct {
 	method string
 	path   string
@@ -70,44 +70,45 @@
 	wait   time.Duration // added to the timeout of watches
 }
 
-// attempt sends a request once. Its answer must begin within the timeout, and then make progress:
-// a listing of the whole table is as large as the table. A failure moves on to the next address and drops
-// idle connections: a connection that went silent would otherwise be used again.
-func (t *transport) attempt(ctx context.Context, r request) (answer, error) {
-	turn := t.next.Load()
+// attempt sends a request once. The response must begin within the timeout and then make progress;
+// its total duration is not bounded, since a listing of the whole table is as large as the table.
+// After a failure the transport switches to the next address and closes idle connections, which
+// keeps it from reusing a connection that went silent.
+func (t *transport) attempt(ctx context.Context, r request) (response, error) {
+	index := t.next.Load()
 	start := time.Now()
-	a, err := t.exchange(ctx, t.addresses[turn%uint64(len(t.addresses))], r)
+	resp, err := t.exchange(ctx, t.addresses[index%uint64(len(t.addresses))], r)
 	if err != nil || r.wait == 0 {
 		t.health.observe(time.Since(start), err == nil)
 	}
 	if err != nil {
-		t.next.CompareAndSwap(turn, turn+1)
+		t.next.CompareAndSwap(index, index+1)
 		t.http.HTTP.CloseIdleConnections()
 	}
-	return a, err
+	return resp, err
 }
 
-func (t *transport) exchange(ctx context.Context, address string, r request) (answer, error) {
+func (t *transport) exchange(ctx context.Context, address string, r request) (response, error) {
 	req, err := t.newRequest(ctx, address, r)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	resp, err := t.http.DoWithin(req, t.timeout+r.wait)
 	if err != nil {
-		return answer{}, markUnavailable(err)
+		return response{}, markUnavailable(err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return answer{}, errors.Mark(err, ErrUnavailable)
+		return response{}, errors.Mark(err, ErrUnavailable)
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		return answer{}, errors.Mark(errors.Newf("status %d", resp.StatusCode), ErrUnavailable)
+		return response{}, errors.Mark(errors.Newf("status %d", resp.StatusCode), ErrUnavailable)
 	}
 	if resp.StatusCode == http.StatusTooManyRequests {
-		return answer{}, errors.Mark(errors.Mark(errors.New("rate exceeded"), errNotSent), ErrUnavailable)
+		return response{}, errors.Mark(errors.Mark(errors.New("rate limit of the key-value service exceeded"), errNotSent), ErrUnavailable)
 	}
-	return answer{status: resp.StatusCode, body: body}, nil
+	return response{status: resp.StatusCode, body: body}, nil
 }
 
 func (t *transport) newRequest(ctx context.Context, address string, r request) (*http.Request, error) {
@@ -128,7 +129,7 @@
 	return req, nil
 }
 
-// markUnavailable tells a refused connection from a lost answer.
+// markUnavailable marks an error as ErrUnavailable, and as errNotSent if no connection was opened.
 func markUnavailable(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/internal/platform/write.go
+++ b/internal/platform/write.go
@@ -12,13 +12,13 @@
 	"github.com/bluebellscale/bluebellscale/internal/kvapi"
 )
 
-// maxChains bounds the remembered chains; a forgotten one costs a read.
+// maxChains bounds the cached chains; a cache miss costs one read.
 const maxChains = 4096
 
-// chain is the last known write of a key with those before it.
+// chain is the last known write of a key and the writes before it.
 type chain struct {
-	revision Revision
-	history  []written // of the write that follows revision
+	revision         Revision
+	successorHistory []historyEntry // history of the write that replaces revision
 }
 
 type chainCache struct {
@@ -37,27 +37,27 @@
 	if len(c.chains) >= maxChains {
 		clear(c.chains)
 	}
-	c.chains[key] = chain{revision: revision, history: e.successorHistory(revision)}
+	c.chains[key] = chain{revision: revision, successorHistory: e.successorHistory(revision)}
 }
 
-func (c *chainCache) at(key string, revision Revision) ([]written, bool) {
+func (c *chainCache) lookup(key string, revision Revision) ([]historyEntry, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.chains[key]
-	return known.history, known.revision == revision
+	return known.successorHistory, known.revision == revision
 }
 
 // CompareAndSwap implements KV.
 //
-// An answer that is lost is settled by sending the same write again: it carries its
-// identity, and it can take effect once only, since its expected revision is gone
-// afterwards. The conflict that the second one meets shows the current value, whose
-// history tells whether the first one took effect (see settle), also when another
-// writer went over it meanwhile; then the revision that the lost write got is
-// returned, as if its answer had come late. What the history can't tell (the key was
-// deleted in between, or written over more than historyLength times) is ErrUncertain.
-// A lost creation is read back but not sent again, because the key may have been
-// created and deleted meanwhile, and would come back to life.
+// If the response is lost, the client sends the same write again. The write carries its identity
+// and can take effect only once, since its expected revision is no longer current afterwards. If
+// the second attempt meets a conflict, the history in the current value shows whether the first
+// attempt took effect (see resolveOutcome), even if another writer has replaced the value in the
+// meantime; the client then returns the revision of the first attempt, as if its response had
+// been late. If the history does not show it, because the key was deleted in between or replaced
+// more than historyLength times, the result is ErrUncertain.
+// A creation whose response was lost is read back but not sent again: the key may have been
+// created and deleted in the meantime, and a second attempt would create it again.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, expect Revision, value []byte, lease LeaseID) (Revision, error) {
 	if len(value) > kvapi.MaxValue-EnvelopeOverhead {
 		return 0, ErrTooLarge
@@ -77,8 +77,8 @@
 	return revision, err
 }
 
-// Delete implements KV. A lost answer is settled like that of CompareAndSwap; a key
-// found absent afterwards counts as deleted, whoever did it.
+// Delete implements KV. It handles a lost response like CompareAndSwap; a key that is absent
+// afterwards counts as deleted, no matter which writer deleted it.
 func (c *Client) Delete(ctx context.Context, key string, expect Revision) error {
 	w := &write{client: c, expect: expect, id: newWriteID(), body: kvapi.CASRequest{
 		Key: key, Expect: uint64(expect), Delete: true,
@@ -93,12 +93,12 @@
 	return id
 }
 
-// historyAt returns the history for a write over revision expect.
-func (c *Client) historyAt(ctx context.Context, key string, expect Revision) ([]written, error) {
+// historyAt returns the history for a write that replaces revision expect.
+func (c *Client) historyAt(ctx context.Context, key string, expect Revision) ([]historyEntry, error) {
 	if expect == 0 {
 		return nil, nil
 	}
-	if history, ok := c.chains.at(key, expect); ok {
+	if history, ok := c.chains.lookup(key, expect); ok {
 		return history, nil
 	}
 	e, err := c.Get(ctx, key)
@@ -111,32 +111,32 @@
 	if e.Revision != expect {
 		return nil, &ConflictError{Current: e}
 	}
-	history, _ := c.chains.at(key, expect)
+	history, _ := c.chains.lookup(key, expect)
 	return history, nil
 }
 
-// write is one write until its outcome is known.
+// write is a write whose outcome is not known yet.
 type write struct {
 	client    *Client
 	expect    Revision
 	id        writeID
 	body      kvapi.CASRequest
-	ambiguous bool // an attempt may have taken effect unseen
+	ambiguous bool // an attempt without a response may have taken effect
 }
 
-// run sends the write until it is settled. While no attempt left this process it
-// gives up after a few tries; afterwards it goes on until ctx ends.
+// run sends the write until its outcome is known. It fails after maxReadAttempts attempts if none of
+// them left this process; otherwise it retries until ctx ends.
 func (w *write) run(ctx context.Context) (Revision, error) {
-	tries := 0
+	attempts := 0
 	op := func() (Revision, error) {
-		tries++
+		attempts++
 		revision, err := w.attempt(ctx)
 		switch {
 		case err == nil:
 			return revision, nil
 		case !errors.Is(err, ErrUnavailable):
 			return 0, backoff.Permanent(err)
-		case !w.ambiguous && tries >= readTries:
+		case !w.ambiguous && attempts >= maxReadAttempts:
 			return 0, backoff.Permanent(err)
 		}
 		return 0, err
@@ -145,11 +145,11 @@
 	if err == nil {
 		return revision, nil
 	}
-	return 0, w.final(err)
+	return 0, w.finalError(err)
 }
 
-// final turns the last error into the one that the caller is to see.
-func (w *write) final(err error) error {
+// finalError converts the error of the last attempt into the error that the caller receives.
+func (w *write) finalError(err error) error {
 	var permanent *backoff.PermanentError
 	if errors.As(err, &permanent) {
 		err = permanent.Unwrap()
@@ -159,7 +159,7 @@
 	}
 	if w.ambiguous {
 		w.client.metrics.Counter("uncertain").Inc(1)
-		w.client.logger.Warn("Write outcome unknown", "key", w.body.Key, "error", err)
+		w.client.logger.Warn("Outcome of a write to the key-value service is unknown", "key", w.body.Key, "error", err)
 		return errors.Mark(err, ErrUncertain)
 	}
 	if errors.Is(err, ErrBudget) {
@@ -173,74 +173,74 @@
 	if w.ambiguous && w.expect == 0 {
 		return w.readBack(ctx)
 	}
-	if err := c.spend(ctx, c.writes); err != nil {
+	if err := c.waitBudget(ctx, c.writes); err != nil {
 		return 0, err
 	}
 	c.metrics.Counter("writes").Inc(1)
-	a, err := c.transport.attempt(ctx, request{method: http.MethodPost, path: kvapi.PathCAS, body: w.body})
+	resp, err := c.transport.attempt(ctx, request{method: http.MethodPost, path: kvapi.PathCAS, body: w.body})
 	if err != nil {
 		w.ambiguous = w.ambiguous || !errors.Is(err, errNotSent)
 		return 0, err
 	}
-	return w.judge(a)
+	return w.handleResponse(resp)
 }
 
-// readBack settles a creation whose answer was lost.
+// readBack determines the outcome of a creation whose response was lost.
 func (w *write) readBack(ctx context.Context) (Revision, error) {
 	r := request{method: http.MethodGet, path: kvapi.PathGet, query: map[string][]string{"key": {w.body.Key}}}
-	a, err := w.client.transport.attempt(ctx, r)
+	resp, err := w.client.transport.attempt(ctx, r)
 	if err != nil {
 		return 0, err
 	}
-	if a.status == http.StatusNotFound {
+	if resp.status == http.StatusNotFound {
 		return 0, ErrUncertain
 	}
 	var e kvapi.Entry
-	if err := a.decode(&e); err != nil {
+	if err := resp.decode(&e); err != nil {
 		return 0, err
 	}
-	return w.judgeCurrent(e)
+	return w.resolveAgainst(e)
 }
 
-func (w *write) judge(a answer) (Revision, error) {
-	switch a.status {
+func (w *write) handleResponse(resp response) (Revision, error) {
+	switch resp.status {
 	case http.StatusOK, http.StatusConflict:
 	case http.StatusRequestEntityTooLarge:
 		return 0, ErrTooLarge
-	case http.StatusNotFound: // the lease lapsed; with it went the key, if it was ever written
+	case http.StatusNotFound: // the lease expired, which also deleted the key if it was written
 		if w.ambiguous {
 			return 0, ErrUncertain
 		}
 		return 0, ErrNotFound
 	default:
-		return 0, errors.Newf("platform: unexpected status %d", a.status)
+		return 0, errors.Newf("platform: unexpected status %d", resp.status)
 	}
 	var out kvapi.CASResponse
-	if err := a.decode(&out); err != nil {
+	if err := resp.decode(&out); err != nil {
 		w.ambiguous = true
 		return 0, errors.Mark(err, ErrUnavailable)
 	}
-	if a.status == http.StatusOK {
+	if resp.status == http.StatusOK {
 		return Revision(out.Revision), nil
 	}
 	if out.Current == nil {
 		out.Current = &kvapi.Entry{Key: w.body.Key, Deleted: true}
 	}
-	return w.judgeCurrent(*out.Current)
+	return w.resolveAgainst(*out.Current)
 }
 
-// judgeCurrent decides on a write from the entry that stands in its place.
-func (w *write) judgeCurrent(current kvapi.Entry) (Revision, error) {
+// resolveAgainst determines the outcome of the write from the current entry of its key.
+func (w *write) resolveAgainst(current kvapi.Entry) (Revision, error) {
 	if w.body.Delete && w.ambiguous && current.Deleted {
 		return Revision(current.Revision), nil
 	}
 	env := decodeEnvelope(current.Value)
-	v, revision := settle(w.id, w.expect, env, Revision(current.Revision))
-	if v == verdictApplied {
+	outcome, revision := resolveOutcome(w.id, w.expect, env, Revision(current.Revision))
+	if outcome == outcomeApplied {
 		return revision, nil
 	}
-	if v == verdictUnknown && w.ambiguous {
+	if outcome == outcomeUnknown && w.ambiguous {
 		return 0, ErrUncertain
 	}
-	return 0, &ConflictError{Current: w.client.open(current)}
+	return 0, &ConflictError{Current: w.client.unwrap(current)}
 }
