--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,9 +1,8 @@
-// Package logging writes structured lines without ever holding up the work that they tell
-// of.
+// Package logging writes structured log lines without ever blocking its callers.
 //
-// Lines go through a bounded ring to one writer. While the reader of the log is slow the
-// ring fills and lines are left out. Under load each kind of line, known by its message,
-// is bounded to so many a second. Both losses are counted and told in a line of their own.
+// Lines pass through a bounded buffer to a single writer. If the reader of the log is slow, the
+// buffer fills and further lines are dropped. A rate limit applies to each kind of line, which is
+// identified by its message. Dropped and suppressed lines are counted and reported in log lines.
 package logging
 
 import (
@@ -16,69 +15,69 @@
 )
 
 const (
-	// ringLines bounds the memory of lines that wait, at about 400 bytes each.
+	// ringLines bounds the number of buffered lines, which take about 400 bytes each.
 	ringLines = 2048
-	// defaultPerSecond is above what a daemon decides in a busy second.
+	// defaultPerSecond exceeds the number of decisions that a daemon makes in a busy second.
 	defaultPerSecond = 200
-	tellEvery        = time.Second
-	// flushWithin bounds how long a process that ends waits for the log's reader.
-	flushWithin = 200 * time.Millisecond
+	reportInterval   = time.Second
+	// flushTimeout bounds how long a terminating process waits for the reader of the log.
+	flushTimeout = 200 * time.Millisecond
 )
 
-// Options of New.
+// Options configures a Log.
 type Options struct {
 	Name      string
 	Output    io.Writer
 	Level     hclog.Level
-	PerSecond int // lines of one kind; zero: 200
+	PerSecond int // limit for lines of one kind; zero: 200
 }
 
-// Log is a logger with its writer.
+// Log is a logger that writes its lines asynchronously.
 type Log struct {
 	hclog.Logger
-	limit limiter
-	ring  chan []byte
-	out   io.Writer
-	lost  atomic.Int64 // lines that found the ring full
-	stop  chan struct{}
-	done  chan struct{}
+	limit   limiter
+	ring    chan []byte
+	output  io.Writer
+	dropped atomic.Int64 // lines that did not fit into the buffer or could not be written
+	stop    chan struct{}
+	done    chan struct{}
 }
 
-// New returns a log that writes until Close.
+// New returns a log that writes lines until Close.
 func New(o Options) *Log {
 	if o.PerSecond <= 0 {
 		o.PerSecond = defaultPerSecond
 	}
 	l := &Log{
-		limit: limiter{perSecond: o.PerSecond, counts: map[string]int{}, left: map[string]int{}},
-		ring:  make(chan []byte, ringLines), out: o.Output,
+		limit: limiter{perSecond: o.PerSecond, counts: map[string]int{}, suppressed: map[string]int{}},
+		ring:  make(chan []byte, ringLines), output: o.Output,
 		stop: make(chan struct{}), done: make(chan struct{}),
 	}
 	l.Logger = hclog.New(&hclog.LoggerOptions{
 		Name: o.Name, Level: o.Level, JSONFormat: true, Output: l,
-		Exclude: func(_ hclog.Level, message string, _ ...any) bool { return l.limit.over(time.Now(), message) },
+		Exclude: func(_ hclog.Level, message string, _ ...any) bool { return l.limit.exceeds(time.Now(), message) },
 	})
 	go l.write()
-	go l.tell()
+	go l.reportLosses()
 	return l
 }
 
-// Write implements io.Writer for the logger. It never blocks.
+// Write implements io.Writer for the logger. It drops the line instead of blocking.
 func (l *Log) Write(line []byte) (int, error) {
 	select {
 	case l.ring <- append([]byte(nil), line...):
 	default:
-		l.lost.Add(1)
+		l.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Close writes what waits, for a short time at most.
+// Close writes the buffered lines, for at most flushTimeout.
 func (l *Log) Close() {
 	close(l.stop)
 	select {
 	case <-l.done:
-	case <-time.After(flushWithin):
+	case <-time.After(flushTimeout):
 	}
 }
 
@@ -87,7 +86,7 @@
 	for {
 		select {
 		case line := <-l.ring:
-			l.put(line)
+			l.writeLine(line)
 		case <-l.stop:
 			l.drain()
 			return
@@ -99,54 +98,54 @@
 	for {
 		select {
 		case line := <-l.ring:
-			l.put(line)
+			l.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-func (l *Log) put(line []byte) {
-	if _, err := l.out.Write(line); err != nil {
-		l.lost.Add(1) // nobody reads; there is nowhere else to say so
+func (l *Log) writeLine(line []byte) {
+	if _, err := l.output.Write(line); err != nil {
+		l.dropped.Add(1) // the error can't be reported elsewhere
 	}
 }
 
-// tell says once a second what was left out.
-func (l *Log) tell() {
-	tick := time.NewTicker(tellEvery)
+// reportLosses logs the numbers of dropped and suppressed lines once per reportInterval.
+func (l *Log) reportLosses() {
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			l.tellOnce()
+			l.reportOnce()
 		case <-l.stop:
 			return
 		}
 	}
 }
 
-func (l *Log) tellOnce() {
-	if lost := l.lost.Swap(0); lost > 0 {
-		l.Warn("Lines were lost, the log is read too slowly", "lines", lost)
+func (l *Log) reportOnce() {
+	if dropped := l.dropped.Swap(0); dropped > 0 {
+		l.Warn("Log lines were dropped because the log is read too slowly", "lines", dropped)
 	}
-	for message, lines := range l.limit.take() {
-		l.Warn("Lines of one kind were left out", "kind", message, "lines", lines)
+	for message, lines := range l.limit.takeSuppressed() {
+		l.Warn("Log lines of one kind were suppressed by the rate limit", "kind", message, "lines", lines)
 	}
 }
 
-// limiter counts the lines of each kind in the running second.
+// limiter counts the lines of each kind in the current second.
 type limiter struct {
 	perSecond int
 
-	mu     sync.Mutex
-	second int64
-	counts map[string]int
-	left   map[string]int
+	mu         sync.Mutex
+	second     int64
+	counts     map[string]int
+	suppressed map[string]int
 }
 
-// over counts a line and reports whether it is one too many.
-func (m *limiter) over(now time.Time, message string) bool {
+// exceeds counts a line and reports whether it exceeds the limit.
+func (m *limiter) exceeds(now time.Time, message string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if second := now.Unix(); second != m.second {
@@ -157,15 +156,15 @@
 	if m.counts[message] <= m.perSecond {
 		return false
 	}
-	m.left[message]++
+	m.suppressed[message]++
 	return true
 }
 
-// take returns how many lines were left out since the last call.
-func (m *limiter) take() map[string]int {
+// takeSuppressed returns the number of suppressed lines of each kind since the last call.
+func (m *limiter) takeSuppressed() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := m.left
-	m.left = map[string]int{}
+	out := m.suppressed
+	m.suppressed = map[string]int{}
 	return out
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -28,21 +28,21 @@
 	return b.b.String()
 }
 
-// pipe is full: writes block until it is opened.
-type pipe struct {
+// blockedPipe blocks writes until it is opened.
+type blockedPipe struct {
 	buffer
 	open chan struct{}
 }
 
-func (p *pipe) Write(line []byte) (int, error) {
+func (p *blockedPipe) Write(line []byte) (int, error) {
 	<-p.open
 	return p.buffer.Write(line)
 }
 
-// Whatever collects the logs stops reading. A daemon that blocks on its log serves nobody;
-// lines are lost instead, and it says how many.
-func TestFullPipeHoldsNothingUp(t *testing.T) {
-	p := &pipe{open: make(chan struct{})}
+// The log collector stops reading. Log calls must not block, or the daemon would stop serving
+// requests; the log drops lines instead and reports how many.
+func TestFullPipeDoesNotBlock(t *testing.T) {
+	p := &blockedPipe{open: make(chan struct{})}
 	l := New(Options{Output: p, Level: hclog.Info, PerSecond: 10 * ringLines})
 	began := time.Now()
 	for range 3 * ringLines {
@@ -52,25 +52,25 @@
 		t.Errorf("logging took %s", took)
 	}
 	close(p.open)
-	for deadline := time.Now().Add(5 * time.Second); !strings.Contains(p.String(), "Lines were lost"); {
+	for deadline := time.Now().Add(5 * time.Second); !strings.Contains(p.String(), "Log lines were dropped"); {
 		if time.Now().After(deadline) {
-			t.Fatal("the loss is not told")
+			t.Fatal("the loss is not reported")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	l.Close()
 }
 
-// Under load one kind of line would push out all others and cost more than the requests.
-// Each kind is bounded by itself, and what was left out is counted.
-func TestEachKindIsBounded(t *testing.T) {
+// Under load one frequent kind of line would displace all others and cost more than the requests
+// themselves. Each kind has a limit of its own, and suppressed lines are counted.
+func TestEachKindIsRateLimited(t *testing.T) {
 	var b buffer
 	l := New(Options{Output: &b, Level: hclog.Info, PerSecond: 5})
 	for range 100 {
 		l.Info("Often")
 	}
 	l.Info("Seldom")
-	l.tellOnce()
+	l.reportOnce()
 	l.Close()
 	got := b.String()
 	if n := strings.Count(got, `"@message":"Often"`); n < 5 || n > 10 { // two seconds at most
--- a/internal/loglines/loglines.go
+++ b/internal/loglines/loglines.go
@@ -1,5 +1,5 @@
-// Package loglines reads the JSON lines of daemons' logs from what collectors made of them, and
-// names the messages by which daemons' lines are known again.
+// Package loglines extracts the daemons' JSON lines from collected logs, and defines the messages
+// by which tools recognize them.
 package loglines
 
 import (
@@ -10,18 +10,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxLine bounds a log line, in bytes. Longer ones are none of ours.
+// maxLine bounds a log line in bytes. Daemons write no longer lines.
 const maxLine = 1 << 20
 
-// ForEach calls take with the JSON of each line that has some. Collectors put a time or a name
-// before it.
-func ForEach(log io.Reader, take func(object []byte)) error {
+// ForEach calls handle with the JSON object of each line that contains one. It skips the prefix
+// that a collector adds, such as a time or a host name.
+func ForEach(log io.Reader, handle func(object []byte)) error {
 	s := bufio.NewScanner(log)
 	s.Buffer(nil, maxLine)
 	for s.Scan() {
 		text := s.Text()
 		if begin := strings.IndexByte(text, '{'); begin >= 0 {
-			take([]byte(text[begin:]))
+			handle([]byte(text[begin:]))
 		}
 	}
 	return errors.Wrap(s.Err(), "loglines: read")
--- a/internal/loglines/loglines_test.go
+++ b/internal/loglines/loglines_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A collector puts the time and the VM before each line, and other programs write into the
+// A collector adds the time and the VM at the start of each line, and other programs write to the
 // same file.
-func TestWhatCollectorsAddIsPassedOver(t *testing.T) {
+func TestCollectorPrefixesAreSkipped(t *testing.T) {
 	var got []string
 	err := ForEach(strings.NewReader("12.1 vm-1 {\"a\":1}\nno line of ours\n{\"b\":2}\n"), func(o []byte) { got = append(got, string(o)) })
 	if err != nil || !slices.Equal(got, []string{`{"a":1}`, `{"b":2}`}) {
@@ -16,8 +16,8 @@
 	}
 }
 
-func TestLineWithoutEndIsAnError(t *testing.T) {
+func TestOverlongLineIsAnError(t *testing.T) {
 	if err := ForEach(strings.NewReader("{"+strings.Repeat("x", 2*maxLine)), func([]byte) {}); err == nil {
-		t.Error("a line of 2 MB is taken")
+		t.Error("a line of 2 MB was accepted")
 	}
 }
--- a/internal/loglines/messages.go
+++ b/internal/loglines/messages.go
@@ -1,6 +1,6 @@
 package loglines
 
-// Messages of the lines that tell a request's way.
+// Messages of the lines that a daemon logs for a request.
 const (
 	Answered      = "A request is answered"
 	AttemptFailed = "A try gave no answer"
@@ -8,7 +8,7 @@
 	StreamBroken  = "A stream is broken off"
 )
 
-// Messages of the lines that tell whether a daemon can read the desired state.
+// Messages of the lines that a daemon logs when it loses or regains access to the desired state.
 const (
 	KVUnavailable = "The key-value service does not answer"
 	KVRecovered   = "The key-value service answers again"
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics gives a process its counters and histograms, and serves them as text.
+// Package metrics creates the metrics of a process and serves them in the Prometheus text format.
 package metrics
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// interval is how often metrics reach the endpoint.
-const interval = time.Second
+// reportInterval is how often recorded values are reported to the endpoint.
+const reportInterval = time.Second
 
-// New returns the root scope, the handler of its endpoint, and what stops it.
+// New returns the root scope, the handler of the metrics endpoint, and a closer that stops reporting.
 func New() (tally.Scope, http.Handler, io.Closer) {
 	registry := client.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
@@ -24,11 +24,12 @@
 		Separator:              prometheus.DefaultSeparator,
 		SanitizeOptions:        &prometheus.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
-	}, interval)
+	}, reportInterval)
 	return scope, reporter.HTTPHandler(), closer
 }
 
-// LatencyBuckets are the buckets of request times: fine around the aims of 150 to 600 ms.
+// LatencyBuckets are the histogram buckets for request latencies. They are fine-grained around the
+// latency objectives of 150 to 600 ms.
 var LatencyBuckets = tally.DurationBuckets{
 	10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 	150 * time.Millisecond, 250 * time.Millisecond, 400 * time.Millisecond, 600 * time.Millisecond,
