--- a/internal/suspect/counting.go
+++ b/internal/suspect/counting.go
@@ -14,114 +14,116 @@
 )
 
 const (
-	// refuseAt is the number of targets that may fall to one request. Two may die by
-	// chance with the same request in flight, when many crash at once.
-	refuseAt = 3
-	// storeAt is the number of deaths from which a finding is written to the key-value
-	// service. One death makes suspects of all that was in flight; few have two.
-	storeAt = 2
+	// refuseDeaths is the number of crashes after which a request is refused. When many targets
+	// crash at once, two of them may have had the same harmless request in flight.
+	refuseDeaths = 3
+	// storeDeaths is the number of crashes from which a crash record is written to the key-value
+	// service. One crash makes all requests in flight suspects, but few of them see a second one.
+	storeDeaths = 2
 )
 
-// CountingOptions are the options of NewCounted.
+// CountingOptions configures a CountingRegistry.
 type CountingOptions struct {
 	KV       platform.KV
-	Follower *mirror.Follower          // of the service; its owner runs it
-	Notify   func(quarantine.Sighting) // tells all daemons soon; nil: nobody
+	Follower *mirror.Follower          // follows the key-value service; the caller runs it
+	Notify   func(quarantine.Sighting) // sends a crash report to all daemons; may be nil
 	Logger   hclog.Logger
 	Now      func() time.Time // nil: time.Now
 }
 
-// CountingRegistry refuses requests at which targets died too often, for daemons that can't empty a
-// target for a suspect. Suspects run like all others; one that a target answers is cleared.
-// It is safe for concurrent use.
+// CountingRegistry refuses requests that were in flight at too many crashes. It serves daemons that
+// can't drain a target to run a suspect request alone. Suspects run without restrictions, and a
+// suspect that a target answers is cleared. It is safe for concurrent use.
 //
-// Sightings are told to all daemons at once; findings of two deaths and more lie in the
-// key-value service as well, so that they outlive all daemons.
+// Crash reports are sent to all daemons at once. Crash records with two or more crashes are also
+// written to the key-value service, where they outlive all daemons.
 type CountingRegistry struct {
-	o      CountingOptions
-	keeper *Registry // holds the register, and reads and writes its pages
-	mirror *mirror.Mirror
-	any    atomic.Bool // there are findings
+	o          CountingOptions
+	registry   *Registry // holds the crash records, and reads and writes their pages
+	mirror     *mirror.Mirror
+	hasRecords atomic.Bool // there are crash records
 }
 
-// NewCountingRegistry returns a register that knows nothing.
+// NewCountingRegistry returns an empty registry.
 func NewCountingRegistry(o CountingOptions) *CountingRegistry {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
 	c := &CountingRegistry{
-		o: o, keeper: New(Options{KV: o.KV, Logger: o.Logger, Now: o.Now, Params: quarantine.Params{Counted: refuseAt}}),
+		o: o, registry: New(Options{KV: o.KV, Logger: o.Logger, Now: o.Now, Params: quarantine.Params{Counted: refuseDeaths}}),
 	}
 	c.o.Logger = o.Logger.Named("suspect")
 	c.mirror = o.Follower.Mirror(keyPrefix, c.apply)
 	return c
 }
 
-// Mirror returns the mirror of stored findings, whose copies peers may ask for.
+// Mirror returns the mirror of the stored crash records, whose copies peers may request.
 func (c *CountingRegistry) Mirror() *mirror.Mirror { return c.mirror }
 
 func (c *CountingRegistry) apply(u mirror.Update) {
 	for _, e := range u.Entries {
 		if !e.Deleted {
-			c.keeper.mergeValue(e.Value)
+			c.registry.mergePage(e.Value)
 		}
 	}
-	c.any.Store(c.keeper.count() > 0)
+	c.hasRecords.Store(c.registry.count() > 0)
 }
 
-// Check returns the final answer to a request that has brought down too many targets; nil
-// if it may run. fingerprint is called only where there are findings at all.
+// Check returns the error for a request that has crashed too many targets, or nil if it may run. It
+// calls fingerprint only if there are crash records.
 func (c *CountingRegistry) Check(fingerprint func() quarantine.Fingerprint) *request.Error {
-	if !c.any.Load() {
+	if !c.hasRecords.Load() {
 		return nil
 	}
-	return c.keeper.gate(fingerprint()).Err
+	return c.registry.gate(fingerprint()).Err
 }
 
-// RecordCrash notes that a target died while it ran a request here, and tells the other daemons. It
-// returns once a finding of several deaths is written, or the write has failed.
+// RecordCrash records that a target died while it ran a request of this daemon, and reports it to the
+// other daemons. It returns after a crash record with several crashes is written or the write has
+// failed.
 func (c *CountingRegistry) RecordCrash(ctx context.Context, s quarantine.Sighting) {
-	found := c.note(s)
+	records := c.record(s)
 	if c.o.Notify != nil {
 		c.o.Notify(s)
 	}
-	c.store(ctx, found)
+	c.store(ctx, records)
 }
 
-// OnPeerReport notes a sighting of another daemon, which writes it if it must be written.
-func (c *CountingRegistry) OnPeerReport(s quarantine.Sighting) { c.note(s) }
+// OnPeerReport records a crash that another daemon reported. The reporting daemon writes the crash
+// record to the key-value service if necessary.
+func (c *CountingRegistry) OnPeerReport(s quarantine.Sighting) { c.record(s) }
 
-func (c *CountingRegistry) note(s quarantine.Sighting) []quarantine.Finding {
-	c.any.Store(true)
-	c.keeper.mu.Lock()
-	defer c.keeper.mu.Unlock()
-	return c.keeper.register.OnSighting(c.keeper.opts.Now(), s)
+func (c *CountingRegistry) record(s quarantine.Sighting) []quarantine.Finding {
+	c.hasRecords.Store(true)
+	c.registry.mu.Lock()
+	defer c.registry.mu.Unlock()
+	return c.registry.register.OnSighting(c.registry.opts.Now(), s)
 }
 
-// RecordSuccess notes that a target ran a request to its end.
+// RecordSuccess records that a target completed a request.
 func (c *CountingRegistry) RecordSuccess(ctx context.Context, fingerprint func() quarantine.Fingerprint) {
-	if !c.any.Load() {
+	if !c.hasRecords.Load() {
 		return
 	}
 	fp := fingerprint()
-	c.keeper.mu.Lock()
-	found := c.keeper.register.OnAnswered(c.keeper.opts.Now(), fp)
-	c.keeper.mu.Unlock()
-	c.store(ctx, found)
+	c.registry.mu.Lock()
+	records := c.registry.register.OnAnswered(c.registry.opts.Now(), fp)
+	c.registry.mu.Unlock()
+	c.store(ctx, records)
 }
 
-// store writes the findings that must outlive this daemon.
-func (c *CountingRegistry) store(ctx context.Context, found []quarantine.Finding) {
-	for _, f := range found {
-		if len(f.Deaths) < storeAt {
+// store writes the crash records that must outlive this daemon.
+func (c *CountingRegistry) store(ctx context.Context, records []quarantine.Finding) {
+	for _, f := range records {
+		if len(f.Deaths) < storeDeaths {
 			continue
 		}
 		c.o.Logger.Warn("Targets died while they ran the same request", "fingerprint", f.Fingerprint, "deaths", f.Deaths, "answered", f.Answered)
-		if err := c.keeper.write(ctx, pageOf(f.Fingerprint), []quarantine.Finding{f}); err != nil {
-			c.o.Logger.Warn("Findings were not written; the other daemons were told", "error", err)
+		if err := c.registry.writePage(ctx, pageKey(f.Fingerprint), []quarantine.Finding{f}); err != nil {
+			c.o.Logger.Warn("Failed to write a crash record; the other daemons were notified", "error", err)
 		}
 	}
 }
 
-// State returns the findings for a dump.
-func (c *CountingRegistry) State() any { return c.keeper.State() }
+// State returns the crash records for a debug dump.
+func (c *CountingRegistry) State() any { return c.registry.State() }
--- a/internal/suspect/counting_test.go
+++ b/internal/suspect/counting_test.go
@@ -13,12 +13,12 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
 )
 
-// counting starts a daemon's register that follows a key-value service.
-func counting(t *testing.T, fake *kv.Fake, name string, tell func(quarantine.Sighting)) *CountingRegistry {
+// newTestCountingRegistry starts the registry of one daemon, which follows a key-value service.
+func newTestCountingRegistry(t *testing.T, fake *kv.Fake, name string, notify func(quarantine.Sighting)) *CountingRegistry {
 	t.Helper()
 	client := fake.Client(name)
 	follower := mirror.New(mirror.Options{KV: client, Wait: func() time.Duration { return 10 * time.Millisecond }})
-	c := NewCountingRegistry(CountingOptions{KV: client, Follower: follower, Notify: tell})
+	c := NewCountingRegistry(CountingOptions{KV: client, Follower: follower, Notify: notify})
 	ctx, cancel := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	run.Go(func() { _ = follower.Run(ctx) }) // ends with ctx
@@ -29,92 +29,93 @@
 	return c
 }
 
-func fixed(fp quarantine.Fingerprint) func() quarantine.Fingerprint {
+func fingerprintFunc(fp quarantine.Fingerprint) func() quarantine.Fingerprint {
 	return func() quarantine.Fingerprint { return fp }
 }
 
-func death(fp quarantine.Fingerprint, n int) quarantine.Sighting {
+func crashReport(fp quarantine.Fingerprint, n int) quarantine.Sighting {
 	return quarantine.Sighting{Fingerprint: fp, Target: request.TargetID(fmt.Sprint("r", n)), Incarnation: 1}
 }
 
-// A request crashes each replica that runs it, and its caller sends it again, each time to
-// another daemon. After three replicas all daemons must refuse it, also one that starts when
-// the others are gone.
-func TestRequestThatCrashesReplicasIsRefusedEverywhere(t *testing.T) {
+// A request crashes each replica that runs it, and its caller retries it, each time at another
+// daemon. After three crashes all daemons must refuse it, including one that starts later and knows
+// only the stored crash records.
+func TestRequestThatCrashesReplicasIsRefusedByAllDaemons(t *testing.T) {
 	fake := kv.NewFake(time.Now)
 	var all []*CountingRegistry
-	tell := func(s quarantine.Sighting) {
+	notify := func(s quarantine.Sighting) {
 		for _, c := range all {
 			c.OnPeerReport(s)
 		}
 	}
 	for i := range 3 {
-		all = append(all, counting(t, fake, fmt.Sprint("d", i), tell))
+		all = append(all, newTestCountingRegistry(t, fake, fmt.Sprint("d", i), notify))
 	}
-	const poison = quarantine.Fingerprint("ab12")
+	const crashing = quarantine.Fingerprint("ab12")
 	for n, c := range all {
-		if err := c.Check(fixed(poison)); err != nil {
+		if err := c.Check(fingerprintFunc(crashing)); err != nil {
 			t.Fatalf("refused after %d deaths", n)
 		}
-		c.RecordCrash(context.Background(), death(poison, n))
+		c.RecordCrash(context.Background(), crashReport(crashing, n))
 	}
 	for i, c := range all {
-		if err := c.Check(fixed(poison)); err == nil || err.RetryAfter <= 0 || err.Ran != request.NotRun {
+		if err := c.Check(fingerprintFunc(crashing)); err == nil || err.RetryAfter <= 0 || err.Ran != request.NotRun {
 			t.Errorf("daemon %d: %+v", i, err)
 		}
-		if err := c.Check(fixed("cd34")); err != nil {
-			t.Errorf("another request is refused: %v", err)
+		if err := c.Check(fingerprintFunc("cd34")); err != nil {
+			t.Errorf("an unrelated request is refused: %v", err)
 		}
 	}
-	late := counting(t, fake, "late", nil)
-	for deadline := time.Now().Add(5 * time.Second); late.Check(fixed(poison)) == nil; time.Sleep(time.Millisecond) {
+	late := newTestCountingRegistry(t, fake, "late", nil)
+	for deadline := time.Now().Add(5 * time.Second); late.Check(fingerprintFunc(crashing)) == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("a daemon that starts later lets it run")
+			t.Fatal("a daemon that starts later admits the request")
 		}
 	}
 }
 
-// Many replicas crash at once, three times in a row, and a harmless request was in flight at
-// one each time. It was answered in between, which what crashes replicas never is.
-func TestAnsweredRequestIsCleared(t *testing.T) {
-	c := counting(t, kv.NewFake(time.Now), "d", nil)
+// Many replicas crash at once, several times, and the same harmless request was in flight at one of
+// them each time. A replica answered it in between, which clears it: a request that crashes replicas
+// is never answered.
+func TestSuccessfulRequestIsCleared(t *testing.T) {
+	c := newTestCountingRegistry(t, kv.NewFake(time.Now), "d", nil)
 	const fp = quarantine.Fingerprint("ab12")
 	for n := range 2 {
-		c.RecordCrash(context.Background(), death(fp, n))
+		c.RecordCrash(context.Background(), crashReport(fp, n))
 	}
-	c.RecordSuccess(context.Background(), fixed(fp))
+	c.RecordSuccess(context.Background(), fingerprintFunc(fp))
 	for n := range 5 {
-		c.RecordCrash(context.Background(), death(fp, 10+n))
+		c.RecordCrash(context.Background(), crashReport(fp, 10+n))
 	}
-	if err := c.Check(fixed(fp)); err != nil {
+	if err := c.Check(fingerprintFunc(fp)); err != nil {
 		t.Errorf("refused: %v", err)
 	}
 }
 
-// Two daemons see the same death; it is one.
-func TestOneDeathCountsOnce(t *testing.T) {
-	c := counting(t, kv.NewFake(time.Now), "d", nil)
+// Several daemons report the same crash, which counts once.
+func TestDuplicateReportCountsOnce(t *testing.T) {
+	c := newTestCountingRegistry(t, kv.NewFake(time.Now), "d", nil)
 	const fp = quarantine.Fingerprint("ab12")
 	for range 5 {
-		c.OnPeerReport(death(fp, 1))
+		c.OnPeerReport(crashReport(fp, 1))
 	}
-	if err := c.Check(fixed(fp)); err != nil {
+	if err := c.Check(fingerprintFunc(fp)); err != nil {
 		t.Errorf("refused: %v", err)
 	}
 }
 
-// The replica that a request crashes is back under its id each time, and the request finds it
-// again. Counted by ids that was one death, and the request went on crashing it.
-func TestEachStartOfAReplicaCounts(t *testing.T) {
-	c := counting(t, kv.NewFake(time.Now), "d", nil)
-	const poison = quarantine.Fingerprint("ab12")
+// A replica that a request crashes restarts under the same id each time, and the request reaches it
+// again. Counting crashes by id alone would count one, and the request would keep crashing it.
+func TestEachIncarnationOfReplicaCounts(t *testing.T) {
+	c := newTestCountingRegistry(t, kv.NewFake(time.Now), "d", nil)
+	const crashing = quarantine.Fingerprint("ab12")
 	for started := range uint64(3) {
-		if err := c.Check(fixed(poison)); err != nil {
+		if err := c.Check(fingerprintFunc(crashing)); err != nil {
 			t.Fatalf("refused after %d deaths", started)
 		}
-		c.RecordCrash(context.Background(), quarantine.Sighting{Fingerprint: poison, Target: "r", Incarnation: 1000 + started})
+		c.RecordCrash(context.Background(), quarantine.Sighting{Fingerprint: crashing, Target: "r", Incarnation: 1000 + started})
 	}
-	if c.Check(fixed(poison)) == nil {
-		t.Error("still runs after three deaths of one replica")
+	if c.Check(fingerprintFunc(crashing)) == nil {
+		t.Error("the request still runs after three crashes of one replica")
 	}
 }
--- a/internal/suspect/pages.go
+++ b/internal/suspect/pages.go
@@ -11,50 +11,50 @@
 	"github.com/bluebellscale/bluebellscale/internal/policy/quarantine"
 )
 
-// maxPage is how many findings a stored page holds: 2,000 of about 200 bytes keep
-// well below the service's cap. The first to expire are left out.
-const maxPage = 2000
+// maxPageRecords bounds the crash records in a stored page: 2,000 records of about 200 bytes stay
+// well below the service's size limit. The records that expire first are dropped.
+const maxPageRecords = 2000
 
-// pageOf names the page of a fingerprint by its first digit, so that writers of
-// different findings rarely meet.
-func pageOf(fp quarantine.Fingerprint) string {
+// pageKey returns the key of the page that holds a fingerprint. Pages are divided by the first digit
+// of the fingerprint, which makes write conflicts between different records rare.
+func pageKey(fp quarantine.Fingerprint) string {
 	if fp == "" {
 		return keyPrefix + "0"
 	}
 	return keyPrefix + string(fp[:1])
 }
 
-func byPage(found []quarantine.Finding) map[string][]quarantine.Finding {
+func groupByPage(records []quarantine.Finding) map[string][]quarantine.Finding {
 	out := map[string][]quarantine.Finding{}
-	for _, f := range found {
-		name := pageOf(f.Fingerprint)
+	for _, f := range records {
+		name := pageKey(f.Fingerprint)
 		out[name] = append(out[name], f)
 	}
 	return out
 }
 
-func (k *Registry) read(ctx context.Context, name string) error {
+func (r *Registry) readPage(ctx context.Context, name string) error {
 	ctx, cancel := context.WithTimeout(ctx, ioTimeout)
 	defer cancel()
-	entry, err := k.opts.KV.Get(ctx, name)
+	entry, err := r.opts.KV.Get(ctx, name)
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	k.mergeValue(entry.Value)
+	r.mergePage(entry.Value)
 	return nil
 }
 
-// write joins findings with a stored page. Merging is idempotent, so a write whose
-// outcome is unknown is simply made again.
-func (k *Registry) write(ctx context.Context, name string, found []quarantine.Finding) error {
+// writePage merges crash records into a stored page. Merging is idempotent, which allows it to retry
+// a write whose outcome is unknown.
+func (r *Registry) writePage(ctx context.Context, name string, records []quarantine.Finding) error {
 	ctx, cancel := context.WithTimeout(ctx, ioTimeout)
 	defer cancel()
 	var err error
-	for range writeTries {
-		if err = k.writeOnce(ctx, name, found); err == nil {
+	for range maxWriteAttempts {
+		if err = r.tryWritePage(ctx, name, records); err == nil {
 			return nil
 		}
 		if !errors.Is(err, platform.ErrConflict) && !errors.Is(err, platform.ErrUncertain) {
@@ -64,27 +64,27 @@
 	return err
 }
 
-func (k *Registry) writeOnce(ctx context.Context, name string, found []quarantine.Finding) error {
+func (r *Registry) tryWritePage(ctx context.Context, name string, records []quarantine.Finding) error {
 	var stored []quarantine.Finding
-	entry, err := k.opts.KV.Get(ctx, name)
+	entry, err := r.opts.KV.Get(ctx, name)
 	switch {
 	case err == nil:
-		stored = k.mergeValue(entry.Value)
+		stored = r.mergePage(entry.Value)
 	case !errors.Is(err, platform.ErrNotFound):
 		return err
 	}
-	value, err := json.Marshal(joined(k.opts.Now(), stored, found))
+	value, err := json.Marshal(mergeRecords(r.opts.Now(), stored, records))
 	if err != nil {
 		return errors.Wrap(err, "suspect: encode")
 	}
-	_, err = k.opts.KV.CompareAndSwap(ctx, name, entry.Revision, value, "")
+	_, err = r.opts.KV.CompareAndSwap(ctx, name, entry.Revision, value, "")
 	return err
 }
 
-// joined merges findings by the register's own rule.
-func joined(now time.Time, stored, found []quarantine.Finding) []quarantine.Finding {
-	r := quarantine.New(quarantine.Params{MaxFindings: maxPage})
-	r.Merge(now, stored)
-	r.Merge(now, found)
-	return r.All(now)
+// mergeRecords merges crash records by the rules of quarantine.
+func mergeRecords(now time.Time, stored, records []quarantine.Finding) []quarantine.Finding {
+	merged := quarantine.New(quarantine.Params{MaxFindings: maxPageRecords})
+	merged.Merge(now, stored)
+	merged.Merge(now, records)
+	return merged.All(now)
 }
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -1,10 +1,9 @@
-// Package suspect keeps a daemon's register of requests that were in flight when a
-// target died (policy/quarantine), writes what was found to the key-value service, and
-// exchanges it with peers.
+// Package suspect tracks the requests that were in flight when a target died (policy/quarantine).
+// It stores the resulting crash records in the key-value service and exchanges them with peers.
 //
-// A finding is written before any request that was in flight at the death is sent
-// again. In an outage of the service that write fails: the finding then lives in this
-// daemon and its peers, and is lost only if all of them stop within the outage.
+// A crash record is written before any request that was in flight at the crash is retried. During
+// an outage of the key-value service that write fails. The record then exists only in this daemon
+// and its peers, and is lost only if all of them stop during the outage.
 package suspect
 
 import (
@@ -25,37 +24,37 @@
 
 const (
 	keyPrefix = "quarantine/"
-	// writeTries bounds the compare-and-swap of one page against other daemons.
-	writeTries = 5
-	// ioTimeout bounds reading or writing one page. A suspect waits that long at most.
+	// maxWriteAttempts bounds the attempts to write one page that other daemons write as well.
+	maxWriteAttempts = 5
+	// ioTimeout bounds reading or writing one page, and thereby how long a suspect request waits.
 	ioTimeout = 2 * time.Second
-	// readPause is how long no request waits for stored findings after a failed read.
-	readPause = time.Second
+	// readRetryDelay is how long after a failed read no request waits for stored crash records.
+	readRetryDelay = time.Second
 )
 
-// Options configures a Keeper.
+// Options configures a Registry.
 type Options struct {
 	KV          platform.KV
-	NotifyPeers func() // tells peers soon; may be nil
+	NotifyPeers func() // triggers an exchange with peers; may be nil
 	Logger      hclog.Logger
 	Metrics     tally.Scope
 	Now         func() time.Time // nil: time.Now
 	Params      quarantine.Params
 }
 
-// Registry holds the register of one daemon. It is safe for concurrent use.
+// Registry holds the crash records of one daemon. It is safe for concurrent use.
 type Registry struct {
-	opts     Options
-	log      hclog.Logger
-	findings tally.Counter
+	opts          Options
+	log           hclog.Logger
+	recordCounter tally.Counter
 
-	mu       sync.Mutex
-	register *quarantine.Register
-	loaded   bool      // all stored findings were read once
-	failed   time.Time // when a page could not be read last
+	mu              sync.Mutex
+	register        *quarantine.Register
+	loaded          bool      // all stored crash records were read once
+	lastReadFailure time.Time // when reading a page last failed
 }
 
-// New returns a keeper that knows nothing until Load.
+// New returns an empty registry. Load adds the stored crash records.
 func New(opts Options) *Registry {
 	if opts.Metrics == nil {
 		opts.Metrics = tally.NoopScope
@@ -67,136 +66,136 @@
 		opts.NotifyPeers = func() {}
 	}
 	return &Registry{
-		opts:     opts,
-		log:      opts.Logger.Named("suspect"),
-		findings: opts.Metrics.Counter("quarantine_findings"),
-		register: quarantine.New(opts.Params),
+		opts:          opts,
+		log:           opts.Logger.Named("suspect"),
+		recordCounter: opts.Metrics.Counter("quarantine_findings"),
+		register:      quarantine.New(opts.Params),
 	}
 }
 
-// Gate says how a request may run. A suspect is let through only after the stored
-// findings were read: another daemon may know of a second death.
-func (k *Registry) Gate(ctx context.Context, fp quarantine.Fingerprint) quarantine.Verdict {
-	v := k.gate(fp)
-	if v.Mode != quarantine.Alone && !k.mustRead() {
-		return v
+// Gate decides how a request may run. A suspect request is admitted only after the stored crash
+// records were read, since another daemon may have recorded a second crash.
+func (r *Registry) Gate(ctx context.Context, fp quarantine.Fingerprint) quarantine.Verdict {
+	decision := r.gate(fp)
+	if decision.Mode != quarantine.Alone && !r.needsRead() {
+		return decision
 	}
-	if err := k.read(ctx, pageOf(fp)); err != nil {
-		k.log.Warn("Findings were not read before a request runs", "error", err)
-		k.readFailed()
+	if err := r.readPage(ctx, pageKey(fp)); err != nil {
+		r.log.Warn("Failed to read crash records; admitting the request without them", "error", err)
+		r.noteReadFailure()
 	}
-	return k.gate(fp)
+	return r.gate(fp)
 }
 
-// mustRead tells whether the stored findings were never loaded. Callers can be served
-// before Load has succeeded, since the table comes from peers too. A request that killed
-// two targets would then run like any other on each daemon that has just started.
+// needsRead reports whether the stored crash records must be read because Load has not succeeded
+// yet. A daemon can serve callers before that, since it also receives the table from peers. A
+// request that killed two targets would then run without restrictions on each new daemon.
 //
-// If the page can not be read, the request runs by what peers have told: refusing all
-// requests of a daemon for as long as the service is away would cost every caller, and
-// findings are lost only if all daemons stop within the outage. After a failed read no
-// request waits for another one for a while.
-func (k *Registry) mustRead() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return !k.loaded && k.opts.Now().Sub(k.failed) >= readPause
-}
-
-func (k *Registry) readFailed() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.failed = k.opts.Now()
-}
-
-func (k *Registry) gate(fp quarantine.Fingerprint) quarantine.Verdict {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.register.Gate(k.opts.Now(), fp)
-}
-
-// Begin enters a request that is about to be sent. If it returns false the request
-// must not be sent now.
-func (k *Registry) Begin(fp quarantine.Fingerprint, id request.ID, t request.TargetID, alone bool) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	_, ok := k.register.Begin(k.opts.Now(), fp, id, t, alone)
+// If the page can't be read, the records received from peers decide how the request runs. Refusing
+// all requests of a daemon during an outage would affect every caller, and records are lost only if
+// all daemons stop during the outage. Within readRetryDelay of a failed read no request waits for
+// another read.
+func (r *Registry) needsRead() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return !r.loaded && r.opts.Now().Sub(r.lastReadFailure) >= readRetryDelay
+}
+
+func (r *Registry) noteReadFailure() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastReadFailure = r.opts.Now()
+}
+
+func (r *Registry) gate(fp quarantine.Fingerprint) quarantine.Verdict {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.register.Gate(r.opts.Now(), fp)
+}
+
+// Begin registers a request that is about to be sent. If it returns false, the request must not be
+// sent now.
+func (r *Registry) Begin(fp quarantine.Fingerprint, id request.ID, t request.TargetID, alone bool) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_, ok := r.register.Begin(r.opts.Now(), fp, id, t, alone)
 	return ok
 }
 
-// End is told that a request is no longer in flight.
-func (k *Registry) End(id request.ID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.register.End(id)
+// End removes a request that is no longer in flight.
+func (r *Registry) End(id request.ID) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.register.End(id)
 }
 
-// TargetDied makes suspects of what this daemon had in flight at a target. It returns
-// once the findings are written, or the write has failed.
-func (k *Registry) TargetDied(ctx context.Context, t request.TargetID, incarnation uint64) {
-	k.mu.Lock()
-	found := k.register.OnTargetDied(k.opts.Now(), t, incarnation)
-	k.mu.Unlock()
-	k.publish(ctx, t, found)
+// TargetDied marks the requests that this daemon had in flight at a target as suspects. It returns
+// after the crash records are written or the write has failed.
+func (r *Registry) TargetDied(ctx context.Context, t request.TargetID, incarnation uint64) {
+	r.mu.Lock()
+	records := r.register.OnTargetDied(r.opts.Now(), t, incarnation)
+	r.mu.Unlock()
+	r.publish(ctx, t, records)
 }
 
-// OnCoordinatorReport makes suspects of requests that other daemons had in flight at a target.
-func (k *Registry) OnCoordinatorReport(ctx context.Context, t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint) {
-	k.mu.Lock()
-	found := k.register.OnWitness(k.opts.Now(), t, incarnation, fingerprints)
-	k.mu.Unlock()
-	k.publish(ctx, t, found)
+// OnCoordinatorReport marks requests that other daemons had in flight at a target as suspects.
+func (r *Registry) OnCoordinatorReport(ctx context.Context, t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint) {
+	r.mu.Lock()
+	records := r.register.OnWitness(r.opts.Now(), t, incarnation, fingerprints)
+	r.mu.Unlock()
+	r.publish(ctx, t, records)
 }
 
-// publish writes findings and has them sent to peers.
-func (k *Registry) publish(ctx context.Context, t request.TargetID, found []quarantine.Finding) {
-	if len(found) == 0 {
+// publish writes crash records and triggers an exchange with peers.
+func (r *Registry) publish(ctx context.Context, t request.TargetID, records []quarantine.Finding) {
+	if len(records) == 0 {
 		return
 	}
-	k.findings.Inc(int64(len(found)))
-	k.log.Warn("Target died with requests in flight", "target", t, "suspects", len(found))
-	k.opts.NotifyPeers()
-	for name, page := range byPage(found) {
-		if err := k.write(ctx, name, page); err != nil {
-			k.log.Warn("Findings were not written; peers are told", "error", err)
+	r.recordCounter.Inc(int64(len(records)))
+	r.log.Warn("Target died with requests in flight", "target", t, "suspects", len(records))
+	r.opts.NotifyPeers()
+	for name, page := range groupByPage(records) {
+		if err := r.writePage(ctx, name, page); err != nil {
+			r.log.Warn("Failed to write crash records; peers still receive them", "error", err)
 		}
 	}
 }
 
-// Load reads all stored findings.
-func (k *Registry) Load(ctx context.Context) error {
-	entries, _, err := k.opts.KV.List(ctx, keyPrefix)
+// Load reads all stored crash records.
+func (r *Registry) Load(ctx context.Context) error {
+	entries, _, err := r.opts.KV.List(ctx, keyPrefix)
 	if err != nil {
 		return errors.Wrap(err, "suspect: load")
 	}
 	for _, e := range entries {
-		k.mergeValue(e.Value)
+		r.mergePage(e.Value)
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.loaded = true
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.loaded = true
 	return nil
 }
 
-// Hash covers All. It serves the exchange with peers.
-func (k *Registry) Hash() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.register.Hash(k.opts.Now())
+// Hash returns a hash over All, which peers compare to detect differences.
+func (r *Registry) Hash() uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.register.Hash(r.opts.Now())
 }
 
-// count returns how many findings count now.
-func (k *Registry) count() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.register.All(k.opts.Now()))
+// count returns the number of crash records that have not expired.
+func (r *Registry) count() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.register.All(r.opts.Now()))
 }
 
-// All returns the findings for peers.
-func (k *Registry) All() []*peer.Finding {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// All returns the crash records in the form that is sent to peers.
+func (r *Registry) All() []*peer.Finding {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []*peer.Finding
-	for _, f := range k.register.All(k.opts.Now()) {
+	for _, f := range r.register.All(r.opts.Now()) {
 		m := &peer.Finding{Fingerprint: string(f.Fingerprint), ExpiresUnixMs: f.Expires.UnixMilli(), Proven: f.Proven}
 		for _, d := range f.Deaths {
 			m.Targets = append(m.Targets, string(d))
@@ -206,8 +205,8 @@
 	return out
 }
 
-// Merge takes findings of a peer and returns how many were new.
-func (k *Registry) Merge(findings []*peer.Finding) int {
+// Merge adds the crash records of a peer and returns how many were new.
+func (r *Registry) Merge(findings []*peer.Finding) int {
 	in := make([]quarantine.Finding, 0, len(findings))
 	for _, m := range findings {
 		f := quarantine.Finding{Fingerprint: quarantine.Fingerprint(m.Fingerprint), Expires: time.UnixMilli(m.ExpiresUnixMs), Proven: m.Proven}
@@ -216,30 +215,30 @@
 		}
 		in = append(in, f)
 	}
-	return k.merge(in)
+	return r.merge(in)
 }
 
-func (k *Registry) merge(in []quarantine.Finding) int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.register.Merge(k.opts.Now(), in))
+func (r *Registry) merge(in []quarantine.Finding) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.register.Merge(r.opts.Now(), in))
 }
 
-// mergeValue takes a stored page. One that can't be read is passed over: it is
-// written anew with the next finding.
-func (k *Registry) mergeValue(value []byte) []quarantine.Finding {
+// mergePage adds the crash records of a stored page. It skips a page that can't be decoded, which
+// the next crash record overwrites.
+func (r *Registry) mergePage(value []byte) []quarantine.Finding {
 	var stored []quarantine.Finding
 	if err := json.Unmarshal(value, &stored); err != nil {
-		k.log.Error("Stored findings can not be read", "error", err)
+		r.log.Error("Failed to decode stored crash records", "error", err)
 		return nil
 	}
-	k.merge(stored)
+	r.merge(stored)
 	return stored
 }
 
-// State returns the findings for a dump.
-func (k *Registry) State() any {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.register.All(k.opts.Now())
+// State returns the crash records for a debug dump.
+func (r *Registry) State() any {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.register.All(r.opts.Now())
 }
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -12,70 +12,70 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
 )
 
-const crasher quarantine.Fingerprint = "a1"
+const crashingRequest quarantine.Fingerprint = "a1"
 
-func newKeeper(service *kv.Fake, id string) *Registry {
+func newTestRegistry(service *kv.Fake, id string) *Registry {
 	return New(Options{KV: service.Client(id), Logger: hclog.NewNullLogger()})
 }
 
-// falls lets targets die with a request in flight, and nothing beside it.
-func falls(t *testing.T, k *Registry, fp quarantine.Fingerprint, targets ...request.TargetID) {
+// killTargets lets targets die while the given request is the only one in flight.
+func killTargets(t *testing.T, r *Registry, fp quarantine.Fingerprint, targets ...request.TargetID) {
 	t.Helper()
 	for _, id := range targets {
-		alone := k.Gate(t.Context(), fp).Mode == quarantine.Alone
-		if !k.Begin(fp, "r-"+request.ID(id), id, alone) {
-			t.Fatalf("the request was not let to %s", id)
+		alone := r.Gate(t.Context(), fp).Mode == quarantine.Alone
+		if !r.Begin(fp, "r-"+request.ID(id), id, alone) {
+			t.Fatalf("the request was not admitted to %s", id)
 		}
-		k.TargetDied(t.Context(), id, 1)
-		k.End("r-" + request.ID(id))
+		r.TargetDied(t.Context(), id, 1)
+		r.End("r-" + request.ID(id))
 	}
 }
 
-func wantMode(t *testing.T, k *Registry, fp quarantine.Fingerprint, want quarantine.Mode) {
+func requireMode(t *testing.T, r *Registry, fp quarantine.Fingerprint, want quarantine.Mode) {
 	t.Helper()
-	v := k.Gate(t.Context(), fp)
-	if v.Mode != want {
-		t.Fatalf("the request %s may run as %q, want %q", fp, v.Mode, want)
+	decision := r.Gate(t.Context(), fp)
+	if decision.Mode != want {
+		t.Fatalf("the request %s may run as %q, want %q", fp, decision.Mode, want)
 	}
-	if want == quarantine.Refuse && v.Err.RetryAfter <= 0 {
-		t.Fatalf("refused without a time to come back: %v", v.Err)
+	if want == quarantine.Refuse && decision.Err.RetryAfter <= 0 {
+		t.Fatalf("refused without Retry-After: %v", decision.Err)
 	}
 }
 
-// A request has killed two targets, and all daemons are replaced. The table reaches a
-// new daemon through a peer before it has read the findings; the request comes again
-// in between and a third target falls.
-func TestFindingsHoldOnDaemonsThatHaveJustStarted(t *testing.T) {
+// A request has killed two targets, and all daemons are replaced. A new daemon receives the table
+// from a peer before it has loaded the crash records. It must not let the request kill a third
+// target in between.
+func TestNewDaemonReadsStoredCrashRecords(t *testing.T) {
 	service := kv.NewFake(nil)
-	falls(t, newKeeper(service, "d1"), crasher, "t1", "t2")
-	fresh := newKeeper(service, "d2")
-	if naive := fresh.gate(crasher); naive.Mode != quarantine.Free {
-		t.Fatalf("the daemon knows of it already: %v", naive.Mode)
+	killTargets(t, newTestRegistry(service, "d1"), crashingRequest, "t1", "t2")
+	fresh := newTestRegistry(service, "d2")
+	if naive := fresh.gate(crashingRequest); naive.Mode != quarantine.Free {
+		t.Fatalf("the daemon already has the crash record: %v", naive.Mode)
 	}
-	wantMode(t, fresh, crasher, quarantine.Refuse)
-	wantMode(t, fresh, "b1", quarantine.Free)
+	requireMode(t, fresh, crashingRequest, quarantine.Refuse)
+	requireMode(t, fresh, "b1", quarantine.Free)
 }
 
-// A request kills a target in an outage of the service. Its finding can't be written,
-// and no daemon can read; the daemons must go on with what they tell each other, and
-// neither hold requests nor forget the deaths.
-func TestInAnOutagePeersCarryFindings(t *testing.T) {
+// A request kills a target during an outage of the key-value service. The crash record can't be
+// written and no daemon can read stored records. The daemons must rely on their exchange with peers,
+// and must neither block requests nor forget the crashes.
+func TestPeersExchangeCrashRecordsDuringOutage(t *testing.T) {
 	service := kv.NewFake(nil)
 	service.SetDown(true)
-	first, second := newKeeper(service, "d1"), newKeeper(service, "d2")
-	wantMode(t, second, crasher, quarantine.Free)
-	falls(t, first, crasher, "t1")
+	first, second := newTestRegistry(service, "d1"), newTestRegistry(service, "d2")
+	requireMode(t, second, crashingRequest, quarantine.Free)
+	killTargets(t, first, crashingRequest, "t1")
 	second.Merge(first.All())
-	wantMode(t, second, crasher, quarantine.Alone)
-	falls(t, second, crasher, "t2")
+	requireMode(t, second, crashingRequest, quarantine.Alone)
+	killTargets(t, second, crashingRequest, "t2")
 	first.Merge(second.All())
-	wantMode(t, first, crasher, quarantine.Refuse)
-	wantMode(t, first, "b1", quarantine.Free)
+	requireMode(t, first, crashingRequest, quarantine.Refuse)
+	requireMode(t, first, "b1", quarantine.Free)
 }
 
-// In an outage each request on a daemon that has just started would wait for a read
-// that fails, one after the other.
-func TestOutageIsNotWaitedForByEachRequest(t *testing.T) {
+// During an outage each request on a new daemon would wait for a read that fails. After one failed
+// read, further requests must not wait until readRetryDelay has passed.
+func TestFailedReadIsNotRepeatedForEachRequest(t *testing.T) {
 	service := kv.NewFake(nil)
 	reads := 0
 	service.SetHook(func(string, bool, string) kv.Fault {
@@ -83,42 +83,42 @@
 		return kv.FaultUnavailable
 	})
 	now := time.Unix(1000, 0)
-	k := New(Options{KV: service.Client("d1"), Logger: hclog.NewNullLogger(), Now: func() time.Time { return now }})
+	r := New(Options{KV: service.Client("d1"), Logger: hclog.NewNullLogger(), Now: func() time.Time { return now }})
 	for range 100 {
-		wantMode(t, k, crasher, quarantine.Free)
+		requireMode(t, r, crashingRequest, quarantine.Free)
 	}
 	if reads != 1 {
 		t.Fatalf("%d reads", reads)
 	}
-	now = now.Add(readPause)
-	wantMode(t, k, crasher, quarantine.Free)
+	now = now.Add(readRetryDelay)
+	requireMode(t, r, crashingRequest, quarantine.Free)
 	if reads != 2 {
-		t.Fatalf("%d reads after the pause", reads)
+		t.Fatalf("%d reads after the retry delay", reads)
 	}
 }
 
-// Two daemons see deaths at the same moment and write the same page. A writer that put
-// back what it had read would take away the other's finding: that request would have
-// two more targets to kill after a restart.
-func TestTwoWritersOfOnePageKeepBothFindings(t *testing.T) {
+// Two daemons detect crashes at the same time and write the same page. A writer that overwrote the
+// page with what it had read would remove the other's crash record, and that request could kill two
+// more targets after a restart.
+func TestConcurrentWritersKeepBothCrashRecords(t *testing.T) {
 	service := kv.NewFake(nil)
-	first, second := newKeeper(service, "d1"), newKeeper(service, "d2")
-	met := false
+	first, second := newTestRegistry(service, "d1"), newTestRegistry(service, "d2")
+	overlapped := false
 	service.SetAfter(func(client string) {
-		if client == "d1" && !met {
-			met = true // d1 has read the page and not written it yet
-			falls(t, second, "a2", "t2")
+		if client == "d1" && !overlapped {
+			overlapped = true // d1 has read the page but not written it yet
+			killTargets(t, second, "a2", "t2")
 		}
 	})
-	found := []quarantine.Finding{{Fingerprint: crasher, Deaths: []quarantine.Death{"t1@1"}, Expires: time.Now().Add(time.Hour)}}
+	found := []quarantine.Finding{{Fingerprint: crashingRequest, Deaths: []quarantine.Death{"t1@1"}, Expires: time.Now().Add(time.Hour)}}
 	first.publish(context.Background(), "t1", found)
-	fresh := newKeeper(service, "d3")
+	fresh := newTestRegistry(service, "d3")
 	if err := fresh.Load(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	wantMode(t, fresh, crasher, quarantine.Alone)
-	wantMode(t, fresh, "a2", quarantine.Alone)
-	if !met {
-		t.Fatal("the writers did not meet")
+	requireMode(t, fresh, crashingRequest, quarantine.Alone)
+	requireMode(t, fresh, "a2", quarantine.Alone)
+	if !overlapped {
+		t.Fatal("the writes did not overlap")
 	}
 }
