--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The lines of testdata were written by daemons that met these failures; each begins with the
+// The log lines in testdata come from daemons that met these failures. Each line begins with the
 // daemon's name.
 func TestExplain(t *testing.T) {
 	datadriven.RunTest(t, "testdata/explain", func(t *testing.T, d *datadriven.TestData) string {
@@ -28,25 +28,25 @@
 		for _, daemon := range daemons {
 			logs = append(logs, Log{Daemon: daemon, Text: strings.NewReader(texts[daemon])})
 		}
-		way, err := Explain(request, logs)
+		history, err := Explain(request, logs)
 		if err != nil {
 			return err.Error() + "\n"
 		}
-		out := way.Summary + "\n"
-		for _, l := range way.Lines {
+		out := history.Summary + "\n"
+		for _, l := range history.Lines {
 			out += fmt.Sprintf("%s %s after %d ms\n", l.Daemon, l.Message, l.AfterMs)
 		}
 		return out
 	})
 }
 
-// Logs hold lines of others, cut lines and lines of other programs; none of them stops the
-// reader, and a request that no line names is an error that says so.
-func TestStrangeLines(t *testing.T) {
+// Logs contain truncated lines, lines of other requests and lines of other programs. Explain must skip
+// them, and must return ErrUnknownRequest for a request that no line mentions.
+func TestForeignLinesAreSkipped(t *testing.T) {
 	text := "panic: x\n{\"@message\":\n{}\n{\"@message\":3}\n\n{\"@message\":\"A request is answered\",\"request\":\"r\",\"replica\":\"i\",\"status\":200}\n"
-	way, err := Explain("r", []Log{{Daemon: "d", Text: strings.NewReader(text)}})
-	if err != nil || len(way.Lines) != 1 {
-		t.Fatalf("%+v, %v", way, err)
+	history, err := Explain("r", []Log{{Daemon: "d", Text: strings.NewReader(text)}})
+	if err != nil || len(history.Lines) != 1 {
+		t.Fatalf("%+v, %v", history, err)
 	}
 	if _, err := Explain("other", []Log{{Daemon: "d", Text: strings.NewReader(text)}}); !errors.Is(err, ErrUnknownRequest) {
 		t.Errorf("got %v", err)
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,7 +1,7 @@
-// Package losses counts from daemons' logs which requests were refused, late or broken off, in
-// which seconds and for which causes: where callers were served worst, and what it was for.
+// Package losses counts the requests in daemons' logs that were refused, slow, broken or failed, by
+// time window and cause. It shows when callers were served worst, and why.
 //
-// The package is pure: it reads lines that were collected before.
+// The package is pure: it works on logs that were collected before.
 package losses
 
 import (
@@ -18,18 +18,18 @@
 	"github.com/bluebellscale/bluebellscale/internal/loglines"
 )
 
-// Kind is how a request was served badly.
+// Kind classifies losses: requests that failed or were served too slowly.
 type Kind string
 
-// The kinds of loss.
+// Kinds of losses.
 const (
 	Refused Kind = "refused" // by the daemon
-	Late    Kind = "late"    // first words after the objective, or a pause over its bound
-	Broken  Kind = "broken"  // a stream that ended before its end
-	Failed  Kind = "failed"  // with a replica's own error, or none in time
+	Late    Kind = "late"    // first token after the objective, or a pause between tokens over its bound
+	Broken  Kind = "broken"  // stream that ended prematurely
+	Failed  Kind = "failed"  // error returned by the replica, or no response before the deadline
 )
 
-// line is one log line, with the fields that tell a request's end.
+// line is one log line, with the fields that describe the end of a request.
 type line struct {
 	At      time.Time `json:"@timestamp"`
 	Message string    `json:"@message"`
@@ -41,7 +41,7 @@
 	Late    string    `json:"late"`
 }
 
-// Loss counts requests of one kind, route and cause.
+// Loss counts lost requests of one kind, route and cause.
 type Loss struct {
 	Kind  Kind   `json:"kind"`
 	Route string `json:"route"`
@@ -49,55 +49,55 @@
 	Count int    `json:"count"`
 }
 
-// Window is a span of time.
+// Window counts the requests in one time window.
 type Window struct {
 	From    time.Time `json:"from"`
-	Ended   int       `json:"ended"`   // requests that ended in it
-	Lost    int       `json:"lost"`    // of those
-	Largest []Loss    `json:"largest"` // of its losses
+	Ended   int       `json:"ended"`   // requests that ended in the window
+	Lost    int       `json:"lost"`    // lost requests among Ended
+	Largest []Loss    `json:"largest"` // largest losses first
 }
 
-// Summary is what logs tell.
+// Summary contains the losses of all logs.
 type Summary struct {
 	Ended   int      `json:"ended"`
-	Losses  []Loss   `json:"losses"`  // the largest first
-	Windows []Window `json:"windows"` // those that lost most, the worst first
+	Losses  []Loss   `json:"losses"`  // largest first
+	Windows []Window `json:"windows"` // windows with the largest share of losses, worst first
 }
 
-// Options bound a table.
+// Options configures Count.
 type Options struct {
-	WindowLength time.Duration // of a window
-	MaxWindows   int           // how many are told
-	MaxCauses    int           // how many are told of each window
+	WindowLength time.Duration
+	MaxWindows   int // in the summary
+	MaxCauses    int // per window
 }
 
-// key is what losses are counted by.
-type key struct {
+// lossKey identifies the losses that are counted together.
+type lossKey struct {
 	kind         Kind
 	route, cause string
 }
 
 type window struct {
 	ended int
-	lost  map[key]int
+	lost  map[lossKey]int
 }
 
-// Count reads logs. Lines that are not the daemons' own JSON, and answers to requests that
-// name no route, are passed over.
+// Count reads logs and summarizes their losses. It skips lines that are not JSON lines of a daemon
+// and requests without a route.
 func Count(o Options, logs ...io.Reader) (*Summary, error) {
 	windows := map[time.Time]*window{}
-	total := &window{lost: map[key]int{}}
+	total := &window{lost: map[lossKey]int{}}
 	for _, log := range logs {
 		err := scan(log, func(l line) {
 			from := l.At.Truncate(o.WindowLength)
 			w := windows[from]
 			if w == nil {
-				w = &window{lost: map[key]int{}}
+				w = &window{lost: map[lossKey]int{}}
 				windows[from] = w
 			}
 			for _, w := range []*window{w, total} {
 				w.ended++
-				if k, lost := lossOf(l); lost {
+				if k, lost := classify(l); lost {
 					w.lost[k]++
 				}
 			}
@@ -106,48 +106,48 @@
 			return nil, err
 		}
 	}
-	return &Summary{Ended: total.ended, Losses: total.losses(), Windows: worst(o, windows)}, nil
+	return &Summary{Ended: total.ended, Losses: total.losses(), Windows: worstWindows(o, windows)}, nil
 }
 
-func scan(log io.Reader, take func(line)) error {
+func scan(log io.Reader, handle func(line)) error {
 	err := loglines.ForEach(log, func(object []byte) {
 		var l line
 		if json.Unmarshal(object, &l) != nil || l.Route == "" {
 			return
 		}
 		if l.Message == loglines.Answered || l.Message == loglines.Refused || l.Message == loglines.StreamBroken {
-			take(l)
+			handle(l)
 		}
 	})
 	return errors.Wrap(err, "losses")
 }
 
-// serverError is the first status by which a replica tells an error of its own.
-const serverError = 500
+// firstServerError is the lowest status with which a replica reports an internal error.
+const firstServerError = 500
 
-func lossOf(l line) (key, bool) {
+func classify(l line) (lossKey, bool) {
 	switch {
 	case l.Message == loglines.StreamBroken:
-		return key{Broken, l.Route, plain(l.Cause)}, true
+		return lossKey{Broken, l.Route, normalizeCause(l.Cause)}, true
 	case l.Message == loglines.Refused && l.Code == "deadline":
-		return key{Failed, l.Route, plain(l.Why)}, true
+		return lossKey{Failed, l.Route, normalizeCause(l.Why)}, true
 	case l.Message == loglines.Refused && (l.Code == "unauthorized" || l.Code == "unknown_service"):
-		return key{}, false // it was not allowed
+		return lossKey{}, false // the caller was not allowed to make the request
 	case l.Message == loglines.Refused:
-		return key{Refused, l.Route, l.Code + ": " + plain(l.Why)}, true
-	case l.Status >= serverError:
-		return key{Failed, l.Route, fmt.Sprintf("the replica answered %d", l.Status)}, true
+		return lossKey{Refused, l.Route, l.Code + ": " + normalizeCause(l.Why)}, true
+	case l.Status >= firstServerError:
+		return lossKey{Failed, l.Route, fmt.Sprintf("the replica answered with status %d", l.Status)}, true
 	case l.Late != "":
-		return key{Late, l.Route, l.Late}, true
+		return lossKey{Late, l.Route, l.Late}, true
 	}
-	return key{}, false
+	return lossKey{}, false
 }
 
-// figures are numbers, durations and addresses within a cause.
-var figures = regexp.MustCompile(`[0-9][0-9a-fµ.:]*(ms|s|m)?([0-9.]+s)?`)
+// variableParts matches numbers, durations and addresses in a cause.
+var variableParts = regexp.MustCompile(`[0-9][0-9a-fµ.:]*(ms|s|m)?([0-9.]+s)?`)
 
-// plain returns a cause without its figures, so that equal causes count as one.
-func plain(cause string) string { return figures.ReplaceAllString(cause, "N") }
+// normalizeCause replaces the variable parts of a cause, which lets equal causes count as one.
+func normalizeCause(cause string) string { return variableParts.ReplaceAllString(cause, "N") }
 
 func (w *window) losses() []Loss {
 	out := make([]Loss, 0, len(w.lost))
@@ -160,17 +160,17 @@
 	return out
 }
 
-// worst returns the windows that lost most, by the share of what ended in them.
-func worst(o Options, windows map[time.Time]*window) []Window {
+// worstWindows returns the windows with the largest share of lost requests.
+func worstWindows(o Options, windows map[time.Time]*window) []Window {
 	var out []Window
 	for from, w := range windows {
-		told := Window{From: from, Ended: w.ended, Largest: w.losses()}
-		for _, loss := range told.Largest {
-			told.Lost += loss.Count
+		summary := Window{From: from, Ended: w.ended, Largest: w.losses()}
+		for _, loss := range summary.Largest {
+			summary.Lost += loss.Count
 		}
-		if told.Lost > 0 {
-			told.Largest = told.Largest[:min(len(told.Largest), o.MaxCauses)]
-			out = append(out, told)
+		if summary.Lost > 0 {
+			summary.Largest = summary.Largest[:min(len(summary.Largest), o.MaxCauses)]
+			out = append(out, summary)
 		}
 	}
 	share := func(w Window) float64 { return float64(w.Lost) / float64(w.Ended) }
