--- a/internal/platform/health.go
+++ b/internal/platform/health.go
@@ -21,10 +21,10 @@
 	failures int             // consecutive
 }
 
-func (h *healthTracker) observe(took time.Duration, answered bool) {
+func (h *healthTracker) observe(took time.Duration, responded bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !answered {
+	if !responded {
 		h.failures++
 		return
 	}
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -206,9 +206,9 @@
 }
 
 // Merge adds the crash records of a peer and returns how many were new.
-func (r *Registry) Merge(findings []*peer.Finding) int {
-	in := make([]quarantine.Finding, 0, len(findings))
-	for _, m := range findings {
+func (r *Registry) Merge(records []*peer.Finding) int {
+	in := make([]quarantine.Finding, 0, len(records))
+	for _, m := range records {
 		f := quarantine.Finding{Fingerprint: quarantine.Fingerprint(m.Fingerprint), Expires: time.UnixMilli(m.ExpiresUnixMs), Proven: m.Proven}
 		for _, d := range m.Targets {
 			f.Deaths = append(f.Deaths, quarantine.Death(d))
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -110,8 +110,8 @@
 			killTargets(t, second, "a2", "t2")
 		}
 	})
-	found := []quarantine.Finding{{Fingerprint: crashingRequest, Deaths: []quarantine.Death{"t1@1"}, Expires: time.Now().Add(time.Hour)}}
-	first.publish(context.Background(), "t1", found)
+	records := []quarantine.Finding{{Fingerprint: crashingRequest, Deaths: []quarantine.Death{"t1@1"}, Expires: time.Now().Add(time.Hour)}}
+	first.publish(context.Background(), "t1", records)
 	fresh := newTestRegistry(service, "d3")
 	if err := fresh.Load(t.Context()); err != nil {
 		t.Fatal(err)
--- a/internal/weights/models_test.go
+++ b/internal/weights/models_test.go
@@ -61,12 +61,12 @@
 	return nil
 }
 
-func (f *multiModelReplicas) countOutdated(named map[request.Model]uint64) int {
+func (f *multiModelReplicas) countOutdated(requested map[request.Model]uint64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, versions := range f.versions {
-		for model, version := range named {
+		for model, version := range requested {
 			if versions[model] < version {
 				n++
 			}
@@ -80,44 +80,44 @@
 // once than with one model. When both models shared one view, replicas that had loaded one model
 // counted as outdated in it and received the same order again.
 func TestTwoModelsAreRolledOutTogether(t *testing.T) {
-	named := map[request.Model]uint64{"a": 2, "b": 3}
-	f := &multiModelReplicas{versions: map[request.TargetID]map[request.Model]uint64{}, orders: map[request.TargetID]uint64{}, loading: map[request.TargetID]bool{}}
+	requested := map[request.Model]uint64{"a": 2, "b": 3}
+	calls := &multiModelReplicas{versions: map[request.TargetID]map[request.Model]uint64{}, orders: map[request.TargetID]uint64{}, loading: map[request.TargetID]bool{}}
 	set := replicas.NewSet()
 	var present []replicas.Info
 	for i := range 10 {
 		id := request.TargetID(fmt.Sprint("r", i))
-		f.versions[id] = map[request.Model]uint64{"a": 1, "b": 1}
+		calls.versions[id] = map[request.Model]uint64{"a": 1, "b": 1}
 		present = append(present, replicas.Info{ID: id, Service: "s", Address: "127.0.0.1:1", Weights: map[request.Model]uint64{"a": 1, "b": 1}})
 	}
 	set.Apply(time.Now(), replicas.Change{Full: true, Present: present})
 	store, began := kv.NewFake(time.Now).Client("d"), time.Now()
 	d := New(Options{
-		KV: store, Self: "d", Set: set, Client: f, OrderLease: 100 * time.Millisecond,
+		KV: store, Self: "d", Set: set, Client: calls, OrderLease: 100 * time.Millisecond,
 		Leases:            lease.NewManager(lease.Options{KV: store, Self: "d", TTL: 30 * time.Second, Margin: time.Second}),
-		RequestedVersions: func() map[request.Model]uint64 { return named },
-		OutdatedSince:     func(m request.Model, v uint64) (time.Time, bool) { return began, v < named[m] },
+		RequestedVersions: func() map[request.Model]uint64 { return requested },
+		OutdatedSince:     func(m request.Model, v uint64) (time.Time, bool) { return began, v < requested[m] },
 		Rank:              func() int { return 0 },
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	for f.countOutdated(named) > 0 {
+	for calls.countOutdated(requested) > 0 {
 		if ctx.Err() != nil {
-			t.Fatalf("%d weights are outdated", f.countOutdated(named))
+			t.Fatalf("%d weights are outdated", calls.countOutdated(requested))
 		}
 		d.reconcile(ctx)
 		time.Sleep(5 * time.Millisecond)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for id, n := range f.orders {
+	calls.mu.Lock()
+	defer calls.mu.Unlock()
+	for id, n := range calls.orders {
 		if n != 2 {
 			t.Errorf("%s: %d orders", id, n)
 		}
 	}
-	if f.refused > 0 {
-		t.Errorf("%d orders arrived during another load", f.refused)
+	if calls.refused > 0 {
+		t.Errorf("%d orders arrived during another load", calls.refused)
 	}
-	if f.maxLoading > 4 { // a fifth of ten for each model
-		t.Errorf("%d of 10 replicas loaded at once", f.maxLoading)
+	if calls.maxLoading > 4 { // a fifth of ten for each model
+		t.Errorf("%d of 10 replicas loaded at once", calls.maxLoading)
 	}
 }
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -83,40 +83,40 @@
 }
 
 func newTestFleet(n int) *testFleet {
-	b := &testFleet{
+	fleet := &testFleet{
 		calls: &fakeReplicas{versions: map[request.TargetID]uint64{}, orders: map[request.TargetID]uint64{}},
 		set:   replicas.NewSet(), fake: kv.NewFake(time.Now), since: time.Now(),
 	}
 	var present []replicas.Info
 	for i := range n {
 		id := request.TargetID(fmt.Sprint("r", i))
-		b.calls.versions[id] = 1
+		fleet.calls.versions[id] = 1
 		present = append(present, replicas.Info{ID: id, Service: "s", Address: "127.0.0.1:1", Weights: map[request.Model]uint64{model: 1}})
 	}
-	b.set.Apply(time.Now(), replicas.Change{Full: true, Present: present})
-	return b
+	fleet.set.Apply(time.Now(), replicas.Change{Full: true, Present: present})
+	return fleet
 }
 
-func (b *testFleet) newController(id request.DaemonID) *Controller {
-	store := b.fake.Client(string(id))
+func (f *testFleet) newController(id request.DaemonID) *Controller {
+	store := f.fake.Client(string(id))
 	return New(Options{
-		KV: store, Self: id, Set: b.set, Client: b.calls, OrderLease: 300 * time.Millisecond,
+		KV: store, Self: id, Set: f.set, Client: f.calls, OrderLease: 300 * time.Millisecond,
 		Leases:            lease.NewManager(lease.Options{KV: store, Self: id, TTL: 2 * time.Second, Margin: 100 * time.Millisecond}),
-		RequestedVersions: func() map[request.Model]uint64 { return map[request.Model]uint64{model: b.requested} },
-		OutdatedSince:     func(_ request.Model, v uint64) (time.Time, bool) { return b.since, v < b.requested },
+		RequestedVersions: func() map[request.Model]uint64 { return map[request.Model]uint64{model: f.requested} },
+		OutdatedSince:     func(_ request.Model, v uint64) (time.Time, bool) { return f.since, v < f.requested },
 		Rank:              func() int { return 0 },
 	})
 }
 
 // reconcileUntil runs iterations of a controller until all replicas serve a version.
-func reconcileUntil(t *testing.T, b *testFleet, d *Controller, version uint64) {
+func reconcileUntil(t *testing.T, f *testFleet, d *Controller, version uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	all := b.calls.count()
-	for b.calls.countAt(version) < all {
+	all := f.calls.count()
+	for f.calls.countAt(version) < all {
 		if ctx.Err() != nil {
-			t.Fatalf("%d of %d replicas serve version %d", b.calls.countAt(version), all, version)
+			t.Fatalf("%d of %d replicas serve version %d", f.calls.countAt(version), all, version)
 		}
 		d.reconcile(ctx)
 		time.Sleep(5 * time.Millisecond)
@@ -125,13 +125,13 @@
 
 // All replicas reach the requested version, with one order each.
 func TestAllReplicasReachRequestedVersion(t *testing.T) {
-	b := newTestFleet(6)
-	b.requested = 2
-	reconcileUntil(t, b, b.newController("d1"), 2)
-	if n := len(b.calls.received); n != 6 {
+	fleet := newTestFleet(6)
+	fleet.requested = 2
+	reconcileUntil(t, fleet, fleet.newController("d1"), 2)
+	if n := len(fleet.calls.received); n != 6 {
 		t.Errorf("%d orders for 6 replicas", n)
 	}
-	for _, o := range b.calls.received {
+	for _, o := range fleet.calls.received {
 		if o.Holder != "d1" || o.Epoch == 0 {
 			t.Errorf("order %+v", o)
 		}
@@ -142,14 +142,14 @@
 // sends the order again with the same number of accepted orders: if the first order arrives late,
 // the replica executes only one of the two.
 func TestLostOrderIsRetried(t *testing.T) {
-	b := newTestFleet(2)
-	b.requested = 2
-	b.calls.loseOrders = 1
-	reconcileUntil(t, b, b.newController("d1"), 2)
-	if n := len(b.calls.received); n != 3 {
+	fleet := newTestFleet(2)
+	fleet.requested = 2
+	fleet.calls.loseOrders = 1
+	reconcileUntil(t, fleet, fleet.newController("d1"), 2)
+	if n := len(fleet.calls.received); n != 3 {
 		t.Errorf("%d orders", n)
 	}
-	for _, o := range b.calls.received {
+	for _, o := range fleet.calls.received {
 		if o.ExpectedOrders != 0 {
 			t.Errorf("order %+v", o)
 		}
@@ -160,9 +160,9 @@
 // The next holder must wait before it orders these two, since a replica must not receive orders
 // from two holders. It must order all others at once, or the rollout would be late.
 func TestNextHolderDelaysOrdersOfPreviousHolder(t *testing.T) {
-	b := newTestFleet(4)
-	b.requested = 2
-	first := b.newController("d1")
+	fleet := newTestFleet(4)
+	fleet.requested = 2
+	first := fleet.newController("d1")
 	ctx := context.Background()
 	if !first.ensureLease(ctx, time.Now(), true) {
 		t.Fatal("the first controller did not acquire the lease")
@@ -173,22 +173,22 @@
 	if err := first.lease.Release(ctx); err != nil { // stands in for its expiry
 		t.Fatal(err)
 	}
-	second := b.newController("d2")
+	second := fleet.newController("d2")
 	if !second.ensureLease(ctx, time.Now(), true) {
 		t.Fatal("the second controller did not acquire the lease")
 	}
 	taken := time.Now()
-	for b.calls.countAt(2) < 2 && time.Since(taken) < 250*time.Millisecond {
+	for fleet.calls.countAt(2) < 2 && time.Since(taken) < 250*time.Millisecond {
 		second.reconcile(ctx)
 		time.Sleep(2 * time.Millisecond)
 	}
-	b.calls.mu.Lock()
-	early := slices.Clone(b.calls.receivers)
-	b.calls.mu.Unlock()
+	fleet.calls.mu.Lock()
+	early := slices.Clone(fleet.calls.receivers)
+	fleet.calls.mu.Unlock()
 	if slices.Contains(early, "r0") || slices.Contains(early, "r1") || len(early) == 0 {
 		t.Errorf("ordered at once: %v", early)
 	}
-	reconcileUntil(t, b, second, 2)
+	reconcileUntil(t, fleet, second, 2)
 
 	// The previous holder resumes. Its write must fail, which keeps it from sending orders.
 	if err := first.plan.replaceOrdered(ctx, first.o.KV, []request.TargetID{"r3"}); !errors.Is(err, errPlanLost) {
@@ -199,11 +199,11 @@
 // A daemon that shuts down releases the lease only after the order lease of its last order, since
 // a replica must not receive orders from two holders within it.
 func TestLeaseIsReleasedAfterLastOrder(t *testing.T) {
-	b := newTestFleet(1)
-	b.requested = 2
-	d := b.newController("d1")
-	reconcileUntil(t, b, d, 2)
-	sent := b.calls.lastOrderAt
+	fleet := newTestFleet(1)
+	fleet.requested = 2
+	d := fleet.newController("d1")
+	reconcileUntil(t, fleet, d, 2)
+	sent := fleet.calls.lastOrderAt
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = d.Run(ctx) }()
@@ -211,7 +211,7 @@
 	if took := time.Since(sent); took < d.o.OrderLease {
 		t.Errorf("lease released %s after an order", took)
 	}
-	if !b.newController("d2").ensureLease(ctx, time.Now(), false) {
+	if !fleet.newController("d2").ensureLease(ctx, time.Now(), false) {
 		t.Error("another daemon can't acquire the lease")
 	}
 }
@@ -227,32 +227,32 @@
 // old weights and an order count of zero. The lease holder must neither wait for the order of the
 // dead process nor send the next order with that process's count.
 func TestRestartDropsOrderOfPreviousProcess(t *testing.T) {
-	b := newTestFleet(3)
-	b.requested = 2
-	d := b.newController("d1")
+	fleet := newTestFleet(3)
+	fleet.requested = 2
+	d := fleet.newController("d1")
 	ctx := context.Background()
 	for len(d.pending) == 0 {
 		d.reconcile(ctx)
 		time.Sleep(5 * time.Millisecond)
 	}
 	var id request.TargetID
-	for b.calls.countAt(2) == 0 {
+	for fleet.calls.countAt(2) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	b.calls.mu.Lock()
-	id = b.calls.receivers[0]
-	b.calls.versions[id], b.calls.orders[id] = 1, 0
-	b.calls.started = map[request.TargetID]int64{id: 7}
-	b.calls.mu.Unlock()
-	before := b.set.Get(id)
-	reconcileUntil(t, b, d, 2)
-	if b.set.Get(id) == before {
+	fleet.calls.mu.Lock()
+	id = fleet.calls.receivers[0]
+	fleet.calls.versions[id], fleet.calls.orders[id] = 1, 0
+	fleet.calls.started = map[request.TargetID]int64{id: 7}
+	fleet.calls.mu.Unlock()
+	before := fleet.set.Get(id)
+	reconcileUntil(t, fleet, d, 2)
+	if fleet.set.Get(id) == before {
 		t.Error("the restart that the replica reported was ignored")
 	}
-	b.calls.mu.Lock()
-	defer b.calls.mu.Unlock()
-	last := slices.Index(b.calls.receivers[1:], id) + 1
-	if last == 0 || b.calls.received[last].ExpectedOrders != 0 {
-		t.Errorf("orders %+v to %v", b.calls.received, b.calls.receivers)
+	fleet.calls.mu.Lock()
+	defer fleet.calls.mu.Unlock()
+	last := slices.Index(fleet.calls.receivers[1:], id) + 1
+	if last == 0 || fleet.calls.received[last].ExpectedOrders != 0 {
+		t.Errorf("orders %+v to %v", fleet.calls.received, fleet.calls.receivers)
 	}
 }
