--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -81,7 +81,7 @@
 		return decision
 	}
 	if err := r.readPage(ctx, pageKey(fp)); err != nil {
-		r.log.Warn("Failed to read crash records; admitting the request without them", "error", err)
+		r.log.Warn("Failed to read stored crash records; using the known ones", "error", err)
 		r.noteReadFailure()
 	}
 	return r.gate(fp)
