--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -134,7 +134,7 @@
 		return // it was removed, and daemons learn that from the registry
 	}
 	state := &State{
-		Replica: r.Hash(), BusyMs: int32(a.Busy.Milliseconds()),
+		Replica: r.Hash(), BusyMs: int32(a.BusyFor.Milliseconds()),
 		Model: string(a.Model), Weights: a.Weights,
 	}
 	s.mu.Lock()
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -319,7 +319,7 @@
 	if outage >= outageThreshold {
 		f.recovering = true
 	}
-	f.opts.Logger.Info(loglines.KVRegained, "failed_for_ms", outage.Milliseconds())
+	f.opts.Logger.Info(loglines.KVRecovered, "failed_for_ms", outage.Milliseconds())
 }
 
 func (f *Follower) recordFailure(err error) {
@@ -329,5 +329,5 @@
 		return
 	}
 	f.failingSince = time.Now()
-	f.opts.Logger.Warn(loglines.KVLost, "error", err)
+	f.opts.Logger.Warn(loglines.KVUnavailable, "error", err)
 }
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -73,7 +73,7 @@
 // finishUnanswered ends a request that no replica answered completely.
 func (s *Server) finishUnanswered(ctx context.Context, w http.ResponseWriter, j *Job, k *sink, mayRun bool, cause error) {
 	if k.started {
-		s.o.Logger.Info(loglines.BrokenOff, "request", j.ID, "route", j.Route.Name, "events", k.events, "cause", cause, "after_ms", sinceMs(j.Start))
+		s.o.Logger.Info(loglines.StreamBroken, "request", j.ID, "route", j.Route.Name, "events", k.events, "cause", cause, "after_ms", sinceMs(j.Start))
 		s.o.Metrics.Counter("streams_broken").Inc(1)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -96,8 +96,8 @@
 	}
 	for _, kind := range []routing.Kind{routing.KindIdempotent, routing.KindOnce, routing.KindStream} {
 		scope := o.Metrics.Tagged(map[string]string{"kind": string(kind)})
-		s.timeToFirst[kind] = scope.Histogram("first_answer", metrics.Latencies)
-		s.timeToComplete[kind] = scope.Histogram("whole_answer", metrics.Latencies)
+		s.timeToFirst[kind] = scope.Histogram("first_answer", metrics.LatencyBuckets)
+		s.timeToComplete[kind] = scope.Histogram("whole_answer", metrics.LatencyBuckets)
 	}
 	return s
 }
