--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -136,7 +136,7 @@
 	case l.Message == loglines.Refused:
 		return lossKey{Refused, l.Route, l.Code + ": " + normalizeCause(l.Why)}, true
 	case l.Status >= firstServerError:
-		return lossKey{Failed, l.Route, fmt.Sprintf("the replica answered with status %d", l.Status)}, true
+		return lossKey{Failed, l.Route, fmt.Sprintf("the replica answered %d", l.Status)}, true
 	case l.Late != "":
 		return lossKey{Late, l.Route, l.Late}, true
 	}
