--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -76,7 +76,7 @@
 	planner  *planner.Planner
 	suspects *suspect.Keeper
 	gateway  *gateway.Gateway
-	fleet    *fleet.Fleet
+	fleet    *fleet.Controller
 
 	quorumMu sync.Mutex
 	quorum   *quorum
@@ -249,15 +249,15 @@
 		Tables: d.table, Members: d.members, Peers: peers, Logger: d.log, Metrics: d.metrics,
 	})
 	d.planner = planner.New(planner.Options{
-		Params:   placementParams(c.Placement),
-		Tables:   d.table,
-		Looker:   d.stewards,
-		Targets:  d.targets,
-		Keeps:    func(id request.StoreID) bool { return d.isPlace("store/" + string(id)) },
-		Instance: d.instance(),
-		Seed:     d.incarnation,
-		Logger:   d.log,
-		Metrics:  d.metrics,
+		Params:       placementParams(c.Placement),
+		Tables:       d.table,
+		Coordinators: d.stewards,
+		Targets:      d.targets,
+		OwnsStore:    func(id request.StoreID) bool { return d.isPlace("store/" + string(id)) },
+		Instance:     d.instance(),
+		Seed:         d.incarnation,
+		Logger:       d.log,
+		Metrics:      d.metrics,
 	})
 	d.gateway = gateway.New(gateway.Options{
 		Tables:            d.table,
@@ -289,7 +289,7 @@
 		Tables:       d.table,
 		Targets:      d.targets,
 		Leases:       d.leases,
-		Mine:         func() bool { return d.isPlace("fleet") },
+		Assigned:     func() bool { return d.isPlace("fleet") },
 		Leaving:      d.stewards.VMLeaving,
 		OrderTimeout: d.config.Fleet.OrderTimeout,
 		Interval:     d.config.Fleet.PollInterval,
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -51,8 +51,8 @@
 	Tables  Tables
 	Targets Targets
 	Leases  *lease.Manager
-	// Mine tells whether the duty has its soft place here.
-	Mine         func() bool
+	// Assigned tells whether the duty has its soft place here.
+	Assigned     func() bool
 	Leaving      func(t *table.Target) bool
 	OrderTimeout time.Duration
 	Interval     time.Duration
@@ -60,10 +60,10 @@
 	Metrics      tally.Scope
 }
 
-// Fleet runs the duty if it has its place on this daemon. There is one duty for all
+// Controller runs the duty if it has its place on this daemon. There is one duty for all
 // models, since the cap on loads at once is the deployment's: the weight store slows
 // every load once there are more.
-type Fleet struct {
+type Controller struct {
 	opts   Options
 	log    hclog.Logger
 	orders tally.Counter
@@ -77,11 +77,11 @@
 }
 
 // New returns a fleet.
-func New(opts Options) *Fleet {
+func New(opts Options) *Controller {
 	if opts.Metrics == nil {
 		opts.Metrics = tally.NoopScope
 	}
-	return &Fleet{
+	return &Controller{
 		opts:   opts,
 		log:    opts.Logger.Named("fleet"),
 		orders: opts.Metrics.Counter("orders"),
@@ -90,11 +90,11 @@
 
 // Run steps the duty until ctx ends: often while an engine lacks something or the
 // table has changed, else rarely.
-func (f *Fleet) Run(ctx context.Context) {
+func (f *Controller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := f.opts.Tables.Changed()
 		pause := f.opts.Interval
-		if f.opts.Mine() {
+		if f.opts.Assigned() {
 			pause = f.step(ctx)
 		} else {
 			f.giveUp(ctx)
@@ -109,7 +109,7 @@
 
 // limit follows the lowest cap of the table's models. A new one starts the rollout's
 // state afresh: it is read from the engines anyway.
-func (f *Fleet) limit(models []*table.ModelRow) {
+func (f *Controller) limit(models []*table.ModelRow) {
 	lowest := 0
 	for _, m := range models {
 		if lowest == 0 || m.LoadCap < lowest {
@@ -128,7 +128,7 @@
 }
 
 // giveUp releases the lease of the duty.
-func (f *Fleet) giveUp(ctx context.Context) {
+func (f *Controller) giveUp(ctx context.Context) {
 	if f.lease == nil {
 		return
 	}
@@ -139,7 +139,7 @@
 }
 
 // set changes what State reads.
-func (f *Fleet) set(l *lease.Lease, waits []rollout.Wait) {
+func (f *Controller) set(l *lease.Lease, waits []rollout.Wait) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lease = l
@@ -148,7 +148,7 @@
 
 // step reads the engines and, if any lacks something, orders it. It returns the pause
 // until the next step.
-func (f *Fleet) step(ctx context.Context) time.Duration {
+func (f *Controller) step(ctx context.Context) time.Duration {
 	sheet := f.opts.Tables.Current()
 	f.limit(sheet.Models())
 	wanted, rows := f.wanted(sheet)
@@ -163,7 +163,7 @@
 	return f.opts.Interval
 }
 
-func (f *Fleet) wanted(sheet *table.Snapshot) ([]rollout.Desired, []*table.Target) {
+func (f *Controller) wanted(sheet *table.Snapshot) ([]rollout.Desired, []*table.Target) {
 	var rows []*table.Target
 	var wanted []rollout.Desired
 	for _, t := range sheet.Targets() {
@@ -179,7 +179,7 @@
 }
 
 // observe reads the state of all engines at once.
-func (f *Fleet) observe(ctx context.Context, rows []*table.Target) []rollout.Observed {
+func (f *Controller) observe(ctx context.Context, rows []*table.Target) []rollout.Observed {
 	ctx, cancel := context.WithTimeout(ctx, f.opts.OrderTimeout)
 	defer cancel()
 	out := make([]rollout.Observed, len(rows))
@@ -221,7 +221,7 @@
 }
 
 // hold acquires the duty's lease, or finds it still valid.
-func (f *Fleet) hold(ctx context.Context) bool {
+func (f *Controller) hold(ctx context.Context) bool {
 	if f.lease != nil && f.lease.Valid() {
 		return true
 	}
@@ -233,7 +233,7 @@
 	return err == nil
 }
 
-func (f *Fleet) carryOut(ctx context.Context, rows []*table.Target, actions []rollout.Action) {
+func (f *Controller) carryOut(ctx context.Context, rows []*table.Target, actions []rollout.Action) {
 	var waits []rollout.Wait
 	var sends sync.WaitGroup
 	for _, a := range actions {
@@ -255,7 +255,7 @@
 // send gives one order, if the lease outlasts it. A holder that was paused past its
 // lease finds that out here, by its own clock. An answer that is lost is settled by
 // the next step, which reads the engine's state.
-func (f *Fleet) send(ctx context.Context, rows []*table.Target, o rollout.Order) {
+func (f *Controller) send(ctx context.Context, rows []*table.Target, o rollout.Order) {
 	if !f.lease.MayAct(f.opts.OrderTimeout) {
 		f.log.Warn("Order was put off; the lease does not outlast it", "target", o.Target, "epoch", o.Order.Epoch)
 		return
@@ -276,16 +276,16 @@
 
 // State is the duty in the dump of a daemon.
 type State struct {
-	Here  bool           `json:"here"`  // the duty has its place on this daemon
-	Epoch uint64         `json:"epoch"` // 0: no lease is held
-	Waits []rollout.Wait `json:"waits,omitempty"`
+	Assigned bool           `json:"here"`  // the duty has its place on this daemon
+	Epoch    uint64         `json:"epoch"` // 0: no lease is held
+	Waits    []rollout.Wait `json:"waits,omitempty"`
 }
 
 // State returns the dump.
-func (f *Fleet) State() State {
+func (f *Controller) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := State{Here: f.opts.Mine(), Waits: f.waits}
+	s := State{Assigned: f.opts.Assigned(), Waits: f.waits}
 	if f.lease != nil && f.lease.Valid() {
 		s.Epoch = f.lease.Epoch()
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -122,14 +122,14 @@
 }
 
 // newFleets returns the duties of two daemons over n engines that lack version v1.
-func newFleets(t *testing.T, e *engines, n int) (*clock, [2]*Fleet) {
+func newFleets(t *testing.T, e *engines, n int) (*clock, [2]*Controller) {
 	c := &clock{now: time.Unix(1_000_000, 0)}
 	service := kv.NewFake(c.Now)
 	replica := tabletest.Load(t, service.Client("table"), tabletest.Rows{
 		Models:  "verdict,v1,1024,2\nprecis,v1,1024,3\n",
 		Targets: e.serve(t, n),
 	})
-	var fleets [2]*Fleet
+	var fleets [2]*Controller
 	for i := range fleets {
 		id := fmt.Sprintf("d%d", i+1)
 		fleets[i] = New(Options{
@@ -138,7 +138,7 @@
 				KV: service.Client(id), Self: request.DaemonID(id), TTL: leaseTTL, Margin: time.Second,
 				WaitAfterTakeover: orderTimeout, Now: c.Now, Logger: hclog.NewNullLogger(),
 			}),
-			Mine: func() bool { return true }, Leaving: func(*table.Target) bool { return false },
+			Assigned: func() bool { return true }, Leaving: func(*table.Target) bool { return false },
 			OrderTimeout: orderTimeout, Interval: time.Millisecond, Logger: hclog.NewNullLogger(),
 		})
 	}
--- a/internal/planner/janitor.go
+++ b/internal/planner/janitor.go
@@ -32,7 +32,7 @@
 			return
 		case <-tick.C:
 			for _, s := range p.opts.Tables.Current().Stores() {
-				if p.opts.Keeps(s.ID) || p.inUse(s.ID) || p.hasUnfreed(s.ID) {
+				if p.opts.OwnsStore(s.ID) || p.inUse(s.ID) || p.hasUnfreed(s.ID) {
 					p.care(ctx, s)
 				}
 			}
@@ -65,7 +65,7 @@
 	p.links.Reported(s.ID, status.LinkQueueBytes, time.Now())
 	p.mu.Unlock()
 	p.freeAgain(ctx, p.stores.client(s.ID, s.Address))
-	if p.opts.Keeps(s.ID) && nearlyFull(status) {
+	if p.opts.OwnsStore(s.ID) && nearlyFull(status) {
 		p.makeRoom(ctx, s, status)
 	}
 	p.promote(ctx, s, status)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -37,8 +37,8 @@
 // that hold the context and a random sample of the rest are.
 const maxLooked = 24
 
-// Looker gives the stewards' views of targets.
-type Looker interface {
+// Coordinators gives the stewards' views of targets.
+type Coordinators interface {
 	Look(ctx context.Context, ids []request.TargetID, p steward.Prompt) map[request.TargetID]steward.View
 }
 
@@ -54,12 +54,12 @@
 
 // Options configures a Planner.
 type Options struct {
-	Params  placement.Params
-	Tables  Tables
-	Looker  Looker
-	Targets Targets
-	// Keeps tells whether the care of a store VM has its soft place here.
-	Keeps func(id request.StoreID) bool
+	Params       placement.Params
+	Tables       Tables
+	Coordinators Coordinators
+	Targets      Targets
+	// OwnsStore tells whether the care of a store VM has its soft place here.
+	OwnsStore func(id request.StoreID) bool
 	// Instance differs for every start of every daemon. Names of exports carry it.
 	Instance string
 	Seed     uint64
@@ -143,7 +143,7 @@
 	rows = p.sample(sheet, c.Scope.Version, rows, located)
 	var queues sync.WaitGroup
 	queues.Go(func() { p.readQueues(ctx, sheet, located) })
-	views := p.opts.Looker.Look(ctx, targetIDs(rows), steward.Prompt{Org: c.Scope.Org, Chain: c.Chain, Tokens: c.Tokens})
+	views := p.opts.Coordinators.Look(ctx, targetIDs(rows), steward.Prompt{Org: c.Scope.Org, Chain: c.Chain, Tokens: c.Tokens})
 	queues.Wait()
 	plan := p.plan(sheet, c, rows, located, views)
 	return choicesOf(sheet, plan, located)
@@ -170,7 +170,7 @@
 	}
 	count := map[request.Version]int{}
 	var best request.Version
-	for _, v := range p.opts.Looker.Look(ctx, targetIDs(rows), steward.Prompt{}) {
+	for _, v := range p.opts.Coordinators.Look(ctx, targetIDs(rows), steward.Prompt{}) {
 		if v.Down || v.Leaving || v.Version == "" {
 			continue
 		}
--- a/internal/planner/world_test.go
+++ b/internal/planner/world_test.go
@@ -136,14 +136,14 @@
 	params.Patience = 1000
 	params.RecomputeWeight = 1
 	p := New(Options{
-		Params:   params,
-		Tables:   w.tables,
-		Looker:   idle{},
-		Targets:  clients{},
-		Keeps:    func(request.StoreID) bool { return true },
-		Instance: fmt.Sprintf("d%d.1", w.planners),
-		Logger:   hclog.NewNullLogger(),
-		Metrics:  w.metrics,
+		Params:       params,
+		Tables:       w.tables,
+		Coordinators: idle{},
+		Targets:      clients{},
+		OwnsStore:    func(request.StoreID) bool { return true },
+		Instance:     fmt.Sprintf("d%d.1", w.planners),
+		Logger:       hclog.NewNullLogger(),
+		Metrics:      w.metrics,
 	})
 	w.t.Cleanup(p.Shutdown)
 	return p
