--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,13 +1,14 @@
-// Package fleet carries out the duty on targets: it brings engines to the weight
-// version that the table wants, with few loading at once, while requests go on.
+// Package fleet rolls out weight versions. Its controller orders engines to load the version
+// that the table requests, few at a time, while requests continue to be served.
 //
-// The duty is done by the holder of a lease, which gives orders under the lease's
-// epoch. Which daemon tries for the lease is a soft place; that no two give
-// orders at once is not: engines that check epochs refuse an old one, and for the
-// others no order starts unless the lease outlasts it, and a new holder waits until
-// the former one's orders have ended. What remains is an order that the network holds
-// back for longer than the order timeout: an engine that does not check epochs would
-// obey it. The next step reads the engine's state and orders it right again.
+// The controller holds a lease and sends orders under the lease's epoch. A hashed assignment
+// determines which daemon tries to acquire the lease. The lease ensures that two daemons
+// never send orders at the same time: engines that check epochs reject orders of an earlier
+// epoch. For all other engines, a holder sends an order only if the lease outlasts the order
+// timeout, and a new holder waits until the orders of the previous one have ended. One case
+// remains: if the network delays an order beyond the order timeout, an engine that does not
+// check epochs executes it. The next reconciliation reads the engine's state and orders the
+// requested version again.
 package fleet
 
 import (
@@ -29,29 +30,31 @@
 
 const (
 	leaseName = "fleet"
-	// restFactor is how much less often engines are read when none lacks anything.
-	restFactor = 20
-	// outShare is the part of a model's replicas that may be out for loading at once.
-	outShare = 0.34
+	// idleIntervalFactor is the factor by which Options.Interval is extended while no engine
+	// differs from the desired state.
+	idleIntervalFactor = 20
+	// maxUnavailableShare is the share of a model's replicas that may be unavailable for loading
+	// at once.
+	maxUnavailableShare = 0.34
 )
 
-// Tables gives the operators' table in force.
+// Tables provides the operators' effective table.
 type Tables interface {
 	Current() *table.Snapshot
 	Changed() <-chan struct{}
 }
 
-// Targets gives the client of a target.
+// Targets provides the client of a target.
 type Targets interface {
 	Client(t table.Target) *target.Client
 }
 
-// Options configures a Fleet.
+// Options configures a Controller.
 type Options struct {
 	Tables  Tables
 	Targets Targets
 	Leases  *lease.Manager
-	// Assigned tells whether the duty has its soft place here.
+	// Assigned reports whether the rollout is assigned to this daemon.
 	Assigned     func() bool
 	Leaving      func(t *table.Target) bool
 	OrderTimeout time.Duration
@@ -60,23 +63,23 @@
 	Metrics      tally.Scope
 }
 
-// Controller runs the duty if it has its place on this daemon. There is one duty for all
-// models, since the cap on loads at once is the deployment's: the weight store slows
-// every load once there are more.
+// Controller rolls out versions if it is assigned to this daemon. One controller serves all
+// models, since the cap on concurrent loads applies to the deployment: beyond it the weight
+// store slows every load down.
 type Controller struct {
 	opts   Options
 	log    hclog.Logger
 	orders tally.Counter
 
-	// Owned by Run's goroutine; mu guards them for State.
+	// The fields below are owned by Run's goroutine; mu guards them for State.
 	mu      sync.Mutex
 	rollout *rollout.Rollout
-	cap     int
+	loadCap int
 	lease   *lease.Lease
 	waits   []rollout.Wait
 }
 
-// New returns a fleet.
+// New returns a controller.
 func New(opts Options) *Controller {
 	if opts.Metrics == nil {
 		opts.Metrics = tally.NoopScope
@@ -88,112 +91,112 @@
 	}
 }
 
-// Run steps the duty until ctx ends: often while an engine lacks something or the
-// table has changed, else rarely.
-func (f *Controller) Run(ctx context.Context) {
+// Run reconciles the engines until ctx ends: at Options.Interval while an engine differs from
+// the desired state, immediately after a change of the table, and rarely otherwise.
+func (c *Controller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		changed := f.opts.Tables.Changed()
-		pause := f.opts.Interval
-		if f.opts.Assigned() {
-			pause = f.step(ctx)
+		changed := c.opts.Tables.Changed()
+		interval := c.opts.Interval
+		if c.opts.Assigned() {
+			interval = c.reconcile(ctx)
 		} else {
-			f.giveUp(ctx)
+			c.releaseLease(ctx)
 		}
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// limit follows the lowest cap of the table's models. A new one starts the rollout's
-// state afresh: it is read from the engines anyway.
-func (f *Controller) limit(models []*table.ModelRow) {
+// updateLoadCap applies the lowest load cap of the table's models. A change of the cap resets
+// the rollout's state, which is read from the engines anyway.
+func (c *Controller) updateLoadCap(models []*table.ModelRow) {
 	lowest := 0
 	for _, m := range models {
 		if lowest == 0 || m.LoadCap < lowest {
 			lowest = m.LoadCap
 		}
 	}
-	if f.rollout != nil && lowest == f.cap {
+	if c.rollout != nil && lowest == c.loadCap {
 		return
 	}
-	f.cap = lowest
-	f.rollout = rollout.New(rollout.Params{
+	c.loadCap = lowest
+	c.rollout = rollout.New(rollout.Params{
 		LoadCap:             lowest,
-		MaxUnavailableShare: outShare,
-		OrderTimeout:        f.opts.OrderTimeout,
+		MaxUnavailableShare: maxUnavailableShare,
+		OrderTimeout:        c.opts.OrderTimeout,
 	})
 }
 
-// giveUp releases the lease of the duty.
-func (f *Controller) giveUp(ctx context.Context) {
-	if f.lease == nil {
+// releaseLease releases the rollout lease.
+func (c *Controller) releaseLease(ctx context.Context) {
+	if c.lease == nil {
 		return
 	}
-	if err := f.lease.Release(ctx); err != nil {
-		f.log.Warn("Lease was not released; it lapses", "error", err)
+	if err := c.lease.Release(ctx); err != nil {
+		c.log.Warn("Failed to release the rollout lease; it will expire", "error", err)
 	}
-	f.set(nil, nil)
+	c.setState(nil, nil)
 }
 
-// set changes what State reads.
-func (f *Controller) set(l *lease.Lease, waits []rollout.Wait) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.lease = l
-	f.waits = waits
+// setState updates the fields that State reads.
+func (c *Controller) setState(l *lease.Lease, waits []rollout.Wait) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lease = l
+	c.waits = waits
 }
 
-// step reads the engines and, if any lacks something, orders it. It returns the pause
-// until the next step.
-func (f *Controller) step(ctx context.Context) time.Duration {
-	sheet := f.opts.Tables.Current()
-	f.limit(sheet.Models())
-	wanted, rows := f.wanted(sheet)
-	observed := f.observe(ctx, rows)
-	if asWanted(wanted, observed) {
-		f.giveUp(ctx)
-		return restFactor * f.opts.Interval
+// reconcile reads the states of the engines and sends orders to those that differ from the
+// desired state. It returns the interval until the next call.
+func (c *Controller) reconcile(ctx context.Context) time.Duration {
+	sheet := c.opts.Tables.Current()
+	c.updateLoadCap(sheet.Models())
+	desired, rows := c.desired(sheet)
+	observed := c.observe(ctx, rows)
+	if converged(desired, observed) {
+		c.releaseLease(ctx)
+		return idleIntervalFactor * c.opts.Interval
 	}
-	if f.hold(ctx) {
-		f.carryOut(ctx, rows, f.rollout.Reconcile(time.Now(), f.lease.Epoch(), wanted, observed))
+	if c.ensureLease(ctx) {
+		c.execute(ctx, rows, c.rollout.Reconcile(time.Now(), c.lease.Epoch(), desired, observed))
 	}
-	return f.opts.Interval
+	return c.opts.Interval
 }
 
-func (f *Controller) wanted(sheet *table.Snapshot) ([]rollout.Desired, []*table.Target) {
+func (c *Controller) desired(sheet *table.Snapshot) ([]rollout.Desired, []*table.Target) {
 	var rows []*table.Target
-	var wanted []rollout.Desired
+	var desired []rollout.Desired
 	for _, t := range sheet.Targets() {
 		if t.Kind != table.KindEngine {
 			continue
 		}
 		rows = append(rows, t)
-		wanted = append(wanted, rollout.Desired{
+		desired = append(desired, rollout.Desired{
 			Target: t.ID, Model: t.Model, Version: sheet.TargetVersion(t), Adapter: t.Adapter, Role: t.Role,
 		})
 	}
-	return wanted, rows
+	return desired, rows
 }
 
-// observe reads the state of all engines at once.
-func (f *Controller) observe(ctx context.Context, rows []*table.Target) []rollout.Observed {
-	ctx, cancel := context.WithTimeout(ctx, f.opts.OrderTimeout)
+// observe reads the states of all engines concurrently.
+func (c *Controller) observe(ctx context.Context, rows []*table.Target) []rollout.Observed {
+	ctx, cancel := context.WithTimeout(ctx, c.opts.OrderTimeout)
 	defer cancel()
 	out := make([]rollout.Observed, len(rows))
 	var reads sync.WaitGroup
 	for i, t := range rows {
 		reads.Go(func() {
-			asked := time.Now()
-			state, err := f.opts.Targets.Client(*t).State(ctx)
+			readAt := time.Now()
+			state, err := c.opts.Targets.Client(*t).State(ctx)
 			out[i] = rollout.Observed{
 				Target:    t.ID,
 				State:     state,
-				ReadAt:    asked,
+				ReadAt:    readAt,
 				Reachable: err == nil,
-				Leaving:   f.opts.Leaving(t),
+				Leaving:   c.opts.Leaving(t),
 			}
 		})
 	}
@@ -201,93 +204,93 @@
 	return out
 }
 
-// asWanted tells whether no engine that can be reached lacks anything. No lease is
-// needed then, so duties cost the key-value service nothing most of the time.
-func asWanted(wanted []rollout.Desired, observed []rollout.Observed) bool {
-	for i, w := range wanted {
+// converged reports whether every reachable engine has the desired state. No lease is held
+// then, so that rollouts put no load on the key-value service most of the time.
+func converged(desired []rollout.Desired, observed []rollout.Observed) bool {
+	for i, want := range desired {
 		o := observed[i]
-		if o.Reachable && !o.Leaving && lacks(o.State, w) {
+		if o.Reachable && !o.Leaving && differs(o.State, want) {
 			return false
 		}
 	}
 	return true
 }
 
-func lacks(s engineapi.State, w rollout.Desired) bool {
-	return s.Version != w.Version ||
+func differs(s engineapi.State, want rollout.Desired) bool {
+	return s.Version != want.Version ||
 		s.Loading != "" ||
-		w.Role != "" && s.Role != w.Role ||
-		w.Adapter != "" && !slices.Contains(s.Adapters, w.Adapter)
+		want.Role != "" && s.Role != want.Role ||
+		want.Adapter != "" && !slices.Contains(s.Adapters, want.Adapter)
 }
 
-// hold acquires the duty's lease, or finds it still valid.
-func (f *Controller) hold(ctx context.Context) bool {
-	if f.lease != nil && f.lease.Valid() {
+// ensureLease acquires the rollout lease unless it is still valid.
+func (c *Controller) ensureLease(ctx context.Context) bool {
+	if c.lease != nil && c.lease.Valid() {
 		return true
 	}
-	l, err := f.opts.Leases.Acquire(ctx, leaseName)
-	f.set(l, nil)
+	l, err := c.opts.Leases.Acquire(ctx, leaseName)
+	c.setState(l, nil)
 	if err != nil && !errors.Is(err, lease.ErrHeld) {
-		f.log.Warn("Duty is not held; no orders are given", "error", err)
+		c.log.Warn("Failed to acquire the rollout lease; no orders are sent", "error", err)
 	}
 	return err == nil
 }
 
-func (f *Controller) carryOut(ctx context.Context, rows []*table.Target, actions []rollout.Action) {
+func (c *Controller) execute(ctx context.Context, rows []*table.Target, actions []rollout.Action) {
 	var waits []rollout.Wait
 	var sends sync.WaitGroup
 	for _, a := range actions {
 		switch a := a.(type) {
 		case rollout.Order:
-			sends.Go(func() { f.send(ctx, rows, a) })
+			sends.Go(func() { c.sendOrder(ctx, rows, a) })
 		case rollout.Wait:
 			waits = append(waits, a)
 		case rollout.StepDown:
-			f.log.Warn("A target has seen a higher epoch; the duty is given up", "epoch", a.Epoch)
-			f.giveUp(ctx)
+			c.log.Warn("A target reported a higher epoch; releasing the rollout lease", "epoch", a.Epoch)
+			c.releaseLease(ctx)
 			return
 		}
 	}
 	sends.Wait()
-	f.set(f.lease, waits)
+	c.setState(c.lease, waits)
 }
 
-// send gives one order, if the lease outlasts it. A holder that was paused past its
-// lease finds that out here, by its own clock. An answer that is lost is settled by
-// the next step, which reads the engine's state.
-func (f *Controller) send(ctx context.Context, rows []*table.Target, o rollout.Order) {
-	if !f.lease.MayAct(f.opts.OrderTimeout) {
-		f.log.Warn("Order was put off; the lease does not outlast it", "target", o.Target, "epoch", o.Order.Epoch)
+// sendOrder sends one order if the lease outlasts the order timeout. A holder that was
+// stalled past its lease detects this here by its own clock. If the answer is lost, the next
+// reconciliation reads the engine's state and settles the outcome.
+func (c *Controller) sendOrder(ctx context.Context, rows []*table.Target, o rollout.Order) {
+	if !c.lease.MayAct(c.opts.OrderTimeout) {
+		c.log.Warn("Order deferred because the lease would expire before the order timeout", "target", o.Target, "epoch", o.Order.Epoch)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, f.opts.OrderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.OrderTimeout)
 	defer cancel()
 	for _, t := range rows {
 		if t.ID != o.Target {
 			continue
 		}
-		f.orders.Inc(1)
-		f.log.Info("Order is given", "target", t.ID, "kind", o.Order.Kind, "version", o.Order.Version, "epoch", o.Order.Epoch)
-		if _, err := f.opts.Targets.Client(*t).Order(ctx, o.Order); err != nil {
-			f.log.Warn("Order was not acknowledged", "target", t.ID, "error", err)
+		c.orders.Inc(1)
+		c.log.Info("Sending order", "target", t.ID, "kind", o.Order.Kind, "version", o.Order.Version, "epoch", o.Order.Epoch)
+		if _, err := c.opts.Targets.Client(*t).Order(ctx, o.Order); err != nil {
+			c.log.Warn("Order was not acknowledged", "target", t.ID, "error", err)
 		}
 	}
 }
 
-// State is the duty in the dump of a daemon.
+// State is the state of the rollout in the debug dump of a daemon.
 type State struct {
-	Assigned bool           `json:"here"`  // the duty has its place on this daemon
+	Assigned bool           `json:"here"`  // the controller is assigned to this daemon
 	Epoch    uint64         `json:"epoch"` // 0: no lease is held
 	Waits    []rollout.Wait `json:"waits,omitempty"`
 }
 
-// State returns the dump.
-func (f *Controller) State() State {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	s := State{Assigned: f.opts.Assigned(), Waits: f.waits}
-	if f.lease != nil && f.lease.Valid() {
-		s.Epoch = f.lease.Epoch()
+// State returns the controller's state.
+func (c *Controller) State() State {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := State{Assigned: c.opts.Assigned(), Waits: c.waits}
+	if c.lease != nil && c.lease.Valid() {
+		s.Epoch = c.lease.Epoch()
 	}
 	return s
 }
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,6 +1,6 @@
-// Package limiter keeps organisations within their limits over all daemons. It runs
-// the pure halves of policy/limit: the home, which admits requests from slices, and
-// the steward, which leases slices of the organisations that belong to this daemon.
+// Package limiter enforces the limits of organisations across all daemons. It runs the pure
+// parts of policy/limit: the home, which admits requests against slices, and the
+// coordinator, which leases slices for the organisations that are assigned to this daemon.
 package limiter
 
 import (
@@ -21,18 +21,19 @@
 )
 
 const (
-	// tickInterval is how often lapsed slices are dropped and asks repeated.
+	// tickInterval is the interval at which expired slices are removed and slice requests
+	// are repeated.
 	tickInterval = 100 * time.Millisecond
-	// sliceTimeout bounds one question to a steward.
+	// sliceTimeout bounds one slice request to a coordinator.
 	sliceTimeout = 500 * time.Millisecond
 )
 
-// Tables gives the operators' table in force.
+// Tables provides the operators' effective table.
 type Tables interface {
 	Current() *table.Snapshot
 }
 
-// Members gives the soft places among the live daemons.
+// Members provides the daemons and the hashed assignments among the live ones.
 type Members interface {
 	Self() *peer.Member
 	Live() []*peer.Member
@@ -40,7 +41,7 @@
 	Place(key string) *peer.Member
 }
 
-// PeerDialer gives the twirp client of a peer.
+// PeerDialer provides the twirp client of a peer.
 type PeerDialer interface {
 	Steward(m *peer.Member) peer.Steward
 }
@@ -62,12 +63,12 @@
 
 	fetches sync.WaitGroup
 
-	mu      sync.Mutex
-	home    *limit.Home
-	steward *limit.Coordinator
-	changed map[request.OrgID]chan struct{} // closed when a slice has come or failed
-	live    []*peer.Member                  // as of the last tick
-	known   int
+	mu          sync.Mutex
+	home        *limit.Home
+	coordinator *limit.Coordinator
+	changed     map[request.OrgID]chan struct{} // closed when a slice request has succeeded or failed
+	live        []*peer.Member                  // as of the last tick
+	known       int
 }
 
 // New returns a limiter.
@@ -76,15 +77,15 @@
 		opts.Metrics = tally.NoopScope
 	}
 	return &Limiter{
-		opts:    opts,
-		log:     opts.Logger.Named("limiter"),
-		home:    limit.NewHome(opts.Params, 1),
-		steward: limit.NewCoordinator(time.Now(), opts.Params),
-		changed: map[request.OrgID]chan struct{}{},
+		opts:        opts,
+		log:         opts.Logger.Named("limiter"),
+		home:        limit.NewHome(opts.Params, 1),
+		coordinator: limit.NewCoordinator(time.Now(), opts.Params),
+		changed:     map[request.OrgID]chan struct{}{},
 	}
 }
 
-// limitsOf takes the limits from an organisation's row.
+// limitsOf returns the limits in an organisation's row.
 func limitsOf(o *table.Organisation) limit.Limits {
 	return limit.Limits{
 		RequestsPerSecond: o.RequestsPerSecond,
@@ -97,7 +98,7 @@
 // Admit implements gateway.Limiter.
 func (l *Limiter) Admit(ctx context.Context, org *table.Organisation, tokens int64) *request.Error {
 	for {
-		decision, changed := l.ask(org, tokens)
+		decision, changed := l.tryAdmit(org, tokens)
 		switch decision.Outcome {
 		case limit.Admitted:
 			return nil
@@ -113,7 +114,7 @@
 	}
 }
 
-func (l *Limiter) ask(org *table.Organisation, tokens int64) (limit.Decision, <-chan struct{}) {
+func (l *Limiter) tryAdmit(org *table.Organisation, tokens int64) (limit.Decision, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	decision := l.home.Admit(time.Now(), org.ID, limitsOf(org), tokens)
@@ -123,46 +124,46 @@
 		l.changed[org.ID] = changed
 	}
 	if decision.SliceRequest != nil {
-		l.fetches.Go(func() { l.fetch(*decision.SliceRequest) })
+		l.fetches.Go(func() { l.fetchSlice(*decision.SliceRequest) })
 	}
 	return decision, changed
 }
 
-// fetch asks the organisation's steward for a slice.
-func (l *Limiter) fetch(want limit.SliceRequest) {
+// fetchSlice requests a slice from the organisation's coordinator.
+func (l *Limiter) fetchSlice(req limit.SliceRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), sliceTimeout)
 	defer cancel()
-	slice, err := l.slice(ctx, want)
+	slice, err := l.requestSlice(ctx, req)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		l.log.Debug("Limit steward was not reached", "organisation", want.Org, "error", err)
-		l.home.OnSliceFailed(time.Now(), want.Org)
+		l.log.Debug("Slice request to the limit coordinator failed", "organisation", req.Org, "error", err)
+		l.home.OnSliceFailed(time.Now(), req.Org)
 	} else {
-		l.home.OnSlice(time.Now(), want.Org, slice)
+		l.home.OnSlice(time.Now(), req.Org, slice)
 	}
-	l.wake(want.Org)
+	l.wakeWaiters(req.Org)
 }
 
-func (l *Limiter) wake(org request.OrgID) {
+func (l *Limiter) wakeWaiters(org request.OrgID) {
 	if changed, ok := l.changed[org]; ok {
 		close(changed)
 		delete(l.changed, org)
 	}
 }
 
-func (l *Limiter) slice(ctx context.Context, want limit.SliceRequest) (limit.Slice, error) {
-	place := l.opts.Members.Place(placeKey(want.Org))
-	if place == nil || place.Id == l.opts.Members.Self().Id {
-		return l.sliceHere(l.opts.Members.Self().Id, want), nil
+func (l *Limiter) requestSlice(ctx context.Context, req limit.SliceRequest) (limit.Slice, error) {
+	coordinator := l.opts.Members.Place(assignmentKey(req.Org))
+	if coordinator == nil || coordinator.Id == l.opts.Members.Self().Id {
+		return l.grantSlice(l.opts.Members.Self().Id, req), nil
 	}
-	answer, err := l.opts.Peers.Steward(place).Slice(ctx, &peer.SliceRequest{
+	answer, err := l.opts.Peers.Steward(coordinator).Slice(ctx, &peer.SliceRequest{
 		From:            l.opts.Members.Self().Id,
-		Organisation:    string(want.Org),
-		WantRequests:    want.Requests,
-		WantConcurrency: want.Concurrency,
-		WantTokens:      want.Tokens,
-		UsedConcurrency: want.Used,
+		Organisation:    string(req.Org),
+		WantRequests:    req.Requests,
+		WantConcurrency: req.Concurrency,
+		WantTokens:      req.Tokens,
+		UsedConcurrency: req.Used,
 	})
 	if err != nil {
 		return limit.Slice{}, err
@@ -176,15 +177,15 @@
 	}, nil
 }
 
-// sliceHere leases a slice as the organisation's steward.
-func (l *Limiter) sliceHere(from string, want limit.SliceRequest) limit.Slice {
+// grantSlice leases a slice as the organisation's coordinator.
+func (l *Limiter) grantSlice(from string, req limit.SliceRequest) limit.Slice {
 	var limits limit.Limits
-	if org, ok := l.opts.Tables.Current().Organisation(want.Org); ok {
+	if org, ok := l.opts.Tables.Current().Organisation(req.Org); ok {
 		limits = limitsOf(org)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.steward.Slice(time.Now(), request.DaemonID(from), want.Org, limits, want)
+	return l.coordinator.Slice(time.Now(), request.DaemonID(from), req.Org, limits, req)
 }
 
 // Done implements gateway.Limiter.
@@ -196,7 +197,7 @@
 
 // Slice serves peer.Steward.
 func (l *Limiter) Slice(_ context.Context, r *peer.SliceRequest) (*peer.SliceResponse, error) {
-	slice := l.sliceHere(r.From, limit.SliceRequest{
+	slice := l.grantSlice(r.From, limit.SliceRequest{
 		Org:         request.OrgID(r.Organisation),
 		Requests:    r.WantRequests,
 		Concurrency: r.WantConcurrency,
@@ -212,7 +213,7 @@
 	}, nil
 }
 
-// Run follows the members and repeats asks until ctx ends.
+// Run tracks the members and repeats slice requests until ctx ends.
 func (l *Limiter) Run(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -226,7 +227,7 @@
 	}
 }
 
-// Shutdown waits for the questions under way. Nothing may be admitted any more.
+// Shutdown waits for pending slice requests. The caller must have stopped calling Admit.
 func (l *Limiter) Shutdown() { l.fetches.Wait() }
 
 func (l *Limiter) tick() {
@@ -235,39 +236,41 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.followMembers(now, live, known)
-	l.steward.Tick(now)
-	for _, want := range l.home.Tick(now) {
-		l.fetches.Go(func() { l.fetch(want) })
+	l.updateMembership(now, live, known)
+	l.coordinator.Tick(now)
+	for _, req := range l.home.Tick(now) {
+		l.fetches.Go(func() { l.fetchSlice(req) })
 	}
 }
 
-// followMembers tells both halves of a change of the fleet. The caller holds l.mu.
-func (l *Limiter) followMembers(now time.Time, live []*peer.Member, known int) {
-	before := l.live
-	if known == l.known && sameDaemons(before, live) {
+// updateMembership notifies the home and the coordinator of membership changes. The caller
+// holds l.mu.
+func (l *Limiter) updateMembership(now time.Time, live []*peer.Member, known int) {
+	previous := l.live
+	if known == l.known && sameIncarnations(previous, live) {
 		return
 	}
 	l.live, l.known = live, known
 	l.home.OnMembershipChange(known)
-	l.steward.OnMembershipChange(now, len(live), known)
-	l.steward.OnAssignmentsChanged(now)
+	l.coordinator.OnMembershipChange(now, len(live), known)
+	l.coordinator.OnAssignmentsChanged(now)
 	self := l.opts.Members.Self().Id
-	l.steward.ConfirmRetained(now, func(org request.OrgID) bool {
-		return isPlace(before, org, self) && isPlace(live, org, self)
+	l.coordinator.ConfirmRetained(now, func(org request.OrgID) bool {
+		return isCoordinator(previous, org, self) && isCoordinator(live, org, self)
 	})
 }
 
-func isPlace(live []*peer.Member, org request.OrgID, self string) bool {
-	place := membership.Place(live, placeKey(org))
-	return place != nil && place.Id == self
+func isCoordinator(live []*peer.Member, org request.OrgID, self string) bool {
+	coordinator := membership.Place(live, assignmentKey(org))
+	return coordinator != nil && coordinator.Id == self
 }
 
-// placeKey is the soft place of an organisation's limit steward.
-func placeKey(org request.OrgID) string { return "limit/" + string(org) }
+// assignmentKey returns the key by which an organisation is assigned to a limit coordinator.
+func assignmentKey(org request.OrgID) string { return "limit/" + string(org) }
 
-// sameDaemons tells whether two lists, ordered by id, name the same starts of daemons.
-func sameDaemons(a, b []*peer.Member) bool {
+// sameIncarnations reports whether two lists, ordered by ID, contain the same incarnations
+// of the same daemons.
+func sameIncarnations(a, b []*peer.Member) bool {
 	return slices.EqualFunc(a, b, func(x, y *peer.Member) bool {
 		return x.Id == y.Id && x.Incarnation == y.Incarnation
 	})
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -25,49 +25,49 @@
 	testRate  = 50.0
 	testBurst = 20.0
 	sliceTTL  = time.Second // limit.Params' default
-	// settleTTL is short, so that rates bound the test and not places.
+	// settleTTL is short, so that the test is bounded by rates and not by concurrency slots.
 	settleTTL = 50 * time.Millisecond
 )
 
-// daemons is limiters that ask each other over twirp.
-type daemons struct {
-	list    []*Limiter
-	servers []*httptest.Server
-	members []*peer.Member
-	steward atomic.Int32 // index of the daemon that all take for the steward
-	live    atomic.Pointer[[]*peer.Member]
-	down    atomic.Bool // no steward can be reached
-	alone   atomic.Bool // each daemon takes itself for the steward
-	client  *http.Client
+// testCluster is a set of limiters that call each other over twirp.
+type testCluster struct {
+	limiters    []*Limiter
+	servers     []*httptest.Server
+	members     []*peer.Member
+	coordinator atomic.Int32 // index of the daemon that all daemons regard as coordinator
+	live        atomic.Pointer[[]*peer.Member]
+	partitioned atomic.Bool // no daemon can reach another daemon's coordinator
+	independent atomic.Bool // each daemon regards itself as coordinator
+	client      *http.Client
 }
 
-// place is the view of one daemon.
-type place struct {
-	*daemons
+// memberView is the membership as seen by one daemon.
+type memberView struct {
+	*testCluster
 	self int
 }
 
-func (p place) Self() *peer.Member      { return p.members[p.self] }
-func (p place) Live() []*peer.Member    { return *p.live.Load() }
-func (p place) Members() []*peer.Member { return p.members }
+func (v memberView) Self() *peer.Member      { return v.members[v.self] }
+func (v memberView) Live() []*peer.Member    { return *v.live.Load() }
+func (v memberView) Members() []*peer.Member { return v.members }
 
-// Place is the steward; each daemon itself in the naive twin, where each counts alone.
-func (p place) Place(string) *peer.Member {
-	if p.alone.Load() {
-		return p.members[p.self]
+// Place returns the coordinator. If the daemons are independent, each is its own coordinator.
+func (v memberView) Place(string) *peer.Member {
+	if v.independent.Load() {
+		return v.members[v.self]
 	}
-	return p.members[p.steward.Load()]
+	return v.members[v.coordinator.Load()]
 }
 
-func (p place) Steward(m *peer.Member) peer.Steward {
+func (v memberView) Steward(m *peer.Member) peer.Steward {
 	url := "http://" + m.PeerAddress
-	if p.down.Load() {
+	if v.partitioned.Load() {
 		url = "http://127.0.0.1:1"
 	}
-	return peer.NewStewardProtobufClient(url, p.client)
+	return peer.NewStewardProtobufClient(url, v.client)
 }
 
-// sliceServer is the limiter's half of peer.Steward.
+// sliceServer serves the Slice method of peer.Steward.
 type sliceServer struct {
 	peer.Steward
 	*Limiter
@@ -84,44 +84,44 @@
 	})
 }
 
-func startDaemons(t *testing.T, replica *table.Replica, n int) *daemons {
+func startCluster(t *testing.T, replica *table.Replica, n int) *testCluster {
 	t.Helper()
-	d := &daemons{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
+	cluster := &testCluster{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 	ctx, stop := context.WithCancel(context.Background())
 	var runs sync.WaitGroup
 	for i := range n {
-		d.members = append(d.members, &peer.Member{Id: fmt.Sprintf("d%d", i)})
-		l := New(Options{Tables: replica, Members: place{d, i}, Peers: place{d, i}, Params: limit.Params{SettleTTL: settleTTL}, Logger: hclog.NewNullLogger()})
+		cluster.members = append(cluster.members, &peer.Member{Id: fmt.Sprintf("d%d", i)})
+		l := New(Options{Tables: replica, Members: memberView{cluster, i}, Peers: memberView{cluster, i}, Params: limit.Params{SettleTTL: settleTTL}, Logger: hclog.NewNullLogger()})
 		server := httptest.NewServer(peer.NewStewardServer(sliceServer{Limiter: l}))
-		d.members[i].PeerAddress = server.Listener.Addr().String()
-		d.list, d.servers = append(d.list, l), append(d.servers, server)
+		cluster.members[i].PeerAddress = server.Listener.Addr().String()
+		cluster.limiters, cluster.servers = append(cluster.limiters, l), append(cluster.servers, server)
 	}
-	d.live.Store(&d.members)
-	for _, l := range d.list {
+	cluster.live.Store(&cluster.members)
+	for _, l := range cluster.limiters {
 		runs.Go(func() { l.Run(ctx) })
 	}
 	t.Cleanup(func() {
 		stop()
 		runs.Wait()
-		for i, l := range d.list {
+		for i, l := range cluster.limiters {
 			l.Shutdown()
-			d.servers[i].Close()
+			cluster.servers[i].Close()
 		}
-		d.client.CloseIdleConnections()
+		cluster.client.CloseIdleConnections()
 	})
-	return d
+	return cluster
 }
 
-// flood has callers ask all daemons as fast as they may for so long, and returns how many
-// were admitted and how long it took.
-func (d *daemons) flood(org *table.Organisation, long time.Duration) (admitted int64, took time.Duration) {
+// generateLoad makes callers send requests to all daemons as fast as permitted for the given
+// duration. It returns the number of admitted requests and the elapsed time.
+func (cluster *testCluster) generateLoad(org *table.Organisation, duration time.Duration) (admitted int64, elapsed time.Duration) {
 	var count atomic.Int64
 	started := time.Now()
 	var callers sync.WaitGroup
-	for _, l := range d.list {
+	for _, l := range cluster.limiters {
 		for range 4 {
 			callers.Go(func() {
-				for time.Since(started) < long {
+				for time.Since(started) < duration {
 					refusal := l.Admit(context.Background(), org, 1)
 					if refusal == nil {
 						count.Add(1)
@@ -137,43 +137,44 @@
 	return count.Load(), time.Since(started)
 }
 
-// Callers spread over three daemons get three times their limit if each daemon counts
-// for itself; callers of a daemon that has lost the steward get nothing if it is closed,
-// or everything if it is open. The bounds are those of docs/design/limits.md.
-func TestLimitHoldsOverDaemons(t *testing.T) {
-	const n, long = 3, 1500 * time.Millisecond
+// Callers of three daemons get three times their limit if each daemon enforces it
+// independently. If a daemon loses its coordinator, its callers would get nothing if it
+// failed closed, or everything if it failed open. The bounds are those of
+// docs/design/limits.md.
+func TestLimitAcrossDaemons(t *testing.T) {
+	const n, duration = 3, 1500 * time.Millisecond
 	replica := loadTable(t)
 	org, _ := replica.Current().Organisation("atlas")
-	naive := startDaemons(t, replica, n)
-	naive.alone.Store(true)
-	admitted, took := naive.flood(org, long)
-	if bound := testBurst + testRate*(took+sliceTTL).Seconds(); float64(admitted) <= bound {
-		t.Fatalf("daemons that count alone admitted %d of %.0f: the test shows nothing", admitted, bound)
+	naive := startCluster(t, replica, n)
+	naive.independent.Store(true)
+	admitted, elapsed := naive.generateLoad(org, duration)
+	if bound := testBurst + testRate*(elapsed+sliceTTL).Seconds(); float64(admitted) <= bound {
+		t.Fatalf("independent daemons admitted %d, within the bound of %.0f: the test shows nothing", admitted, bound)
 	}
-	d := startDaemons(t, replica, n)
+	cluster := startCluster(t, replica, n)
 	check := func(what string, admitted int64, bound float64) {
 		t.Helper()
 		if float64(admitted) > bound || admitted == 0 {
 			t.Fatalf("%s: %d admitted, want 1 to %.0f", what, admitted, bound)
 		}
 	}
-	admitted, took = d.flood(org, long)
-	check("one steward", admitted, testBurst+testRate*(took+sliceTTL).Seconds())
-
-	d.down.Store(true)
-	admitted, took = d.flood(org, long)
-	// Each that has lost the steward goes on at its share; the steward's own callers are
-	// still admitted from its bucket.
-	share := n * (2 + testBurst/n + testRate/n*took.Seconds())
-	check("steward lost", admitted, testBurst+testRate*(took+sliceTTL).Seconds()+share)
-
-	d.down.Store(false)
-	d.steward.Store(1)
-	restarted := slices.Clone(d.members)
-	restarted[0] = &peer.Member{Id: "d0", PeerAddress: d.members[0].PeerAddress, Incarnation: 1}
-	d.live.Store(&restarted)
-	admitted, took = d.flood(org, long)
-	check("another steward", admitted, testBurst+testRate*(took+sliceTTL).Seconds()+1+testRate*sliceTTL.Seconds()+share)
+	admitted, elapsed = cluster.generateLoad(org, duration)
+	check("one coordinator", admitted, testBurst+testRate*(elapsed+sliceTTL).Seconds())
+
+	cluster.partitioned.Store(true)
+	admitted, elapsed = cluster.generateLoad(org, duration)
+	// Daemons without a coordinator continue with their share of the limit. The coordinator
+	// still admits its own callers from its bucket.
+	share := n * (2 + testBurst/n + testRate/n*elapsed.Seconds())
+	check("coordinator unreachable", admitted, testBurst+testRate*(elapsed+sliceTTL).Seconds()+share)
+
+	cluster.partitioned.Store(false)
+	cluster.coordinator.Store(1)
+	restarted := slices.Clone(cluster.members)
+	restarted[0] = &peer.Member{Id: "d0", PeerAddress: cluster.members[0].PeerAddress, Incarnation: 1}
+	cluster.live.Store(&restarted)
+	admitted, elapsed = cluster.generateLoad(org, duration)
+	check("new coordinator", admitted, testBurst+testRate*(elapsed+sliceTTL).Seconds()+1+testRate*sliceTTL.Seconds()+share)
 }
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/planner/budget.go
+++ b/internal/planner/budget.go
@@ -12,12 +12,12 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// chunkPause is how long an export that may not use the link now waits before it asks
-// again.
-const chunkPause = 20 * time.Millisecond
+// chunkRetryInterval is how long an export waits before it tries again to reserve link
+// capacity.
+const chunkRetryInterval = 20 * time.Millisecond
 
-// budget returns the budget of a store VM's link, at its present rate. The caller
-// holds p.mu.
+// budget returns the budget of a store VM's link, updated to the link's current rate.
+// The caller holds p.mu.
 func (p *Planner) budget(id request.StoreID) *retention.Budget {
 	rate := p.links.State(id, time.Now()).BytesPerSec
 	b, ok := p.budgets[id]
@@ -29,10 +29,11 @@
 	return b
 }
 
-// allow asks for leave to carry some of an export's bytes now. Transfers of other
-// daemons show only in the store VM's queue; while it is longer than a chunk, a caller
-// somewhere is likely to be waiting for it.
-func (p *Planner) allow(id request.StoreID, bytes, unit int64) int64 {
+// reserveBytes reserves link capacity for an export and returns the number of bytes that
+// it may transfer now; zero defers the export. Transfers of other daemons are visible only
+// in the store VM's queue. If the queue is longer than a chunk, a caller is probably
+// waiting for an import, and the export yields to it.
+func (p *Planner) reserveBytes(id request.StoreID, bytes, unit int64) int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -43,39 +44,39 @@
 	return b.Ask(retention.Exporting, bytes, unit, now)
 }
 
-func (p *Planner) done(id request.StoreID, class retention.Class, bytes int64) {
+func (p *Planner) releaseBytes(id request.StoreID, class retention.Class, bytes int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget(id).Done(class, bytes)
 }
 
-// write has a target write blocks to a store VM, a chunk at a time. Written in one go,
-// an export of a long context holds the link for most of a second, and a caller whose
-// context is being brought back waits behind it.
-func (p *Planner) write(
+// writeChunks makes a target write blocks to a store VM, one chunk at a time. As a single
+// transfer, the export of a long context would occupy the link for most of a second and
+// delay callers whose contexts are being imported.
+func (p *Planner) writeChunks(
 	ctx context.Context, row table.Target, id request.StoreID, r engineapi.ExportRequest, unit int64,
 ) ([]engineapi.ExportedBlock, error) {
 	var written []engineapi.ExportedBlock
-	left := r.Blocks
-	for len(left) > 0 {
-		granted := p.allow(id, int64(len(left))*unit, unit)
+	remaining := r.Blocks
+	for len(remaining) > 0 {
+		granted := p.reserveBytes(id, int64(len(remaining))*unit, unit)
 		if granted == 0 {
 			p.deferredChunks.Inc(1)
-			if sleep.For(ctx, chunkPause) != nil {
+			if sleep.For(ctx, chunkRetryInterval) != nil {
 				return nil, ctx.Err()
 			}
 			continue
 		}
-		n := min(len(left), max(1, int(granted/unit)))
-		done, err := p.writeChunk(ctx, row, id, r, left[:n], granted)
+		n := min(len(remaining), max(1, int(granted/unit)))
+		chunk, err := p.writeChunk(ctx, row, id, r, remaining[:n], granted)
 		if err != nil {
 			return nil, err
 		}
-		written = append(written, done...)
-		if len(done) < n {
+		written = append(written, chunk...)
+		if len(chunk) < n {
 			return written, nil
 		}
-		left = left[n:]
+		remaining = remaining[n:]
 	}
 	return written, nil
 }
@@ -83,7 +84,7 @@
 func (p *Planner) writeChunk(
 	ctx context.Context, row table.Target, id request.StoreID, r engineapi.ExportRequest, blocks []block.Hash, granted int64,
 ) ([]engineapi.ExportedBlock, error) {
-	defer p.done(id, retention.Exporting, granted)
+	defer p.releaseBytes(id, retention.Exporting, granted)
 	r.Blocks = blocks
 	answer, err := p.opts.Targets.Client(row).Export(ctx, r)
 	if err != nil {
--- a/internal/planner/budget_test.go
+++ b/internal/planner/budget_test.go
@@ -11,49 +11,49 @@
 	"github.com/bluebellscale/bluebellscale/internal/storeapi"
 )
 
-// A caller's context is on its way from a store VM when another context is exported
-// there. Written in one go, the export's blocks take turns with the caller's on the
-// link, and the caller waits for both. In chunks under the budget none is written
-// while the import runs. The test counts bytes, not time.
-func TestExportStandsBackWhileAnImportRuns(t *testing.T) {
+// Tests an export to a store VM during an import from it. If the export is a single
+// transfer, its blocks alternate with those of the import on the link, and the caller waits
+// for both. An export that writes chunks under the budget writes none while the import
+// runs. The test counts bytes, not time.
+func TestExportYieldsToRunningImport(t *testing.T) {
 	const blocks = 40
 	for _, naive := range []bool{true, false} {
-		w := newWorld(t, standin.Options{MemoryBytes: 1 << 30})
-		p := w.planner()
-		c := contextOf(testScope, text("context", blocks))
-		w.compute(c, text("context", blocks))
+		env := newTestEnv(t, standin.Options{MemoryBytes: 1 << 30})
+		p := env.planner()
+		c := contextOf(testOrg, text("context", blocks))
+		env.compute(c, text("context", blocks))
 		request := engineapi.ExportRequest{
-			StoreAddress: w.store.Address(),
+			StoreAddress: env.store.Address(),
 			Prefix:       store.Prefix(c.Scope, p.nextGeneration(c.Chain)),
 			Blocks:       c.Chain,
 		}
 		copied := gateway.Copy{Store: "store-1", Tier: storeapi.TierMemory}
 		importing := p.startTransfer(copied, blocks*blockLength)
 		if naive {
-			_, err := p.writeChunk(w.ctx, w.row(1), "store-1", request, request.Blocks, 0)
-			w.check(err)
-			if w.used() != blocks*blockLength {
-				t.Fatal("the naive export was expected to use the link beside the import")
+			_, err := p.writeChunk(env.ctx, env.row(1), "store-1", request, request.Blocks, 0)
+			env.check(err)
+			if env.storeMemoryUsed() != blocks*blockLength {
+				t.Fatal("the export without a budget did not use the link during the import")
 			}
 			continue
 		}
 		done := make(chan error, 1)
 		go func() {
-			_, err := p.write(w.ctx, w.row(1), "store-1", request, blockLength)
+			_, err := p.writeChunks(env.ctx, env.row(1), "store-1", request, blockLength)
 			done <- err
 		}()
-		w.await("the export to ask for leave in vain", func() bool {
-			deferred := w.metrics.Snapshot().Counters()["export_chunks_deferred+"]
+		env.await("the export to be deferred", func() bool {
+			deferred := env.metrics.Snapshot().Counters()["export_chunks_deferred+"]
 			return deferred != nil && deferred.Value() > 1
 		})
-		if used := w.used(); used != 0 {
-			t.Fatalf("%d bytes were written beside the import", used)
+		if used := env.storeMemoryUsed(); used != 0 {
+			t.Fatalf("%d bytes were written during the import", used)
 		}
 		p.endTransfer("store-1", importing, blocks*blockLength, nil, false)
-		p.done("store-1", retention.Caller, blocks*blockLength)
-		w.check(<-done)
-		if w.used() != blocks*blockLength {
-			t.Fatalf("%d bytes were written after the import", w.used())
+		p.releaseBytes("store-1", retention.Caller, blocks*blockLength)
+		env.check(<-done)
+		if env.storeMemoryUsed() != blocks*blockLength {
+			t.Fatalf("%d bytes were written after the import", env.storeMemoryUsed())
 		}
 	}
 }
--- a/internal/planner/export.go
+++ b/internal/planner/export.go
@@ -18,17 +18,17 @@
 const (
 	// exportTimeout bounds one export.
 	exportTimeout = 2 * time.Minute
-	// maxExports is how many exports this daemon runs at once. Each writes a chunk only
-	// when its link is free, so most of them wait. More are dropped: an export that waits
-	// long would write blocks that have been evicted.
+	// maxExports is the number of exports that this daemon runs at once. Most of them wait,
+	// because each writes a chunk only when its link is free. Further exports are dropped:
+	// after a long wait, the target would have evicted the blocks.
 	maxExports = 32
-	// freeTimeout bounds the freeing of one old export.
+	// freeTimeout bounds the deletion of one superseded export.
 	freeTimeout = 10 * time.Second
 )
 
-// keep frees what was forgotten and exports a context after its answer if that is
-// worth it. It returns at once.
-func (p *Planner) keep(c gateway.Context, on request.TargetID, forgotten []contextdir.Action) {
+// exportInBackground frees the exports that the directory dropped and, if the retention
+// policy asks for it, exports a context after its answer. It returns immediately.
+func (p *Planner) exportInBackground(c gateway.Context, on request.TargetID, actions []contextdir.Action) {
 	select {
 	case p.exporting <- struct{}{}:
 	default:
@@ -41,7 +41,7 @@
 		defer func() { <-p.exporting }()
 		ctx, cancel := context.WithTimeout(p.ctx, exportTimeout)
 		defer cancel()
-		p.free(forgotten)
+		p.freeExports(actions)
 		if err := p.export(ctx, c, on); err != nil {
 			p.failedExports.Inc(1)
 			p.log.Debug("Export failed", "target", on, "error", err)
@@ -55,45 +55,46 @@
 	if !ok || len(c.Chain) == 0 {
 		return nil
 	}
-	order, wanted := p.exportOrder(ctx, sheet, c)
-	if !wanted {
+	order, worthwhile := p.exportOrder(ctx, sheet, c)
+	if !worthwhile {
 		return nil
 	}
 	address, ok := storeAddress(sheet, order.Store)
 	if !ok {
 		return nil
 	}
-	earlier := p.earlier(ctx, c, order, address)
+	base := p.baseManifest(ctx, c, order, address)
 	generation := p.nextGeneration(c.Chain)
-	written, err := p.write(ctx, *row, order.Store, engineapi.ExportRequest{
+	written, err := p.writeChunks(ctx, *row, order.Store, engineapi.ExportRequest{
 		StoreAddress: address,
 		Prefix:       store.Prefix(c.Scope, generation),
-		Blocks:       c.Chain[len(earlier.Blocks):order.To],
+		Blocks:       c.Chain[len(base.Blocks):order.To],
 	}, max(1, p.bytesOf(c.Scope.Model, 1)))
 	if err != nil || len(written) == 0 {
 		return err
 	}
-	return p.commit(ctx, c, order.Store, address, earlier.Extend(generation, written))
+	return p.commit(ctx, c, order.Store, address, base.Extend(generation, written))
 }
 
-// earlier returns the manifest that an export extends, or an empty one if there is none
-// or it no longer fits. Only its own blocks need then not be written again.
-func (p *Planner) earlier(ctx context.Context, c gateway.Context, order retention.ExportOrder, address string) store.Manifest {
-	none := store.Manifest{Org: c.Scope.Org, Model: c.Scope.Model, Version: c.Scope.Version}
+// baseManifest returns the manifest that an export extends, or an empty one if there is
+// none or if it no longer matches the context. Blocks of the base manifest are not written
+// again.
+func (p *Planner) baseManifest(ctx context.Context, c gateway.Context, order retention.ExportOrder, address string) store.Manifest {
+	empty := store.Manifest{Org: c.Scope.Org, Model: c.Scope.Model, Version: c.Scope.Version}
 	ref, err := parseReference(order.Extends)
 	if err != nil || ref.scope != c.Scope {
-		return none
+		return empty
 	}
 	m, err := p.stores.client(order.Store, address).GetManifest(ctx, c.Scope, ref.generation, ref.tail)
-	if err != nil || len(leadingOf(m, c.Chain, order.To)) != len(m.Blocks) {
-		return none
+	if err != nil || len(matchingBlocks(m, c.Chain, order.To)) != len(m.Blocks) {
+		return empty
 	}
 	return m
 }
 
-// commit writes the manifest, after all blocks, and only then tells the directory.
-// Before the manifest exists no reader can find the blocks, so an export that stops
-// half way leaves garbage but never half a context.
+// commit writes the manifest after all blocks and then updates the directory. Readers find
+// blocks only through the manifest, so that an interrupted export leaves garbage but never
+// a partial context.
 func (p *Planner) commit(ctx context.Context, c gateway.Context, id request.StoreID, address string, m store.Manifest) error {
 	if err := m.Check(c.Scope, c.Chain); err != nil {
 		return err
@@ -111,12 +112,13 @@
 		Bytes:    m.Bytes(),
 	})
 	p.mu.Unlock()
-	p.free(actions, m)
+	p.freeExports(actions, m)
 	return nil
 }
 
-// free deletes exports that no context uses any more, but no block that is in kept.
-func (p *Planner) free(actions []contextdir.Action, kept ...store.Manifest) {
+// freeExports deletes exports that no context uses any longer, except for blocks that are
+// listed in retained.
+func (p *Planner) freeExports(actions []contextdir.Action, retained ...store.Manifest) {
 	for _, a := range actions {
 		if a.Kind != contextdir.FreeManifest {
 			continue
@@ -125,13 +127,13 @@
 		if !ok {
 			continue
 		}
-		if err := p.freeOne(a.Copy, address, kept); err != nil {
-			p.log.Debug("Old export was not freed", "store", a.Copy.Store, "error", err)
+		if err := p.freeExport(a.Copy, address, retained); err != nil {
+			p.log.Debug("Failed to free an unused export", "store", a.Copy.Store, "error", err)
 		}
 	}
 }
 
-func (p *Planner) freeOne(c contextdir.Copy, address string, kept []store.Manifest) error {
+func (p *Planner) freeExport(c contextdir.Copy, address string, retained []store.Manifest) error {
 	ctx, cancel := context.WithTimeout(p.ctx, freeTimeout)
 	defer cancel()
 	ref, err := parseReference(c.Manifest)
@@ -143,11 +145,11 @@
 	if err != nil {
 		return err
 	}
-	return p.deleteExport(ctx, client, m, kept...)
+	return p.deleteExport(ctx, client, m, retained...)
 }
 
 func (p *Planner) exportOrder(ctx context.Context, sheet *table.Snapshot, c gateway.Context) (retention.ExportOrder, bool) {
-	rooms := p.rooms(ctx, sheet)
+	spaces := p.storeSpace(ctx, sheet)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.directory.Lookup(c.Scope, c.Chain)
@@ -158,17 +160,17 @@
 	return retention.Export(retention.DefaultParams(), retention.Answered{
 		Blocks: len(c.Chain),
 		Copies: l.Copies,
-	}, rooms, block.TokensPerBlock*model.BytesPerToken)
+	}, spaces, block.TokensPerBlock*model.BytesPerToken)
 }
 
-// rooms asks the store VMs what they have left.
-func (p *Planner) rooms(ctx context.Context, sheet *table.Snapshot) []retention.Room {
+// storeSpace reads the used and total space of all store VMs.
+func (p *Planner) storeSpace(ctx context.Context, sheet *table.Snapshot) []retention.Room {
 	var out []retention.Room
 	for _, s := range sheet.Stores() {
 		status, err := p.stores.status(ctx, s)
-		room := roomOf(s.ID, status)
-		room.Down = err != nil
-		out = append(out, room)
+		space := spaceOf(s.ID, status)
+		space.Down = err != nil
+		out = append(out, space)
 	}
 	return out
 }
--- a/internal/planner/free.go
+++ b/internal/planner/free.go
@@ -11,46 +11,48 @@
 	"github.com/bluebellscale/bluebellscale/internal/store"
 )
 
-// maxUnfreed bounds how many exports wait to be freed to the end. The oldest are
-// forgotten first; their blocks then stay.
-const maxUnfreed = 1024
+// maxPendingDeletes bounds the number of exports whose deletion is pending. Beyond it the
+// oldest are dropped, and their blocks remain in the store VM.
+const maxPendingDeletes = 1024
 
-// unfreed is an export whose manifest is gone, while a reader still has its blocks
+// pendingDelete is an export whose manifest is deleted and whose blocks a reader still has
 // pinned.
-type unfreed struct {
+type pendingDelete struct {
 	store    request.StoreID
 	manifest store.Manifest
 }
 
-// deleteExport frees an export, but no block that one of kept, or another export of
-// the same context in the store VM, lists too.
+// deleteExport deletes an export, except for blocks that are also listed by a manifest of
+// retained or by another export of the same context in the store VM.
 //
-// The failures: a process dies between writing the manifest of a longer export and
-// freeing the earlier one, or two daemons extend one export while the context's place
-// moves. Whichever is freed first takes the blocks that both list, and the other brings
-// nothing back. And a caller that reads an export while it is freed has its blocks
-// pinned; nothing lists them any more once the manifest is gone, so that the store VM
-// fills up with them. Why the guards hold: exports of one context begin with one hash,
-// by which the store VM lists them; and what is pinned is tried again until it is free.
-func (p *Planner) deleteExport(ctx context.Context, client *store.Client, m store.Manifest, kept ...store.Manifest) error {
-	if len(m.Garbage(kept...)) > 0 {
-		others, err := p.sharing(ctx, client, m)
+// Exports share blocks if a process crashes between writing the manifest of a longer
+// export and deleting the earlier one, or if two daemons extend one export while the
+// context is reassigned to another daemon. Deleting all blocks of one export would make
+// the other unusable. The generations of all exports of a context begin with the same
+// hash, by which the store VM lists them.
+//
+// Blocks that a caller is reading are pinned and can't be deleted. Without a manifest they
+// are no longer listed and would fill the store VM, so their deletion is retried until the
+// pins are released.
+func (p *Planner) deleteExport(ctx context.Context, client *store.Client, m store.Manifest, retained ...store.Manifest) error {
+	if len(m.Garbage(retained...)) > 0 {
+		others, err := p.exportsSharingBlocks(ctx, client, m)
 		if err != nil {
 			return err
 		}
-		kept = append(slices.Clone(kept), others...)
+		retained = append(slices.Clone(retained), others...)
 	}
-	err := client.DeleteExport(ctx, m, kept...)
+	err := client.DeleteExport(ctx, m, retained...)
 	if errors.Is(err, store.ErrPinned) {
-		p.freeLater(unfreed{store: client.ID(), manifest: m})
+		p.addPendingDelete(pendingDelete{store: client.ID(), manifest: m})
 	}
 	return err
 }
 
-// sharing returns the exports that list blocks which m lists.
-func (p *Planner) sharing(ctx context.Context, client *store.Client, m store.Manifest) ([]store.Manifest, error) {
+// exportsSharingBlocks returns the other exports that list some of the blocks of m.
+func (p *Planner) exportsSharingBlocks(ctx context.Context, client *store.Client, m store.Manifest) ([]store.Manifest, error) {
 	head, _, _ := strings.Cut(string(m.Generation), ".")
-	listed, err := client.List(ctx, store.PrefixOfGenerations(m.Scope(), head+"."), store.ManifestMark, maxRecovered)
+	listed, err := client.List(ctx, store.PrefixOfGenerations(m.Scope(), head+"."), store.ManifestMark, maxListed)
 	if err != nil {
 		return nil, err
 	}
@@ -66,43 +68,43 @@
 	return out, nil
 }
 
-func (p *Planner) freeLater(u unfreed) {
+func (p *Planner) addPendingDelete(u pendingDelete) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unfreed = append(p.unfreed, u)
-	if len(p.unfreed) > maxUnfreed {
-		p.unfreed = p.unfreed[1:]
+	p.pendingDeletes = append(p.pendingDeletes, u)
+	if len(p.pendingDeletes) > maxPendingDeletes {
+		p.pendingDeletes = p.pendingDeletes[1:]
 	}
 }
 
-// freeAgain frees what was pinned before.
-func (p *Planner) freeAgain(ctx context.Context, client *store.Client) {
-	for _, u := range p.takeUnfreed(client.ID()) {
+// retryPendingDeletes retries the deletion of exports whose blocks were pinned.
+func (p *Planner) retryPendingDeletes(ctx context.Context, client *store.Client) {
+	for _, u := range p.takePendingDeletes(client.ID()) {
 		err := p.deleteExport(ctx, client, u.manifest)
 		if err != nil && !errors.Is(err, store.ErrPinned) {
-			p.freeLater(u)
+			p.addPendingDelete(u)
 		}
 	}
 }
 
-func (p *Planner) takeUnfreed(id request.StoreID) []unfreed {
+func (p *Planner) takePendingDeletes(id request.StoreID) []pendingDelete {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var taken, left []unfreed
-	for _, u := range p.unfreed {
+	var taken, remaining []pendingDelete
+	for _, u := range p.pendingDeletes {
 		if u.store == id {
 			taken = append(taken, u)
 		} else {
-			left = append(left, u)
+			remaining = append(remaining, u)
 		}
 	}
-	p.unfreed = left
+	p.pendingDeletes = remaining
 	return taken
 }
 
-// hasUnfreed tells whether a store VM is to be looked at for what was pinned.
-func (p *Planner) hasUnfreed(id request.StoreID) bool {
+// hasPendingDeletes reports whether exports in a store VM await deletion.
+func (p *Planner) hasPendingDeletes(id request.StoreID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.unfreed, func(u unfreed) bool { return u.store == id })
+	return slices.ContainsFunc(p.pendingDeletes, func(u pendingDelete) bool { return u.store == id })
 }
--- a/internal/planner/import.go
+++ b/internal/planner/import.go
@@ -15,43 +15,45 @@
 	"github.com/bluebellscale/bluebellscale/internal/store"
 )
 
-// pinSlack is how much longer than an import its blocks stay pinned.
+// pinSlack is how long the blocks of an import stay pinned after its deadline.
 const pinSlack = 5 * time.Second
 
-// importSpan returns the first block to bring of a copy and the one after the last.
+// importRange returns the first block of a copy to import and the one after the last.
 //
-// What a plan imports in part, the target computes meanwhile. In a causal model a
-// block needs all that come before it, so the target computes the leading blocks and
-// the last ones are brought: the target reaches them last. It looks for blocks before
-// each piece that it computes, and uses a block only if it has its whole prefix, so
-// one that comes too late is computed, and none is ever used under another prefix.
-func importSpan(o placement.Option, copied int) (from, to int) {
+// In an overlapped plan the target computes some blocks while others are imported. A block
+// of a causal model depends on all blocks before it, so the target computes the leading
+// blocks, and the last ones, which it reaches last, are imported. Before each piece of
+// prefill the target looks up cached blocks, and it uses a block only if the complete
+// prefix of the block is present. A block that arrives too late is therefore computed, and
+// no block is used under another prefix.
+func importRange(o placement.Option, copyBlocks int) (from, to int) {
 	if o.Kind != placement.ImportHead || !o.Overlapped {
 		return 0, o.ImportBlocks
 	}
-	to = min(copied, o.PromptBlocks)
+	to = min(copyBlocks, o.PromptBlocks)
 	return to - (o.ImportBlocks - o.ReuseBlocks), to
 }
 
-// Bring implements gateway.Contexts. The caller waits no longer than the import is
-// worth; whatever has not come by then is prefilled by the target. It does not wait at
-// all if the target is to compute the blocks before those that are brought.
+// Bring implements gateway.Contexts. It waits for the import until choice.Import.Deadline,
+// beyond which waiting costs more than prefilling; the target prefills the blocks that have
+// not arrived by then. If the target is to compute the blocks before the imported ones,
+// Bring returns immediately.
 func (p *Planner) Bring(ctx context.Context, c gateway.Context, choice gateway.Choice) {
 	if choice.Import.From == 0 {
-		p.bringNow(ctx, c, choice)
+		p.runImport(ctx, c, choice)
 		return
 	}
-	p.background.Go(func() { p.bringNow(p.ctx, c, choice) })
+	p.background.Go(func() { p.runImport(p.ctx, c, choice) })
 }
 
-func (p *Planner) bringNow(ctx context.Context, c gateway.Context, choice gateway.Choice) {
+func (p *Planner) runImport(ctx context.Context, c gateway.Context, choice gateway.Choice) {
 	im := choice.Import
 	ctx, cancel := context.WithTimeout(ctx, im.Deadline)
 	defer cancel()
 	id := p.startTransfer(im.Copy, im.Bytes)
-	defer p.done(im.Copy.Store, retention.Caller, im.Bytes)
-	imported, err := p.bring(ctx, c, choice)
-	// Blocks that the target had count as imported, and did not use the link.
+	defer p.releaseBytes(im.Copy.Store, retention.Caller, im.Bytes)
+	imported, err := p.importCopy(ctx, c, choice)
+	// Blocks that the target already had count as imported but did not use the link.
 	p.endTransfer(im.Copy.Store, id, min(imported, im.Bytes), err, ctx.Err() != nil)
 	if err == nil {
 		p.imports.Inc(1)
@@ -59,7 +61,7 @@
 	}
 	p.failedImports.Inc(1)
 	p.log.Debug("Import failed", "store", im.Copy.Store, "target", choice.Target.ID, "error", err)
-	if errors.Is(err, store.ErrMiss) || errors.Is(err, errTorn) {
+	if errors.Is(err, store.ErrMiss) || errors.Is(err, errCorrupt) {
 		p.mu.Lock()
 		p.directory.Freed(im.Copy.Manifest)
 		p.mu.Unlock()
@@ -67,31 +69,31 @@
 }
 
 var (
-	// errTorn reports blocks whose content did not match the manifest.
-	errTorn = errors.New("planner: torn blocks")
-	// errNoRoom reports blocks that the target did not take although they are pinned in
-	// the store VM: running prompts hold all its memory. The copy is as good as before;
-	// were it forgotten, the context would be computed again at each later return.
-	errNoRoom = errors.New("planner: target took not all blocks")
+	// errCorrupt reports blocks whose content does not match the manifest.
+	errCorrupt = errors.New("planner: content of blocks does not match the manifest")
+	// errTargetFull reports blocks that are pinned in the store VM but were not imported,
+	// because running prompts occupy the target's memory. The copy remains valid. If the
+	// directory dropped it, the context would be recomputed on each later return.
+	errTargetFull = errors.New("planner: target did not import all blocks")
 )
 
-func (p *Planner) bring(ctx context.Context, c gateway.Context, choice gateway.Choice) (int64, error) {
+func (p *Planner) importCopy(ctx context.Context, c gateway.Context, choice gateway.Choice) (int64, error) {
 	im := choice.Import
 	ref, err := parseReference(im.Copy.Manifest)
 	if err != nil {
 		return 0, err
 	}
 	if ref.scope != c.Scope {
-		return 0, errReference
+		return 0, errNotManifestName
 	}
 	client := p.stores.client(im.Copy.Store, im.Copy.Address)
 	manifest, err := client.GetManifest(ctx, c.Scope, ref.generation, ref.tail)
 	if err != nil {
 		return 0, err
 	}
-	n := len(leadingOf(manifest, c.Chain, im.Blocks))
-	// A pin keeps the blocks from being freed while the engine reads them. If they are
-	// freed all the same, the engine meets a missing or foreign block and stops there.
+	n := len(matchingBlocks(manifest, c.Chain, im.Blocks))
+	// Pinned blocks are not deleted while the engine reads them. If they are deleted
+	// nevertheless, the engine stops at the first missing or foreign block.
 	if n <= im.From {
 		return 0, nil
 	}
@@ -101,9 +103,9 @@
 	return p.importRuns(ctx, c, choice, manifest, n)
 }
 
-// importRuns has the target read the first n blocks but those before the import's
-// first, one request for each export that wrote some of them. It ends at the first that
-// does not bring all of its blocks.
+// importRuns makes the target read the blocks from choice.Import.From up to n, with one
+// request for each export that wrote some of them. It returns the number of imported bytes
+// and stops at the first request that does not import all of its blocks.
 func (p *Planner) importRuns(ctx context.Context, c gateway.Context, choice gateway.Choice, m store.Manifest, n int) (int64, error) {
 	var bytes int64
 	skip := choice.Import.From
@@ -128,18 +130,18 @@
 			return bytes, err
 		}
 		if answer.Corrupt > 0 {
-			return bytes, errTorn
+			return bytes, errCorrupt
 		}
 		if answer.Imported < len(blocks) {
-			return bytes, errNoRoom
+			return bytes, errTargetFull
 		}
 	}
 	return bytes, nil
 }
 
-// leadingOf returns the blocks of a manifest that are the chain's, n at most. A
-// manifest of another context yields none.
-func leadingOf(m store.Manifest, chain []block.Hash, n int) []engineapi.ExportedBlock {
+// matchingBlocks returns the leading blocks of a manifest, n at most, whose hashes are
+// those of the chain. For a manifest of another context it returns none.
+func matchingBlocks(m store.Manifest, chain []block.Hash, n int) []engineapi.ExportedBlock {
 	n = min(n, len(m.Blocks), len(chain))
 	for i := range n {
 		if m.Blocks[i].Hash != chain[i] {
@@ -165,18 +167,18 @@
 	return p.links.Start(c.Store, c.Tier, bytes, now)
 }
 
-// endTransfer teaches the link. Content that is not there or is torn says nothing
-// about the link.
-func (p *Planner) endTransfer(id request.StoreID, transfer placement.TransferID, carried int64, err error, late bool) {
+// endTransfer updates the estimate of the link. Missing or corrupt content and a full
+// target do not count as failures of the link.
+func (p *Planner) endTransfer(id request.StoreID, transfer placement.TransferID, transferred int64, err error, timedOut bool) {
 	outcome := placement.Carried
 	switch {
-	case err == nil, errors.Is(err, store.ErrMiss), errors.Is(err, errTorn), errors.Is(err, errNoRoom):
-	case late:
+	case err == nil, errors.Is(err, store.ErrMiss), errors.Is(err, errCorrupt), errors.Is(err, errTargetFull):
+	case timedOut:
 		outcome = placement.GivenUp
 	default:
 		outcome = placement.Failed
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.links.Finish(id, transfer, carried, outcome, time.Now())
+	p.links.Finish(id, transfer, transferred, outcome, time.Now())
 }
--- a/internal/planner/janitor.go
+++ b/internal/planner/janitor.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// careInterval is how often store VMs are looked at.
-	careInterval = time.Second
-	// maxCared is how many exports are weighed in one round of making room.
-	maxCared = 64
-	// careTimeout bounds one round for one store VM.
-	careTimeout = 10 * time.Second
+	// maintenanceInterval is the interval between maintenance rounds.
+	maintenanceInterval = time.Second
+	// maxEvictionCandidates is the number of exports that one round considers for eviction.
+	maxEvictionCandidates = 64
+	// maintenanceTimeout bounds one round for one store VM.
+	maintenanceTimeout = 10 * time.Second
 )
 
-// Run follows the store VMs and makes room in those whose care has its place here,
-// until ctx ends.
+// Run tracks the store VMs and manages the space of those that this daemon owns, until ctx
+// ends.
 func (p *Planner) Run(ctx context.Context) {
-	tick := time.NewTicker(careInterval)
+	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -32,58 +32,59 @@
 			return
 		case <-tick.C:
 			for _, s := range p.opts.Tables.Current().Stores() {
-				if p.opts.OwnsStore(s.ID) || p.inUse(s.ID) || p.hasUnfreed(s.ID) {
-					p.care(ctx, s)
+				if p.opts.OwnsStore(s.ID) || p.recentlyUsed(s.ID) || p.hasPendingDeletes(s.ID) {
+					p.maintainStore(ctx, s)
 				}
 			}
 		}
 	}
 }
 
-// usedLately is how long a store VM is followed after this daemon last weighed it for
-// an import. A daemon need not follow all of a large fleet's store VMs.
-const usedLately = 10 * time.Second
+// recentUseWindow is how long a daemon tracks a store VM after it last considered an import
+// from it. In a large fleet a daemon does not track all store VMs.
+const recentUseWindow = 10 * time.Second
 
-func (p *Planner) inUse(id request.StoreID) bool {
+func (p *Planner) recentlyUsed(id request.StoreID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Since(p.weighed[id]) < usedLately
+	return time.Since(p.lastConsidered[id]) < recentUseWindow
 }
 
-// care reads a store VM's status and, if it is this daemon's to care for and nearly
-// full, makes room. The place is soft: two daemons at once free more than needed.
-func (p *Planner) care(ctx context.Context, s *table.Store) {
-	ctx, cancel := context.WithTimeout(ctx, careTimeout)
+// maintainStore reads a store VM's status and, if this daemon owns the store VM and it is
+// nearly full, reclaims space. Ownership is a hashed assignment without a lease: while
+// two daemons both act as owner, they free more than needed.
+func (p *Planner) maintainStore(ctx context.Context, s *table.Store) {
+	ctx, cancel := context.WithTimeout(ctx, maintenanceTimeout)
 	defer cancel()
 	status, err := p.stores.status(ctx, s)
 	if err != nil {
-		p.log.Debug("Store does not answer", "store", s.ID, "error", err)
+		p.log.Debug("Failed to read the store's status", "store", s.ID, "error", err)
 		return
 	}
 	p.mu.Lock()
 	p.links.Configure(s.ID, float64(s.LinkBytesPerSec))
 	p.links.Reported(s.ID, status.LinkQueueBytes, time.Now())
 	p.mu.Unlock()
-	p.freeAgain(ctx, p.stores.client(s.ID, s.Address))
+	p.retryPendingDeletes(ctx, p.stores.client(s.ID, s.Address))
 	if p.opts.OwnsStore(s.ID) && nearlyFull(status) {
-		p.makeRoom(ctx, s, status)
+		p.reclaimSpace(ctx, s, status)
 	}
 	p.promote(ctx, s, status)
 }
 
-// promote brings contexts of this daemon that are expected back soon from a store VM's
-// disk to its memory: from disk they would come at a third of the speed.
+// promote moves contexts of this daemon that are expected back soon from a store VM's disk
+// to its memory, because an import from disk runs at a third of the speed.
 func (p *Planner) promote(ctx context.Context, s *table.Store, status storeapi.Status) {
 	client := p.stores.client(s.ID, s.Address)
-	for _, m := range p.promotions(roomOf(s.ID, status)) {
+	for _, m := range p.promotions(spaceOf(s.ID, status)) {
 		manifest, ok := p.readManifest(ctx, client, m.Copy.Manifest)
 		if ok {
-			p.move(ctx, client, m, manifest)
+			p.applyMove(ctx, client, m, manifest)
 		}
 	}
 }
 
-func (p *Planner) promotions(room retention.Room) []retention.Move {
+func (p *Planner) promotions(space retention.Room) []retention.Move {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var kept []contextdir.Kept
@@ -91,10 +92,10 @@
 		kept = append(kept, k)
 		return true
 	})
-	return retention.Promotions(retention.DefaultParams(), room, kept, time.Now())
+	return retention.Promotions(retention.DefaultParams(), space, kept, time.Now())
 }
 
-func roomOf(id request.StoreID, status storeapi.Status) retention.Room {
+func spaceOf(id request.StoreID, status storeapi.Status) retention.Room {
 	return retention.Room{
 		Store:       id,
 		MemoryUsed:  status.MemoryUsed,
@@ -110,14 +111,14 @@
 	return float64(s.MemoryUsed) > high*float64(s.MemoryTotal) || float64(s.DiskUsed) > high*float64(s.DiskTotal)
 }
 
-// makeRoom moves the longest unused exports from memory to disk and frees those on
-// disk. It goes by what the store VM lists, not by the directory: exports of daemons
-// that are gone would otherwise stay for ever.
-func (p *Planner) makeRoom(ctx context.Context, s *table.Store, status storeapi.Status) {
+// reclaimSpace moves the least recently used exports from memory to disk and deletes those
+// on disk. It uses the store VM's list instead of the directory, so that exports of
+// terminated daemons are deleted too.
+func (p *Planner) reclaimSpace(ctx context.Context, s *table.Store, status storeapi.Status) {
 	client := p.stores.client(s.ID, s.Address)
-	listed, err := client.List(ctx, "", store.ManifestMark, maxCared)
+	listed, err := client.List(ctx, "", store.ManifestMark, maxEvictionCandidates)
 	if err != nil {
-		p.log.Warn("Exports of a nearly full store were not listed", "store", s.ID, "error", err)
+		p.log.Warn("Failed to list the exports of a nearly full store", "store", s.ID, "error", err)
 		return
 	}
 	manifests := map[string]store.Manifest{}
@@ -136,15 +137,16 @@
 			Copies:  []contextdir.Copy{{Manifest: l.Name, Store: s.ID, Tier: l.Tier, Blocks: len(m.Blocks), Bytes: m.Bytes()}},
 		})
 	}
-	for _, m := range retention.MakeRoom(withoutHistory(), roomOf(s.ID, status), kept, now) {
-		p.move(ctx, client, m, manifests[m.Copy.Manifest])
+	for _, m := range retention.MakeRoom(evictionParams(), spaceOf(s.ID, status), kept, now) {
+		p.applyMove(ctx, client, m, manifests[m.Copy.Manifest])
 	}
 }
 
-// withoutHistory returns the settings for exports of which only the last use is known.
-// With an expected gap, what was used last would be expected back last and go first;
-// without one, a context is expected after as long again as it has been away.
-func withoutHistory() retention.Params {
+// evictionParams returns the parameters for exports of which only the time of the last use
+// is known. With a default gap, the most recently used export would be expected back last
+// and be evicted first. Without one, a context is expected back after as long again as it
+// has been idle.
+func evictionParams() retention.Params {
 	params := retention.DefaultParams()
 	params.DefaultGap = 0
 	return params
@@ -157,13 +159,13 @@
 	}
 	m, err := client.PeekManifest(ctx, ref.scope, ref.generation, ref.tail)
 	if err != nil {
-		p.log.Debug("Manifest was not read", "name", name, "error", err)
+		p.log.Debug("Failed to read a manifest", "name", name, "error", err)
 		return store.Manifest{}, false
 	}
 	return m, true
 }
 
-func (p *Planner) move(ctx context.Context, client *store.Client, m retention.Move, manifest store.Manifest) {
+func (p *Planner) applyMove(ctx context.Context, client *store.Client, m retention.Move, manifest store.Manifest) {
 	var err error
 	switch m.Kind {
 	case retention.Free:
@@ -174,7 +176,7 @@
 		err = client.Tier(ctx, append(manifest.BlockNames(), manifest.Name()), storeapi.TierMemory)
 	}
 	if err != nil {
-		p.log.Debug("Export was not moved", "store", m.Copy.Store, "kind", m.Kind, "error", err)
+		p.log.Debug("Failed to move or free an export", "store", m.Copy.Store, "kind", m.Kind, "error", err)
 		return
 	}
 	p.mu.Lock()
--- a/internal/planner/janitor_test.go
+++ b/internal/planner/janitor_test.go
@@ -13,55 +13,55 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-func (w *world) storeRow() *table.Store { return w.tables.Current().Stores()[0] }
+func (env *testEnv) storeRow() *table.Store { return env.tables.Current().Stores()[0] }
 
 // manifestOf reads the manifest of the longest export that a planner knows.
-func (w *world) manifestOf(p *Planner, c gateway.Context) store.Manifest {
-	w.t.Helper()
-	m, ok := p.readManifest(w.ctx, w.client, p.locate(c).Copies[0].Manifest)
+func (env *testEnv) manifestOf(p *Planner, c gateway.Context) store.Manifest {
+	env.t.Helper()
+	m, ok := p.readManifest(env.ctx, env.client, p.locate(c).Copies[0].Manifest)
 	if !ok {
-		w.t.Fatal("the manifest can not be read")
+		env.t.Fatal("the manifest could not be read")
 	}
 	return m
 }
 
-func (w *world) used() int64 {
-	w.t.Helper()
-	status, err := w.client.Status(w.ctx)
-	w.check(err)
+func (env *testEnv) storeMemoryUsed() int64 {
+	env.t.Helper()
+	status, err := env.client.Status(env.ctx)
+	env.check(err)
 	return status.MemoryUsed
 }
 
-// exportsLeft returns how many manifests are listed.
-func (w *world) exportsLeft() int {
-	w.t.Helper()
-	listed, err := w.client.List(w.ctx, "", store.ManifestMark, 1000)
-	w.check(err)
+// exportCount returns the number of listed manifests.
+func (env *testEnv) exportCount() int {
+	env.t.Helper()
+	listed, err := env.client.List(env.ctx, "", store.ManifestMark, 1000)
+	env.check(err)
 	return len(listed)
 }
 
-// A store VM is nearly full. What has been unused longest goes, whoever exported it,
-// and the rest can still be brought back.
-func TestJanitorFreesTheLongestUnusedFirst(t *testing.T) {
+// In a nearly full store VM the janitor frees the least recently used export, regardless of
+// the daemon that wrote it, and all other exports can still be imported.
+func TestJanitorFreesLeastRecentlyUsedFirst(t *testing.T) {
 	const blocks, exports = 10, 4
-	w := newWorld(t, standin.Options{MemoryBytes: blocks*exports*blockLength*103/100 + 8<<10})
-	former := w.planner()
+	env := newTestEnv(t, standin.Options{MemoryBytes: blocks*exports*blockLength*103/100 + 8<<10})
+	former := env.planner()
 	var all []gateway.Context
 	for i := range exports {
-		all = append(all, w.exported(former, text(fmt.Sprintf("context %d", i), blocks)))
-		w.await("the next use to be later", func() bool {
-			listed, err := w.client.List(w.ctx, "", store.ManifestMark, exports)
+		all = append(all, env.export(former, text(fmt.Sprintf("context %d", i), blocks)))
+		env.await("the next use to be later", func() bool {
+			listed, err := env.client.List(env.ctx, "", store.ManifestMark, exports)
 			return err == nil && listed[len(listed)-1].IdleMillis > 1
 		})
 	}
-	// The first has been read since, so that the second is unused longest.
-	first := w.manifestOf(former, all[0])
-	_, err := w.client.GetManifest(w.ctx, first.Scope(), first.Generation, first.Tail())
-	w.check(err)
+	// The first export is read again, so that the second is the least recently used.
+	first := env.manifestOf(former, all[0])
+	_, err := env.client.GetManifest(env.ctx, first.Scope(), first.Generation, first.Tail())
+	env.check(err)
 
-	p := w.planner()
-	p.care(w.ctx, w.storeRow())
-	if left := w.exportsLeft(); left != exports-1 {
+	p := env.planner()
+	p.maintainStore(env.ctx, env.storeRow())
+	if left := env.exportCount(); left != exports-1 {
 		t.Fatalf("%d exports are left", left)
 	}
 	for i, c := range all {
@@ -69,57 +69,58 @@
 		if i == 1 {
 			want = 0
 		}
-		if n := w.brought(p, c); n != want {
-			t.Errorf("context %d: %d blocks were brought, want %d", i, n, want)
+		if n := env.importedBlocks(p, c); n != want {
+			t.Errorf("context %d: %d blocks were imported, want %d", i, n, want)
 		}
 	}
 }
 
-// Two exports of one context share blocks, because the process that wrote the longer
-// one died before it freed the earlier one. The earlier one is unused longest and goes
-// when room is made. With all its blocks freed, the longer one is there and brings
-// nothing back.
-func TestFreedExportLeavesBlocksThatAnotherShares(t *testing.T) {
+// Two exports of one context share blocks, because the process that wrote the longer one
+// crashed before it freed the earlier one. The earlier one is the least recently used and
+// is evicted first. If all its blocks were deleted, no block of the longer one could be
+// imported.
+func TestDeleteExportRetainsSharedBlocks(t *testing.T) {
 	for _, naive := range []bool{true, false} {
 		t.Run(fmt.Sprintf("naive=%t", naive), func(t *testing.T) {
-			w := newWorld(t, standin.Options{MemoryBytes: 1 << 30})
-			earlier, longer := w.crashBeforeFreeing()
-			next := w.planner()
+			env := newTestEnv(t, standin.Options{MemoryBytes: 1 << 30})
+			earlier, longer := env.crashBeforeFreeing()
+			next := env.planner()
 			if naive {
-				w.check(w.client.DeleteExport(w.ctx, earlier))
+				env.check(env.client.DeleteExport(env.ctx, earlier))
 			} else {
-				w.check(next.deleteExport(w.ctx, w.client, earlier))
+				env.check(next.deleteExport(env.ctx, env.client, earlier))
 			}
-			n := w.brought(next, longer)
+			n := env.importedBlocks(next, longer)
 			if naive && n != 0 {
-				t.Fatalf("the naive freeing was expected to break the longer export; %d blocks came", n)
+				t.Fatalf("deleting all blocks did not break the longer export; %d blocks were imported", n)
 			}
 			if !naive && n != 16 {
-				t.Fatalf("%d blocks of 16 were brought", n)
+				t.Fatalf("%d blocks of 16 were imported", n)
 			}
 		})
 	}
 }
 
-// A store VM fills up for good. Exports were freed while callers read them: their
-// blocks were pinned and stayed, and without a manifest nothing lists them any more.
-func TestPinnedBlocksAreFreedLater(t *testing.T) {
-	w := newWorld(t, standin.Options{MemoryBytes: 1 << 30})
-	p := w.planner()
+// Exports are deleted while callers read them. Their blocks are pinned and remain, and
+// without a manifest they are no longer listed. Unless the deletion is retried, the store
+// VM fills up permanently.
+func TestPinnedBlocksAreFreedAfterPinExpires(t *testing.T) {
+	env := newTestEnv(t, standin.Options{MemoryBytes: 1 << 30})
+	p := env.planner()
 	for i := 0; ; i++ {
-		m := w.manifestOf(p, w.exported(p, text(fmt.Sprintf("context %d", i), 10)))
-		w.check(w.client.Pin(w.ctx, m.BlockNames()[4:], 200*time.Millisecond))
-		err := p.deleteExport(w.ctx, w.client, m)
+		m := env.manifestOf(p, env.export(p, text(fmt.Sprintf("context %d", i), 10)))
+		env.check(env.client.Pin(env.ctx, m.BlockNames()[4:], 200*time.Millisecond))
+		err := p.deleteExport(env.ctx, env.client, m)
 		if errors.Is(err, store.ErrPinned) {
 			break
 		}
-		w.check(err) // the machine paused for longer than the pin
+		env.check(err) // the test stalled until the pin expired
 	}
-	if w.exportsLeft() != 0 {
-		t.Fatal("a manifest stayed")
+	if env.exportCount() != 0 {
+		t.Fatal("a manifest was not deleted")
 	}
-	w.await("the blocks to be freed", func() bool {
-		p.care(w.ctx, w.storeRow())
-		return w.used() == 0
+	env.await("the blocks to be freed", func() bool {
+		p.maintainStore(env.ctx, env.storeRow())
+		return env.storeMemoryUsed() == 0
 	})
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,11 +1,11 @@
-// Package planner decides where prompts go. It joins the pure decisions (contextdir,
-// placement, retention) with what stewards and stores report, and carries out imports
-// and exports.
+// Package planner selects the targets of prompts. It applies the pure policies (contextdir,
+// placement, retention) to the reports of coordinators and store VMs, and runs imports and
+// exports.
 //
-// A context's home daemon plans for it, so what the directory holds is complete for
-// the contexts that live here as long as soft places do not move. After a move the
-// new home knows less and recomputes more; it never answers wrongly, since the target
-// itself decides which blocks it has.
+// A context's home daemon plans for it. The directory is complete for the contexts of this
+// daemon as long as their hashed assignments do not change. After a change the new home
+// knows less and recomputes more, but answers stay correct, because the target itself
+// decides which blocks it has.
 package planner
 
 import (
@@ -29,25 +29,25 @@
 	"github.com/bluebellscale/bluebellscale/internal/target"
 )
 
-// diskShare is a disk's assumed speed as a part of its store VM's link, until the
-// table has a column for it.
-const diskShare = 0.3
+// diskRateShare is the assumed speed of a store VM's disk as a share of its link rate. The
+// table has no column for it yet.
+const diskRateShare = 0.3
 
-// maxLooked bounds how many targets are considered for one prompt. Beyond it, those
-// that hold the context and a random sample of the rest are.
-const maxLooked = 24
+// maxCandidates bounds the number of targets that are considered for one prompt. If there
+// are more, targets that hold the context are preferred and the rest is sampled at random.
+const maxCandidates = 24
 
-// Coordinators gives the stewards' views of targets.
+// Coordinators provides the coordinators' views of targets.
 type Coordinators interface {
 	Look(ctx context.Context, ids []request.TargetID, p steward.Prompt) map[request.TargetID]steward.View
 }
 
-// Tables gives the operators' table in force.
+// Tables provides the operators' effective table.
 type Tables interface {
 	Current() *table.Snapshot
 }
 
-// Targets gives the client of a target.
+// Targets provides the client of a target.
 type Targets interface {
 	Client(t table.Target) *target.Client
 }
@@ -58,9 +58,9 @@
 	Tables       Tables
 	Coordinators Coordinators
 	Targets      Targets
-	// OwnsStore tells whether the care of a store VM has its soft place here.
+	// OwnsStore reports whether this daemon is assigned to manage a store VM's space.
 	OwnsStore func(id request.StoreID) bool
-	// Instance differs for every start of every daemon. Names of exports carry it.
+	// Instance differs for every start of every daemon. It is part of the names of exports.
 	Instance string
 	Seed     uint64
 	Logger   hclog.Logger
@@ -72,24 +72,24 @@
 	opts       Options
 	log        hclog.Logger
 	stores     *storePool
-	exporting  chan struct{} // one for each export that runs
+	exporting  chan struct{} // semaphore: one element per running export
 	background sync.WaitGroup
-	ctx        context.Context // ends at Shutdown
+	ctx        context.Context // cancelled by Shutdown
 	cancel     context.CancelFunc
 
-	mu         sync.Mutex
-	directory  *contextdir.Directory
-	links      *placement.Links
-	costs      *placement.Costs
-	random     *rand.Rand
-	budgets    map[request.StoreID]*retention.Budget
-	generation uint64
-	unfreed    []unfreed                     // oldest first
-	weighed    map[request.StoreID]time.Time // when an import from it was last weighed
+	mu             sync.Mutex
+	directory      *contextdir.Directory
+	links          *placement.Links
+	prefillRates   *placement.Costs
+	random         *rand.Rand
+	budgets        map[request.StoreID]*retention.Budget
+	generation     uint64
+	pendingDeletes []pendingDelete               // oldest first
+	lastConsidered map[request.StoreID]time.Time // when an import from the store VM was last considered
 
 	imports, failedImports, recovered      tally.Counter
 	exports, failedExports, droppedExports tally.Counter
-	deferredChunks                         tally.Counter // the link was another's
+	deferredChunks                         tally.Counter // the link was not available
 }
 
 // New returns a planner.
@@ -108,9 +108,9 @@
 		cancel:         cancel,
 		directory:      contextdir.New(contextdir.Params{}),
 		links:          placement.NewLinks(),
-		weighed:        map[request.StoreID]time.Time{},
+		lastConsidered: map[request.StoreID]time.Time{},
 		budgets:        map[request.StoreID]*retention.Budget{},
-		costs:          placement.NewCosts(0),
+		prefillRates:   placement.NewCosts(0),
 		random:         rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
 		imports:        opts.Metrics.Counter("imports"),
 		failedImports:  opts.Metrics.Counter("imports_failed"),
@@ -122,7 +122,7 @@
 	}
 }
 
-// Shutdown ends background work.
+// Shutdown cancels background work and waits until it has ended.
 func (p *Planner) Shutdown() {
 	p.cancel()
 	p.background.Wait()
@@ -149,8 +149,8 @@
 	return choicesOf(sheet, plan, located)
 }
 
-// engines returns the model's engines. Which version each has loaded shows only in
-// its steward's view: while a version is rolled out it differs from the table.
+// engines returns the model's engines. The version that an engine has loaded is known only
+// to its coordinator: during a rollout it differs from the table.
 func (p *Planner) engines(sheet *table.Snapshot, c gateway.Context, exclude map[request.TargetID]bool) []*table.Target {
 	var out []*table.Target
 	for _, t := range sheet.EnginesFor(c.Scope.Model) {
@@ -161,12 +161,12 @@
 	return out
 }
 
-// Serving implements gateway.Contexts: the version that most of a model's engines
-// have loaded now.
+// Serving implements gateway.Contexts. It returns the version that most of a model's
+// engines have loaded.
 func (p *Planner) Serving(ctx context.Context, model request.Model) (request.Version, bool) {
 	rows := p.opts.Tables.Current().EnginesFor(model)
-	if len(rows) > maxLooked {
-		rows = rows[:maxLooked]
+	if len(rows) > maxCandidates {
+		rows = rows[:maxCandidates]
 	}
 	count := map[request.Version]int{}
 	var best request.Version
@@ -183,15 +183,17 @@
 }
 
 const (
-	// queueKept is how old a link's queue may be when an import over it is weighed.
-	queueKept = 100 * time.Millisecond
-	// queueTimeout bounds the wait for it.
+	// maxQueueAge is the maximum age of a link's queue length when an import over the link
+	// is considered.
+	maxQueueAge = 100 * time.Millisecond
+	// queueTimeout bounds the wait for the queue lengths.
 	queueTimeout = 50 * time.Millisecond
 )
 
-// readQueues asks the store VMs that hold the context how long their links' queues are.
-// Imports of other daemons show only there; with a queue that is a second old, two
-// daemons plan for the same idle link and both imports take twice as long as planned.
+// readQueues reads the lengths of the link queues from the store VMs that hold the context.
+// Imports of other daemons are visible only there. With a value that is a second old, two
+// daemons would plan for the same idle link, and both imports would take twice as long as
+// planned.
 func (p *Planner) readQueues(ctx context.Context, sheet *table.Snapshot, l contextdir.Located) {
 	ctx, cancel := context.WithTimeout(ctx, queueTimeout)
 	defer cancel()
@@ -201,7 +203,7 @@
 			continue
 		}
 		reads.Go(func() {
-			status, err := p.stores.statusWithin(ctx, s, queueKept)
+			status, err := p.stores.statusWithin(ctx, s, maxQueueAge)
 			if err != nil {
 				return
 			}
@@ -219,11 +221,12 @@
 	return p.directory.Lookup(c.Scope, c.Chain)
 }
 
-// sample keeps the cost of one placement flat when there are many targets.
+// sample returns at most maxCandidates targets, which bounds the cost of one placement.
+// Targets with the requested version and those that hold the context come first.
 func (p *Planner) sample(
-	sheet *table.Snapshot, wanted request.Version, rows []*table.Target, located contextdir.Located,
+	sheet *table.Snapshot, version request.Version, rows []*table.Target, located contextdir.Located,
 ) []*table.Target {
-	if len(rows) <= maxLooked {
+	if len(rows) <= maxCandidates {
 		return rows
 	}
 	holders := map[request.TargetID]bool{}
@@ -231,7 +234,7 @@
 		holders[r.Target] = true
 	}
 	rank := func(t *table.Target) int {
-		return 2*firstIf(sheet.TargetVersion(t) == wanted) + firstIf(holders[t.ID])
+		return 2*zeroIf(sheet.TargetVersion(t) == version) + zeroIf(holders[t.ID])
 	}
 	p.mu.Lock()
 	p.random.Shuffle(len(rows), func(i, j int) { rows[i], rows[j] = rows[j], rows[i] })
@@ -239,11 +242,11 @@
 	slices.SortStableFunc(rows, func(a, b *table.Target) int {
 		return rank(a) - rank(b)
 	})
-	return rows[:maxLooked]
+	return rows[:maxCandidates]
 }
 
-func firstIf(first bool) int {
-	if first {
+func zeroIf(condition bool) int {
+	if condition {
 		return 0
 	}
 	return 1
@@ -281,14 +284,15 @@
 	return placement.Choose(p.opts.Params, r, candidates, p.copies(located, time.Now()))
 }
 
-// candidate joins what the directory remembers with what the steward sees. The
-// steward reads the target's cache events; unless it is unsure its word counts.
+// candidate combines the directory's estimate with the coordinator's view of a target. The
+// coordinator reads the target's cache events, so its view takes precedence unless it is
+// unconfirmed.
 func (p *Planner) candidate(t *table.Target, v steward.View, seen bool, l contextdir.Located) placement.Candidate {
-	resident, unsure := remembered(l, t.ID)
+	resident, unconfirmed := directoryEstimate(l, t.ID)
 	if seen && !v.Unsure {
-		resident, unsure = v.ResidentBlocks, false
+		resident, unconfirmed = v.ResidentBlocks, false
 	}
-	rate := p.costs.PrefillRate(t.ID)
+	rate := p.prefillRates.PrefillRate(t.ID)
 	return placement.Candidate{
 		ID:                  t.ID,
 		FailureDomain:       t.FailureDomain,
@@ -297,14 +301,14 @@
 		Running:             v.Running,
 		Waiting:             v.Waiting,
 		ResidentBlocks:      resident,
-		Unsure:              unsure,
+		Unsure:              unconfirmed,
 		Down:                v.Down,
 		Leaving:             v.Leaving,
 		PrefillRate:         rate,
 	}
 }
 
-func remembered(l contextdir.Located, id request.TargetID) (blocks int, unsure bool) {
+func directoryEstimate(l contextdir.Located, id request.TargetID) (blocks int, unconfirmed bool) {
 	for _, r := range l.Resident {
 		if r.Target == id {
 			return r.Blocks, r.Unsure
@@ -316,13 +320,13 @@
 func (p *Planner) copies(l contextdir.Located, now time.Time) []placement.Copy {
 	out := make([]placement.Copy, 0, len(l.Copies))
 	for _, c := range l.Copies {
-		p.weighed[c.Store] = now
+		p.lastConsidered[c.Store] = now
 		link := p.links.State(c.Store, now)
-		copied := placement.Copy{Store: c.Store, Blocks: c.Blocks, Link: link}
+		available := placement.Copy{Store: c.Store, Blocks: c.Blocks, Link: link}
 		if c.Tier == storeapi.TierDisk {
-			copied.TierBytesPerSec = link.BytesPerSec * diskShare
+			available.TierBytesPerSec = link.BytesPerSec * diskRateShare
 		}
-		out = append(out, copied)
+		out = append(out, available)
 	}
 	return out
 }
@@ -353,7 +357,7 @@
 		}
 		for _, c := range l.Copies {
 			if c.Store == o.Store {
-				from, to := importSpan(o, c.Blocks)
+				from, to := importRange(o, c.Blocks)
 				return &gateway.Import{
 					Copy:     gateway.Copy{Store: s.ID, Address: s.Address, Manifest: c.Manifest, Tier: c.Tier},
 					From:     from,
@@ -369,19 +373,19 @@
 
 // Learn implements gateway.Contexts.
 func (p *Planner) Learn(c gateway.Context, a gateway.Answered) {
-	p.keep(c, a.Target, p.learn(c, a))
+	p.exportInBackground(c, a.Target, p.recordAnswer(c, a))
 }
 
-func (p *Planner) learn(c gateway.Context, a gateway.Answered) []contextdir.Action {
+func (p *Planner) recordAnswer(c gateway.Context, a gateway.Answered) []contextdir.Action {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	freed := p.directory.Used(c.Scope, c.Chain, now)
+	actions := p.directory.Used(c.Scope, c.Chain, now)
 	p.directory.Answered(a.Target, c.Scope, c.Chain, a.CachedTokens, now)
 	if a.QueuedTokens == 0 {
-		p.costs.ObservePrefill(a.Target, a.PromptTokens-a.CachedTokens, a.FirstToken)
+		p.prefillRates.ObservePrefill(a.Target, a.PromptTokens-a.CachedTokens, a.FirstToken)
 	}
-	return freed
+	return actions
 }
 
 // State returns the dump of the directory.
--- a/internal/planner/recover.go
+++ b/internal/planner/recover.go
@@ -17,22 +17,22 @@
 const (
 	// recoverTimeout bounds the search for a context's exports.
 	recoverTimeout = 200 * time.Millisecond
-	// maxRecovered is how many exports one list may hold.
-	maxRecovered = 64
+	// maxListed is the maximum number of exports in one list.
+	maxListed = 64
 )
 
-// found is an export that a search has found.
-type found struct {
+// foundExport is an export that a search has found.
+type foundExport struct {
 	copy contextdir.Copy
 	idle time.Duration
 }
 
-// recover looks in the store VMs for exports of a context that this daemon does not
-// know.
+// recover searches the store VMs for exports of a context that this daemon does not know.
 //
-// Daemons keep nothing and are replaced often, while contexts return after days: the
-// daemon that exported a context is then gone, or the context's place has moved. Without
-// the search the export would lie unused and the whole context be computed again.
+// Daemons store nothing persistently and are replaced often, while contexts return after
+// days. By then the daemon that exported a context may have been terminated, or the
+// context may have been assigned to another daemon. Without the search the export would
+// stay unused and the complete context would be recomputed.
 func (p *Planner) recover(ctx context.Context, sheet *table.Snapshot, c gateway.Context) contextdir.Located {
 	if len(c.Chain) == 0 {
 		return contextdir.Located{}
@@ -44,65 +44,65 @@
 		positions[h] = i + 1
 	}
 	var mu sync.Mutex
-	var all []found
+	var exports []foundExport
 	var searches sync.WaitGroup
 	for _, s := range sheet.Stores() {
 		searches.Go(func() {
-			if f, ok := p.search(ctx, s, c, positions); ok {
+			if f, ok := p.searchStore(ctx, s, c, positions); ok {
 				mu.Lock()
 				defer mu.Unlock()
-				all = append(all, f)
+				exports = append(exports, f)
 			}
 		})
 	}
 	searches.Wait()
-	return p.adopt(c, all)
+	return p.addToDirectory(c, exports)
 }
 
-// search returns the longest export in one store VM that is a head of the prompt.
+// searchStore returns the longest export in one store VM that is a prefix of the prompt.
 //
-// The failure: an organisation's prompts all begin with one long text, so that the
-// exports of all its contexts have the same first block. A list of these is cut, the
-// longest unused come first, and a context that returns soon is never among them: it is
-// computed again although its export lies there. Why the guard holds: if the list was
-// cut, exports are asked for by the deepest block that they can share with the prompt,
-// then by the next depth above. Contexts that share a depth are few unless the common
-// text is longer than four fifths of them.
-func (p *Planner) search(ctx context.Context, s *table.Store, c gateway.Context, positions map[block.Hash]int) (found, bool) {
-	best, all, err := p.list(ctx, s, c, store.ManifestMark, positions)
+// If all prompts of an organisation begin with one long text, the exports of all its
+// contexts have the same first block. The list of these exports is truncated with the least
+// recently used first, so that a context that returns soon would never be listed, and it
+// would be recomputed although its export exists. If the list was truncated, searchStore
+// therefore lists exports by the deepest block that they can share with the prompt, then
+// by the next lower depth. Few contexts share a depth, unless the common text makes up
+// more than four fifths of them.
+func (p *Planner) searchStore(ctx context.Context, s *table.Store, c gateway.Context, positions map[block.Hash]int) (foundExport, bool) {
+	best, complete, err := p.longestListed(ctx, s, c, store.ManifestMark, positions)
 	if err != nil {
-		p.log.Debug("Store was not searched", "store", s.ID, "error", err)
-		return found{}, false
+		p.log.Debug("Failed to search the store for exports", "store", s.ID, "error", err)
+		return foundExport{}, false
 	}
-	if all {
+	if complete {
 		return best, best.copy.Blocks > 0
 	}
 	for depth := depthOf(len(c.Chain)); depth > 1; depth = depthOf(depth - 1) {
-		deeper, _, err := p.list(ctx, s, c, depthMark(c.Chain[:depth])+store.ManifestMark, positions)
+		deeper, _, err := p.longestListed(ctx, s, c, depthSuffix(c.Chain[:depth])+store.ManifestMark, positions)
 		if err != nil {
-			p.log.Debug("Store was not searched to the end", "store", s.ID, "depth", depth, "error", err)
+			p.log.Debug("Failed to complete the search of the store for exports", "store", s.ID, "depth", depth, "error", err)
 			break
 		}
 		if deeper.copy.Blocks > best.copy.Blocks {
 			best = deeper
 		}
 		if best.copy.Blocks >= depth {
-			break // those of lesser depth are shorter
+			break // exports of lower depths are shorter
 		}
 	}
 	return best, best.copy.Blocks > 0
 }
 
-// list returns the longest export whose name contains a mark and that is a head of the
-// prompt, and whether the store VM listed all that have it.
-func (p *Planner) list(
+// longestListed returns the longest export that is a prefix of the prompt and whose name
+// contains mark. complete reports whether the store VM listed all exports with that mark.
+func (p *Planner) longestListed(
 	ctx context.Context, s *table.Store, c gateway.Context, mark string, positions map[block.Hash]int,
-) (best found, all bool, err error) {
+) (best foundExport, complete bool, err error) {
 	client := p.stores.client(s.ID, s.Address)
-	prefix := store.PrefixOfGenerations(c.Scope, generationStart(c.Chain))
-	listed, err := client.List(ctx, prefix, mark, maxRecovered)
+	prefix := store.PrefixOfGenerations(c.Scope, generationPrefix(c.Chain))
+	listed, err := client.List(ctx, prefix, mark, maxListed)
 	if err != nil {
-		return found{}, false, err
+		return foundExport{}, false, err
 	}
 	for _, l := range listed {
 		ref, err := parseReference(l.Name)
@@ -110,14 +110,14 @@
 			continue
 		}
 		if blocks := positions[ref.tail]; blocks > best.copy.Blocks {
-			best = p.foundOf(s.ID, c.Scope.Model, l, blocks)
+			best = p.newFoundExport(s.ID, c.Scope.Model, l, blocks)
 		}
 	}
-	return best, len(listed) < maxRecovered, nil
+	return best, len(listed) < maxListed, nil
 }
 
-func (p *Planner) foundOf(id request.StoreID, model request.Model, l storeapi.Listed, blocks int) found {
-	return found{
+func (p *Planner) newFoundExport(id request.StoreID, model request.Model, l storeapi.Listed, blocks int) foundExport {
+	return foundExport{
 		copy: contextdir.Copy{
 			Manifest: l.Name,
 			Store:    id,
@@ -129,13 +129,13 @@
 	}
 }
 
-// adopt enters what was found into the directory, as last used when it was last read
-// or written.
-func (p *Planner) adopt(c gateway.Context, all []found) contextdir.Located {
+// addToDirectory records found exports in the directory. The time of their last use is that
+// of the last read or write in the store VM.
+func (p *Planner) addToDirectory(c gateway.Context, exports []foundExport) contextdir.Located {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	for _, f := range all {
+	for _, f := range exports {
 		p.recovered.Inc(1)
 		chain := c.Chain[:f.copy.Blocks]
 		p.directory.Used(c.Scope, chain, now.Add(-f.idle))
--- a/internal/planner/recover_test.go
+++ b/internal/planner/recover_test.go
@@ -14,34 +14,34 @@
 	_ "github.com/bluebellscale/bluebellscale/internal/testseed" // the same seeds in each run
 )
 
-// An organisation's prompts all begin with the same long instructions. Daemons are
-// replaced, and a context returns whose export lies in the store beside those of a
-// hundred others with the same first block. A list cut at 64 holds those that were
-// unused longest, never the one that comes back soon: it was computed again.
-func TestRecoverFindsAContextAmongManyWithOneHead(t *testing.T) {
+// All prompts of an organisation begin with the same long instructions. After daemons are
+// replaced, a context returns whose export is stored with those of a hundred others that
+// have the same first block. A list truncated to the 64 least recently used exports never
+// contains a context that returns soon, so that it would be recomputed.
+func TestRecoverFindsContextAmongManyWithSharedPrefix(t *testing.T) {
 	for _, shared := range []int{1, 40, 128} {
 		t.Run(fmt.Sprint(shared), func(t *testing.T) {
-			w := newWorld(t, standin.Options{MemoryBytes: 1 << 30})
-			former := w.planner()
-			head := text("instructions", shared)
+			env := newTestEnv(t, standin.Options{MemoryBytes: 1 << 30})
+			former := env.planner()
+			prefix := text("instructions", shared)
 			for i := range 100 {
-				w.commit(former, contextOf(testScope, head+text(fmt.Sprint("other ", i), 2*shared)))
+				env.commitManifest(former, contextOf(testOrg, prefix+text(fmt.Sprint("other ", i), 2*shared)))
 			}
-			wanted := head + text("wanted", 2*shared)
-			earlier := w.commit(former, contextOf(testScope, wanted))
-			later := w.commit(former, contextOf(testScope, wanted+text("answer", 3)))
-			w.commit(former, contextOf("temper", wanted+text("answer", 3)))
-			c := contextOf(testScope, wanted+text("answer", 3)+text("question", 2))
+			wanted := prefix + text("wanted", 2*shared)
+			earlier := env.commitManifest(former, contextOf(testOrg, wanted))
+			later := env.commitManifest(former, contextOf(testOrg, wanted+text("answer", 3)))
+			env.commitManifest(former, contextOf("temper", wanted+text("answer", 3)))
+			c := contextOf(testOrg, wanted+text("answer", 3)+text("question", 2))
 
-			naive, err := w.client.List(w.ctx, store.PrefixOfGenerations(c.Scope, generationStart(c.Chain)), store.ManifestMark, maxRecovered)
-			w.check(err)
+			naive, err := env.client.List(env.ctx, store.PrefixOfGenerations(c.Scope, generationPrefix(c.Chain)), store.ManifestMark, maxListed)
+			env.check(err)
 			for _, l := range naive {
 				if l.Name == later.Name() || l.Name == earlier.Name() {
-					t.Fatal("the cut list was expected to lack the context")
+					t.Fatal("the truncated list contains the context")
 				}
 			}
 
-			located := w.planner().recover(w.ctx, w.tables.Current(), c)
+			located := env.planner().recover(env.ctx, env.tables.Current(), c)
 			if len(located.Copies) != 1 || located.Copies[0].Manifest != later.Name() || located.Copies[0].Blocks != 3*shared+3 {
 				t.Fatalf("found %+v, want %s", located.Copies, later.Name())
 			}
@@ -49,8 +49,8 @@
 	}
 }
 
-// Whatever a context's length, a longer prompt that asks depth by depth meets its depth.
-func TestDepthOfAHeadIsMet(t *testing.T) {
+// For each context length, the search for a longer prompt lists the depth of the context.
+func TestSearchReachesDepthOfEveryPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		blocks := rapid.IntRange(1, 5000).Draw(t, "blocks")
 		prompt := rapid.IntRange(blocks, 6000).Draw(t, "prompt")
@@ -58,23 +58,23 @@
 		if want > blocks || 5*want < 4*blocks {
 			t.Fatalf("%d blocks have depth %d", blocks, want)
 		}
-		asked := 1
+		listings := 1
 		depth := depthOf(prompt)
 		for depth > want {
 			depth = depthOf(depth - 1)
-			asked++
+			listings++
 		}
-		if depth != want || asked > 50 {
-			t.Fatalf("a prompt of %d blocks never asks for depth %d; it asked %d times", prompt, want, asked)
+		if depth != want || listings > 50 {
+			t.Fatalf("the search for a prompt of %d blocks skips depth %d; it made %d lists", prompt, want, listings)
 		}
 	})
 }
 
-// Two exports never share a name, and no export's names begin with another's: a reader
-// that holds an old manifest would be given another export's blocks.
-func TestGenerationsNeverRepeat(t *testing.T) {
-	scope := block.Scope{Org: testScope, Model: "verdict", Version: "v1"}
-	chains := [][]block.Hash{contextOf(testScope, text("a", 3)).Chain, contextOf(testScope, text("b", 9)).Chain}
+// No two exports have the same name prefix, and no prefix of an export begins with that of
+// another. Otherwise a reader that holds an old manifest would read another export's blocks.
+func TestGenerationsAreUnique(t *testing.T) {
+	scope := block.Scope{Org: testOrg, Model: "verdict", Version: "v1"}
+	chains := [][]block.Hash{contextOf(testOrg, text("a", 3)).Chain, contextOf(testOrg, text("b", 9)).Chain}
 	rapid.Check(t, func(t *rapid.T) {
 		seen := map[string]bool{}
 		daemons := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z0-9.-]{1,4}"), 1, 4, rapid.ID[string]).Draw(t, "daemons")
@@ -84,7 +84,7 @@
 				for n := range 12 {
 					prefix := store.Prefix(scope, p.nextGeneration(chains[n%len(chains)]))
 					if seen[prefix] {
-						t.Fatalf("%q was given twice", prefix)
+						t.Fatalf("%q was used twice", prefix)
 					}
 					seen[prefix] = true
 				}
@@ -93,17 +93,17 @@
 		for a := range seen {
 			for n := 1; n < len(a); n++ {
 				if seen[a[:n]] {
-					t.Fatalf("%q begins %q", a[:n], a)
+					t.Fatalf("%q is a prefix of %q", a[:n], a)
 				}
 			}
 		}
 	})
 }
 
-// A name read from a store VM is taken for a reference only if it is exactly the name
-// that the reference stands for: what is freed by it would else be another export.
+// A name that is read from a store VM parses only if it is exactly the name of the resulting
+// reference. Otherwise the planner could delete another export by that name.
 func FuzzParseReference(f *testing.F) {
-	c := contextOf(testScope, text("a", 3))
+	c := contextOf(testOrg, text("a", 3))
 	f.Add(store.ManifestName(c.Scope, "g.1", c.Chain[2]))
 	f.Add(store.ManifestName(block.Scope{Org: request.OrgID("a/b%"), Model: "=", Version: ".."}, "", c.Chain[0]))
 	f.Add("o=/m=/v=/g=/manifest-")
@@ -111,7 +111,7 @@
 	f.Fuzz(func(t *testing.T, name string) {
 		r, err := parseReference(name)
 		if err == nil && r.String() != name {
-			t.Fatalf("%q was read as %q", name, r)
+			t.Fatalf("%q was parsed as %q", name, r)
 		}
 	})
 }
--- a/internal/planner/reference.go
+++ b/internal/planner/reference.go
@@ -12,9 +12,8 @@
 	"github.com/bluebellscale/bluebellscale/internal/store"
 )
 
-// reference is what a manifest's name says: scope, generation and the hash of the
-// last block. The directory keeps the name, so that a copy can be freed without
-// knowing whose it was.
+// reference is a parsed manifest name: scope, generation and the hash of the last block.
+// The directory stores the name, so that a copy can be freed without its context.
 type reference struct {
 	scope      block.Scope
 	generation store.Generation
@@ -29,19 +28,19 @@
 	manifestPrefix = "manifest-"
 )
 
-// errReference reports a name that is not a manifest's.
-var errReference = errors.New("planner: not the name of a manifest")
+// errNotManifestName reports a name that is not that of a manifest.
+var errNotManifestName = errors.New("planner: not the name of a manifest")
 
 func parseReference(name string) (reference, error) {
 	parts := strings.Split(name, "/")
 	if len(parts) != referenceParts {
-		return reference{}, errReference
+		return reference{}, errNotManifestName
 	}
 	var values [referenceParts - 1]string
 	for i, tag := range []string{"o=", "m=", "v=", "g="} {
 		value, err := url.PathUnescape(strings.TrimPrefix(parts[i], tag))
 		if err != nil || !strings.HasPrefix(parts[i], tag) {
-			return reference{}, errReference
+			return reference{}, errNotManifestName
 		}
 		values[i] = value
 	}
@@ -54,45 +53,45 @@
 		generation: store.Generation(values[3]),
 	}
 	if err := r.tail.UnmarshalText([]byte(strings.TrimPrefix(parts[4], manifestPrefix))); err != nil {
-		return reference{}, errors.Mark(err, errReference)
+		return reference{}, errors.Mark(err, errNotManifestName)
 	}
-	// A block's name, or another spelling of a name, is not the manifest's.
+	// Names of blocks and non-canonical spellings are rejected.
 	if r.String() != name {
-		return reference{}, errReference
+		return reference{}, errNotManifestName
 	}
 	return r, nil
 }
 
-// generationStart is what the generations of all exports of a context begin with: the
-// hash of its first block, by which a daemon that never saw the context finds them.
-func generationStart(chain []block.Hash) string { return chain[0].String() + "." }
+// generationPrefix returns the common prefix of the generations of a context's exports. It
+// is the hash of the first block, by which any daemon can find the exports.
+func generationPrefix(chain []block.Hash) string { return chain[0].String() + "." }
 
-// depthMark is what a generation ends with: the hash of the block at the context's
-// depth. It stands right before the manifest's mark in a manifest's name, so that a
-// search for both finds the exports of contexts that share so many blocks.
-func depthMark(chain []block.Hash) string { return "." + chain[depthOf(len(chain))-1].String() }
+// depthSuffix returns the suffix of a generation: the hash of the block at the context's
+// depth. In a manifest's name it directly precedes store.ManifestMark, so that a search for
+// both finds the exports of contexts that share the blocks up to this depth.
+func depthSuffix(chain []block.Hash) string { return "." + chain[depthOf(len(chain))-1].String() }
 
-// stepsInOctave is how many depths there are from one power of two to the next. A
-// context that is less than a quarter longer than the prompt it shares with others is
-// not told apart from them by its depth.
-const stepsInOctave = 4
+// depthsPerDoubling is the number of depths from one power of two to the next. The depth
+// does not distinguish a context from others if it is less than a quarter longer than the
+// prefix that they share.
+const depthsPerDoubling = 4
 
-// depthOf returns the deepest depth that a context of some blocks reaches. All numbers
-// up to 2*stepsInOctave are depths, and of larger ones the multiples of the
-// stepsInOctave'th part of the power of two below.
+// depthOf returns the greatest depth that is at most the given number of blocks. All
+// numbers up to 2*depthsPerDoubling are depths. Above, the depths are the multiples of
+// 1/depthsPerDoubling of the next lower power of two.
 func depthOf(blocks int) int {
 	step := 1
-	for blocks >= 2*stepsInOctave*step {
+	for blocks >= 2*depthsPerDoubling*step {
 		step *= 2
 	}
 	return blocks / step * step
 }
 
-// nextGeneration returns a generation that no export has had: the instance differs
-// for every start of every daemon.
+// nextGeneration returns a generation that no export has used before, since the instance
+// differs for every start of every daemon.
 func (p *Planner) nextGeneration(chain []block.Hash) store.Generation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.generation++
-	return store.Generation(fmt.Sprintf("%s%s-%d%s", generationStart(chain), p.opts.Instance, p.generation, depthMark(chain)))
+	return store.Generation(fmt.Sprintf("%s%s-%d%s", generationPrefix(chain), p.opts.Instance, p.generation, depthSuffix(chain)))
 }
--- a/internal/planner/stores.go
+++ b/internal/planner/stores.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// statusKept is how long a store VM's status is used before it is asked again.
-	statusKept = time.Second
-	// statusTimeout bounds one question for it.
+	// statusMaxAge is how long a store VM's status is cached.
+	statusMaxAge = time.Second
+	// statusTimeout bounds one status request.
 	statusTimeout = 500 * time.Millisecond
 )
 
-// storePool holds the clients of store VMs.
+// storePool holds the clients of store VMs and caches their statuses.
 type storePool struct {
 	log hclog.Logger
 
-	mu      sync.Mutex
-	clients map[string]*store.Client
-	kept    map[request.StoreID]keptStatus
+	mu       sync.Mutex
+	clients  map[string]*store.Client
+	statuses map[request.StoreID]cachedStatus
 }
 
-type keptStatus struct {
+type cachedStatus struct {
 	status storeapi.Status
 	err    error
-	read   time.Time
+	readAt time.Time
 }
 
 func newStorePool(log hclog.Logger) *storePool {
-	return &storePool{log: log, clients: map[string]*store.Client{}, kept: map[request.StoreID]keptStatus{}}
+	return &storePool{log: log, clients: map[string]*store.Client{}, statuses: map[request.StoreID]cachedStatus{}}
 }
 
 func (s *storePool) client(id request.StoreID, address string) *store.Client {
@@ -51,24 +51,24 @@
 	return c
 }
 
-// status returns a store VM's status, at most statusKept old.
+// status returns a store VM's status that is at most statusMaxAge old.
 func (s *storePool) status(ctx context.Context, row *table.Store) (storeapi.Status, error) {
-	return s.statusWithin(ctx, row, statusKept)
+	return s.statusWithin(ctx, row, statusMaxAge)
 }
 
 // statusWithin returns a store VM's status that is at most age old.
 func (s *storePool) statusWithin(ctx context.Context, row *table.Store, age time.Duration) (storeapi.Status, error) {
 	s.mu.Lock()
-	kept, ok := s.kept[row.ID]
+	cached, ok := s.statuses[row.ID]
 	s.mu.Unlock()
-	if ok && time.Since(kept.read) < age {
-		return kept.status, kept.err
+	if ok && time.Since(cached.readAt) < age {
+		return cached.status, cached.err
 	}
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	status, err := s.client(row.ID, row.Address).Status(ctx)
 	s.mu.Lock()
-	s.kept[row.ID] = keptStatus{status: status, err: err, read: time.Now()}
+	s.statuses[row.ID] = cachedStatus{status: status, err: err, readAt: time.Now()}
 	s.mu.Unlock()
 	return status, err
 }
