--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -176,8 +176,8 @@
 	if got := e.orderCount(); got != 1 {
 		t.Fatalf("the new holder sent %d orders after the wait", got)
 	}
-	naive, _ := stalled.opts.Tables.Current().Target("engine-0")
-	if _, err := e.Client(*naive).Order(t.Context(), order.Order); err != nil || e.orderCount() != 2 {
+	row, _ := stalled.opts.Tables.Current().Target("engine-0")
+	if _, err := e.Client(*row).Order(t.Context(), order.Order); err != nil || e.orderCount() != 2 {
 		t.Fatalf("the order was not accepted without the lease check either: %v", err)
 	}
 }
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -138,16 +138,16 @@
 }
 
 // Callers of three daemons get three times their limit if each daemon enforces it
-// independently. If a daemon loses its coordinator, its callers would get nothing if it
-// failed closed, or everything if it failed open. The bounds are those of
+// independently. When a daemon can't reach the coordinator, its callers would get nothing
+// if it failed closed, and would not be limited if it failed open. The bounds are those of
 // docs/design/limits.md.
 func TestLimitAcrossDaemons(t *testing.T) {
 	const n, duration = 3, 1500 * time.Millisecond
 	replica := loadTable(t)
 	org, _ := replica.Current().Organisation("atlas")
-	naive := startCluster(t, replica, n)
-	naive.independent.Store(true)
-	admitted, elapsed := naive.generateLoad(org, duration)
+	uncoordinated := startCluster(t, replica, n)
+	uncoordinated.independent.Store(true)
+	admitted, elapsed := uncoordinated.generateLoad(org, duration)
 	if bound := testBurst + testRate*(elapsed+sliceTTL).Seconds(); float64(admitted) <= bound {
 		t.Fatalf("independent daemons admitted %d, within the bound of %.0f: the test shows nothing", admitted, bound)
 	}
--- a/internal/planner/import_test.go
+++ b/internal/planner/import_test.go
@@ -67,7 +67,7 @@
 	} {
 		p.Bring(env.ctx, c, *choice)
 		if s := env.engines[1].Stats(); s.ImportedBlocks != 0 {
-			t.Fatalf("%d blocks were imported for another %s", s.ImportedBlocks, name)
+			t.Fatalf("another %s received %d blocks", name, s.ImportedBlocks)
 		}
 	}
 }
--- a/internal/planner/janitor.go
+++ b/internal/planner/janitor.go
@@ -87,12 +87,12 @@
 func (p *Planner) promotions(space retention.Room) []retention.Move {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var kept []contextdir.Kept
+	var candidates []contextdir.Kept
 	p.directory.EachKept(func(k contextdir.Kept) bool {
-		kept = append(kept, k)
+		candidates = append(candidates, k)
 		return true
 	})
-	return retention.Promotions(retention.DefaultParams(), space, kept, time.Now())
+	return retention.Promotions(retention.DefaultParams(), space, candidates, time.Now())
 }
 
 func spaceOf(id request.StoreID, status storeapi.Status) retention.Room {
@@ -122,7 +122,7 @@
 		return
 	}
 	manifests := map[string]store.Manifest{}
-	var kept []contextdir.Kept
+	var candidates []contextdir.Kept
 	now := time.Now()
 	for _, l := range listed {
 		m, ok := p.readManifest(ctx, client, l.Name)
@@ -130,14 +130,14 @@
 			continue
 		}
 		manifests[l.Name] = m
-		kept = append(kept, contextdir.Kept{
+		candidates = append(candidates, contextdir.Kept{
 			Scope:   m.Scope(),
 			Blocks:  len(m.Blocks),
 			LastUse: now.Add(-time.Duration(l.IdleMillis) * time.Millisecond),
 			Copies:  []contextdir.Copy{{Manifest: l.Name, Store: s.ID, Tier: l.Tier, Blocks: len(m.Blocks), Bytes: m.Bytes()}},
 		})
 	}
-	for _, m := range retention.MakeRoom(evictionParams(), spaceOf(s.ID, status), kept, now) {
+	for _, m := range retention.MakeRoom(evictionParams(), spaceOf(s.ID, status), candidates, now) {
 		p.applyMove(ctx, client, m, manifests[m.Copy.Manifest])
 	}
 }
--- a/internal/planner/janitor_test.go
+++ b/internal/planner/janitor_test.go
@@ -45,17 +45,17 @@
 func TestJanitorFreesLeastRecentlyUsedFirst(t *testing.T) {
 	const blocks, exports = 10, 4
 	env := newTestEnv(t, standin.Options{MemoryBytes: blocks*exports*blockLength*103/100 + 8<<10})
-	former := env.planner()
+	previous := env.planner()
 	var all []gateway.Context
 	for i := range exports {
-		all = append(all, env.export(former, text(fmt.Sprintf("context %d", i), blocks)))
+		all = append(all, env.export(previous, text(fmt.Sprintf("context %d", i), blocks)))
 		env.await("the next use to be later", func() bool {
 			listed, err := env.client.List(env.ctx, "", store.ManifestMark, exports)
 			return err == nil && listed[len(listed)-1].IdleMillis > 1
 		})
 	}
 	// The first export is read again, so that the second is the least recently used.
-	first := env.manifestOf(former, all[0])
+	first := env.manifestOf(previous, all[0])
 	_, err := env.client.GetManifest(env.ctx, first.Scope(), first.Generation, first.Tail())
 	env.check(err)
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -271,11 +271,11 @@
 	defer p.mu.Unlock()
 	candidates := make([]placement.Candidate, 0, len(rows))
 	for _, t := range rows {
-		v, seen := views[t.ID]
+		v, reported := views[t.ID]
 		if v.Version == "" {
 			v.Version = sheet.TargetVersion(t)
 		}
-		candidates = append(candidates, p.candidate(t, v, seen, located))
+		candidates = append(candidates, p.candidate(t, v, reported, located))
 	}
 	r := placement.Request{Tokens: c.Tokens, Version: c.Scope.Version, Spread: p.random.Uint64()}
 	if model, ok := sheet.Model(c.Scope.Model); ok {
@@ -287,9 +287,9 @@
 // candidate combines the directory's estimate with the coordinator's view of a target. The
 // coordinator reads the target's cache events, so its view takes precedence unless it is
 // unconfirmed.
-func (p *Planner) candidate(t *table.Target, v steward.View, seen bool, l contextdir.Located) placement.Candidate {
+func (p *Planner) candidate(t *table.Target, v steward.View, reported bool, l contextdir.Located) placement.Candidate {
 	resident, unconfirmed := directoryEstimate(l, t.ID)
-	if seen && !v.Unsure {
+	if reported && !v.Unsure {
 		resident, unconfirmed = v.ResidentBlocks, false
 	}
 	rate := p.prefillRates.PrefillRate(t.ID)
--- a/internal/planner/recover_test.go
+++ b/internal/planner/recover_test.go
@@ -22,20 +22,20 @@
 	for _, shared := range []int{1, 40, 128} {
 		t.Run(fmt.Sprint(shared), func(t *testing.T) {
 			env := newTestEnv(t, standin.Options{MemoryBytes: 1 << 30})
-			former := env.planner()
+			previous := env.planner()
 			prefix := text("instructions", shared)
 			for i := range 100 {
-				env.commitManifest(former, contextOf(testOrg, prefix+text(fmt.Sprint("other ", i), 2*shared)))
+				env.commitManifest(previous, contextOf(testOrg, prefix+text(fmt.Sprint("other ", i), 2*shared)))
 			}
 			wanted := prefix + text("wanted", 2*shared)
-			earlier := env.commitManifest(former, contextOf(testOrg, wanted))
-			later := env.commitManifest(former, contextOf(testOrg, wanted+text("answer", 3)))
-			env.commitManifest(former, contextOf("temper", wanted+text("answer", 3)))
+			earlier := env.commitManifest(previous, contextOf(testOrg, wanted))
+			later := env.commitManifest(previous, contextOf(testOrg, wanted+text("answer", 3)))
+			env.commitManifest(previous, contextOf("temper", wanted+text("answer", 3)))
 			c := contextOf(testOrg, wanted+text("answer", 3)+text("question", 2))
 
-			naive, err := env.client.List(env.ctx, store.PrefixOfGenerations(c.Scope, generationPrefix(c.Chain)), store.ManifestMark, maxListed)
+			truncated, err := env.client.List(env.ctx, store.PrefixOfGenerations(c.Scope, generationPrefix(c.Chain)), store.ManifestMark, maxListed)
 			env.check(err)
-			for _, l := range naive {
+			for _, l := range truncated {
 				if l.Name == later.Name() || l.Name == earlier.Name() {
 					t.Fatal("the truncated list contains the context")
 				}
