--- a/internal/controlbench/slopes_test.go
+++ b/internal/controlbench/slopes_test.go
@@ -14,13 +14,13 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"github.com/bluebellscale/bluebellscale/internal/coordinator"
 	"github.com/bluebellscale/bluebellscale/internal/gateway"
 	"github.com/bluebellscale/bluebellscale/internal/peer"
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 	"github.com/bluebellscale/bluebellscale/internal/policy/limit"
 	"github.com/bluebellscale/bluebellscale/internal/request"
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
-	"github.com/bluebellscale/bluebellscale/internal/steward"
 	"github.com/bluebellscale/bluebellscale/internal/table"
 	"github.com/bluebellscale/bluebellscale/internal/tabletest"
 	"github.com/bluebellscale/bluebellscale/internal/target"
@@ -145,11 +145,11 @@
 	return target.New(target.Options{ID: t.ID, Address: t.Address})
 }
 
-func newSteward(b *testing.B) *steward.Service {
+func newSteward(b *testing.B) *coordinator.Service {
 	b.Helper()
 	replica := tabletest.Load(b, kv.NewFake(time.Now).Client("d1"), bigTable(10))
 	m := oneMember{self: &peer.Member{Id: "d1"}}
-	s := steward.New(steward.Options{
+	s := coordinator.New(coordinator.Options{
 		Tables: replica, Members: m, Targets: m, Peers: m, Instance: "d1.1",
 		PollInterval: time.Hour, QueueLimit: 64, Logger: hclog.NewNullLogger(),
 	})
@@ -180,7 +180,7 @@
 	ids := []request.TargetID{"engine-0001"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(s.Look(ctx, ids, steward.Prompt{Org: "org-00001", Tokens: 1000})) != 1 {
+		if len(s.Look(ctx, ids, coordinator.Prompt{Org: "org-00001", Tokens: 1000})) != 1 {
 			b.Fatal("no view")
 		}
 	}
--- a/internal/steward/steward.go
+++ b/internal/coordinator/coordinator.go
@@ -1,4 +1,4 @@
-// Package steward runs the stewards of targets and asks those of peers.
+// Package coordinator runs the coordinators of targets and calls those of peers.
 //
 // Each target has one steward among the live daemons, chosen by rendezvous hash: it
 // alone polls the target's load and cache events, holds the queue for it and hands
@@ -8,7 +8,7 @@
 //
 // Every target has an actor here that owns its admission state; a small goroutine
 // beside it polls the target while this daemon is its steward.
-package steward
+package coordinator
 
 import (
 	"context"
--- a/internal/steward/grants.go
+++ b/internal/coordinator/grants.go
@@ -1,4 +1,4 @@
-package steward
+package coordinator
 
 import (
 	"context"
--- a/internal/steward/residency.go
+++ b/internal/coordinator/residency.go
@@ -1,4 +1,4 @@
-package steward
+package coordinator
 
 import (
 	"github.com/bluebellscale/bluebellscale/internal/block"
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -18,6 +18,7 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/bluebellscale/bluebellscale/internal/config"
+	"github.com/bluebellscale/bluebellscale/internal/coordinator"
 	"github.com/bluebellscale/bluebellscale/internal/fleet"
 	"github.com/bluebellscale/bluebellscale/internal/gateway"
 	"github.com/bluebellscale/bluebellscale/internal/journal"
@@ -31,7 +32,6 @@
 	"github.com/bluebellscale/bluebellscale/internal/policy/placement"
 	"github.com/bluebellscale/bluebellscale/internal/policy/quarantine"
 	"github.com/bluebellscale/bluebellscale/internal/request"
-	"github.com/bluebellscale/bluebellscale/internal/steward"
 	"github.com/bluebellscale/bluebellscale/internal/suspect"
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
@@ -71,7 +71,7 @@
 	journal  *journal.Journal
 	targets  *targetPool
 	peerPool *peerPool
-	stewards *steward.Service
+	stewards *coordinator.Service
 	limiter  *limiter.Limiter
 	planner  *planner.Planner
 	suspects *suspect.Keeper
@@ -232,7 +232,7 @@
 	d.targets = newTargetPool(c.Streams, d.log, d.metrics)
 	peers := newPeerPool()
 	d.peerPool = peers
-	d.stewards = steward.New(steward.Options{
+	d.stewards = coordinator.New(coordinator.Options{
 		Tables:       d.table,
 		Members:      d.members,
 		Targets:      d.targets,
--- a/internal/daemon/debug.go
+++ b/internal/daemon/debug.go
@@ -6,15 +6,15 @@
 	"net/http"
 	"time"
 
+	"github.com/bluebellscale/bluebellscale/internal/coordinator"
 	"github.com/bluebellscale/bluebellscale/internal/limiter"
 	"github.com/bluebellscale/bluebellscale/internal/peer"
-	"github.com/bluebellscale/bluebellscale/internal/steward"
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
 // stewardServer joins the two halves of peer.Steward.
 type stewardServer struct {
-	*steward.Server
+	*coordinator.Server
 	slices *limiter.Limiter
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -19,11 +19,11 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/bluebellscale/bluebellscale/internal/contextdir"
+	"github.com/bluebellscale/bluebellscale/internal/coordinator"
 	"github.com/bluebellscale/bluebellscale/internal/gateway"
 	"github.com/bluebellscale/bluebellscale/internal/policy/placement"
 	"github.com/bluebellscale/bluebellscale/internal/policy/retention"
 	"github.com/bluebellscale/bluebellscale/internal/request"
-	"github.com/bluebellscale/bluebellscale/internal/steward"
 	"github.com/bluebellscale/bluebellscale/internal/storeapi"
 	"github.com/bluebellscale/bluebellscale/internal/table"
 	"github.com/bluebellscale/bluebellscale/internal/target"
@@ -39,7 +39,7 @@
 
 // Looker gives the stewards' views of targets.
 type Looker interface {
-	Look(ctx context.Context, ids []request.TargetID, p steward.Prompt) map[request.TargetID]steward.View
+	Look(ctx context.Context, ids []request.TargetID, p coordinator.Prompt) map[request.TargetID]coordinator.View
 }
 
 // Tables gives the operators' table in force.
@@ -143,7 +143,7 @@
 	rows = p.sample(sheet, c.Scope.Version, rows, located)
 	var queues sync.WaitGroup
 	queues.Go(func() { p.readQueues(ctx, sheet, located) })
-	views := p.opts.Looker.Look(ctx, targetIDs(rows), steward.Prompt{Org: c.Scope.Org, Chain: c.Chain, Tokens: c.Tokens})
+	views := p.opts.Looker.Look(ctx, targetIDs(rows), coordinator.Prompt{Org: c.Scope.Org, Chain: c.Chain, Tokens: c.Tokens})
 	queues.Wait()
 	plan := p.plan(sheet, c, rows, located, views)
 	return choicesOf(sheet, plan, located)
@@ -170,7 +170,7 @@
 	}
 	count := map[request.Version]int{}
 	var best request.Version
-	for _, v := range p.opts.Looker.Look(ctx, targetIDs(rows), steward.Prompt{}) {
+	for _, v := range p.opts.Looker.Look(ctx, targetIDs(rows), coordinator.Prompt{}) {
 		if v.Down || v.Leaving || v.Version == "" {
 			continue
 		}
@@ -262,7 +262,7 @@
 	c gateway.Context,
 	rows []*table.Target,
 	located contextdir.Located,
-	views map[request.TargetID]steward.View,
+	views map[request.TargetID]coordinator.View,
 ) placement.Plan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -283,7 +283,7 @@
 
 // candidate joins what the directory remembers with what the steward sees. The
 // steward reads the target's cache events; unless it is unsure its word counts.
-func (p *Planner) candidate(t *table.Target, v steward.View, seen bool, l contextdir.Located) placement.Candidate {
+func (p *Planner) candidate(t *table.Target, v coordinator.View, seen bool, l contextdir.Located) placement.Candidate {
 	resident, unsure := remembered(l, t.ID)
 	if seen && !v.Unsure {
 		resident, unsure = v.ResidentBlocks, false
--- a/internal/planner/world_test.go
+++ b/internal/planner/world_test.go
@@ -11,6 +11,7 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/bluebellscale/bluebellscale/internal/block"
+	"github.com/bluebellscale/bluebellscale/internal/coordinator"
 	"github.com/bluebellscale/bluebellscale/internal/engineapi"
 	"github.com/bluebellscale/bluebellscale/internal/gateway"
 	"github.com/bluebellscale/bluebellscale/internal/policy/placement"
@@ -19,7 +20,6 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/fault"
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
 	standin "github.com/bluebellscale/bluebellscale/internal/standin/store"
-	"github.com/bluebellscale/bluebellscale/internal/steward"
 	"github.com/bluebellscale/bluebellscale/internal/store"
 	"github.com/bluebellscale/bluebellscale/internal/table"
 	"github.com/bluebellscale/bluebellscale/internal/tabletest"
@@ -121,10 +121,10 @@
 	busy map[request.TargetID]time.Duration
 }
 
-func (l idle) Look(_ context.Context, ids []request.TargetID, _ steward.Prompt) map[request.TargetID]steward.View {
-	out := map[request.TargetID]steward.View{}
+func (l idle) Look(_ context.Context, ids []request.TargetID, _ coordinator.Prompt) map[request.TargetID]coordinator.View {
+	out := map[request.TargetID]coordinator.View{}
 	for _, id := range ids {
-		out[id] = steward.View{Target: id, Wait: l.busy[id], Version: "v1"}
+		out[id] = coordinator.View{Target: id, Wait: l.busy[id], Version: "v1"}
 	}
 	return out
 }
