--- a/internal/coordinator/actor.go
+++ b/internal/coordinator/actor.go
@@ -215,8 +215,8 @@
 			fingerprints = append(fingerprints, quarantine.Fingerprint(ask.Fingerprint))
 		}
 	}
-	if k.service.opts.OnDied != nil && len(fingerprints) > 0 {
-		k.service.tasks.Go(func() { k.service.opts.OnDied(k.row.ID, d.Incarnation, fingerprints) })
+	if k.service.opts.OnTargetDied != nil && len(fingerprints) > 0 {
+		k.service.tasks.Go(func() { k.service.opts.OnTargetDied(k.row.ID, d.Incarnation, fingerprints) })
 	}
 }
 
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -57,10 +57,10 @@
 	Instance     string // differs for every start of every daemon
 	PollInterval time.Duration
 	QueueLimit   int // asks waiting for one target
-	// OnDied is told which requests a target that died had in flight; may be nil.
-	OnDied  func(t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint)
-	Logger  hclog.Logger
-	Metrics tally.Scope
+	// OnTargetDied is told which requests a target that died had in flight; may be nil.
+	OnTargetDied func(t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint)
+	Logger       hclog.Logger
+	Metrics      tally.Scope
 }
 
 // PeerDialer gives the twirp client of a peer.
--- a/internal/coordinator/poll.go
+++ b/internal/coordinator/poll.go
@@ -106,7 +106,7 @@
 func (k *keeper) recover() {
 	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
-	if err := k.service.opts.Targets.Client(k.row).RecoverSilence(ctx); err != nil {
+	if err := k.service.opts.Targets.Client(k.row).ResetIfReachable(ctx); err != nil {
 		k.service.log.Debug("Target does not answer on a new connection", "target", k.row.ID, "error", err)
 	}
 }
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -85,7 +85,7 @@
 			Running:        int32(w.Running),
 			Waiting:        int32(w.Waiting),
 			ResidentBlocks: int32(w.ResidentBlocks),
-			Unsure:         w.Unsure,
+			Unsure:         w.Unconfirmed,
 			Down:           w.Down,
 			Leaving:        w.Leaving,
 			Version:        string(w.Version),
--- a/internal/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -14,18 +14,18 @@
 
 // TargetState is a target in the dump of a daemon.
 type TargetState struct {
-	Target        request.TargetID `json:"target"`
-	Address       string           `json:"address"`
-	Steward       string           `json:"steward"` // the daemon that holds its queue
-	Here          bool             `json:"here"`
-	Version       request.Version  `json:"version"`
-	Running       int              `json:"running"`
-	Waiting       int              `json:"waiting"`
-	PrefillTokens int64            `json:"prefill_tokens"`
-	Down          bool             `json:"down"`
-	Leaving       bool             `json:"leaving"`
-	CacheUnsure   bool             `json:"cache_unsure"`
-	ReportAgeMs   int64            `json:"report_age_ms"`
+	Target           request.TargetID `json:"target"`
+	Address          string           `json:"address"`
+	Coordinator      string           `json:"steward"` // the daemon that holds its queue
+	Local            bool             `json:"here"`
+	Version          request.Version  `json:"version"`
+	Running          int              `json:"running"`
+	Waiting          int              `json:"waiting"`
+	PrefillTokens    int64            `json:"prefill_tokens"`
+	Down             bool             `json:"down"`
+	Leaving          bool             `json:"leaving"`
+	CacheUnconfirmed bool             `json:"cache_unsure"`
+	ReportAgeMs      int64            `json:"report_age_ms"`
 }
 
 // State returns the targets whose queue is held here, ordered by id.
@@ -40,18 +40,18 @@
 		}
 		m := s.steward(k.row.ID)
 		out = append(out, TargetState{
-			Target:        k.row.ID,
-			Address:       k.row.Address,
-			Steward:       m.Id,
-			Here:          s.isSelf(m),
-			Version:       v.version,
-			Running:       v.running,
-			Waiting:       v.waiting,
-			PrefillTokens: v.prefill,
-			Down:          v.down,
-			Leaving:       v.leaving,
-			CacheUnsure:   v.unsure,
-			ReportAgeMs:   v.age.Milliseconds(),
+			Target:           k.row.ID,
+			Address:          k.row.Address,
+			Coordinator:      m.Id,
+			Local:            s.isSelf(m),
+			Version:          v.version,
+			Running:          v.running,
+			Waiting:          v.waiting,
+			PrefillTokens:    v.prefill,
+			Down:             v.down,
+			Leaving:          v.leaving,
+			CacheUnconfirmed: v.unsure,
+			ReportAgeMs:      v.age.Milliseconds(),
 		})
 	}
 	slices.SortFunc(out, func(a, b TargetState) int { return cmp.Compare(a.Target, b.Target) })
--- a/internal/coordinator/views.go
+++ b/internal/coordinator/views.go
@@ -47,7 +47,7 @@
 	Running        int
 	Waiting        int
 	ResidentBlocks int // leading blocks of the chain in accelerator memory
-	Unsure         bool
+	Unconfirmed    bool
 	Down           bool
 	Leaving        bool
 	Version        request.Version // empty: not reported yet
@@ -100,7 +100,7 @@
 			Running:        int(v.Running),
 			Waiting:        int(v.Waiting),
 			ResidentBlocks: int(v.ResidentBlocks),
-			Unsure:         v.Unsure,
+			Unconfirmed:    v.Unsure,
 			Down:           v.Down,
 			Leaving:        v.Leaving,
 			Version:        request.Version(v.Version),
@@ -138,7 +138,7 @@
 			Running:        v.running,
 			Waiting:        v.waiting,
 			ResidentBlocks: v.resident,
-			Unsure:         v.unsure,
+			Unconfirmed:    v.unsure,
 			Down:           v.down,
 			Leaving:        v.leaving,
 			Version:        v.version,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -241,7 +241,7 @@
 		Instance:     d.instance(),
 		PollInterval: c.Fleet.PollInterval,
 		QueueLimit:   c.Admission.QueuePerTarget,
-		OnDied:       d.witness,
+		OnTargetDied: d.witness,
 		Logger:       d.log,
 		Metrics:      d.metrics,
 	})
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -39,13 +39,13 @@
 	c, ok := p.clients[key]
 	if !ok {
 		c = target.New(target.Options{
-			ID:            t.ID,
-			Address:       t.Address,
-			Logger:        p.log,
-			Metrics:       p.metrics,
-			DialTimeout:   p.streams.DialTimeout,
-			HeaderTimeout: p.streams.HeaderTimeout,
-			SilentAfter:   p.streams.SilentAfter,
+			ID:                t.ID,
+			Address:           t.Address,
+			Logger:            p.log,
+			Metrics:           p.metrics,
+			DialTimeout:       p.streams.DialTimeout,
+			HeaderTimeout:     p.streams.HeaderTimeout,
+			StreamIdleTimeout: p.streams.SilentAfter,
 		})
 		p.clients[key] = c
 	}
--- a/internal/gateway/pump.go
+++ b/internal/gateway/pump.go
@@ -138,7 +138,7 @@
 	// for ever, while new ones work. It shows as a stream without frames. All pooled
 	// connections to the target are as old and are thrown away with it; the stream goes
 	// on over a fresh one, so a caller sees a pause and no loss.
-	if errors.Is(err, target.ErrSilent) {
+	if errors.Is(err, target.ErrTimeout) {
 		p.client.ResetConnections()
 	}
 	return p.assemble.OnCut(time.Now())
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -136,7 +136,7 @@
 	if target.NotStarted(err) {
 		answer.Ran = request.NotRun
 	}
-	silent := errors.Is(err, target.ErrSilent) && g.recovered(client)
+	silent := errors.Is(err, target.ErrTimeout) && g.recovered(client)
 	var refused *engineapi.Error
 	if errors.As(err, &refused) && refused.Code == engineapi.CodeWrongVersion {
 		answer.Code = request.CodeWrongVersion
@@ -157,7 +157,7 @@
 func (g *Gateway) recovered(client *target.Client) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	return client.RecoverSilence(ctx) == nil
+	return client.ResetIfReachable(ctx) == nil
 }
 
 func cancelled(ran request.RunOutcome) *request.Error {
--- a/internal/planner/free.go
+++ b/internal/planner/free.go
@@ -33,7 +33,7 @@
 // fills up with them. Why the guards hold: exports of one context begin with one hash,
 // by which the store VM lists them; and what is pinned is tried again until it is free.
 func (p *Planner) deleteExport(ctx context.Context, client *store.Client, m store.Manifest, kept ...store.Manifest) error {
-	if len(m.Garbage(kept...)) > 0 {
+	if len(m.UnreferencedBlocks(kept...)) > 0 {
 		others, err := p.sharing(ctx, client, m)
 		if err != nil {
 			return err
@@ -50,7 +50,7 @@
 // sharing returns the exports that list blocks which m lists.
 func (p *Planner) sharing(ctx context.Context, client *store.Client, m store.Manifest) ([]store.Manifest, error) {
 	head, _, _ := strings.Cut(string(m.Generation), ".")
-	listed, err := client.List(ctx, store.PrefixOfGenerations(m.Scope(), head+"."), store.ManifestMark, maxRecovered)
+	listed, err := client.List(ctx, store.GenerationsPrefix(m.Scope(), head+"."), store.ManifestMark, maxRecovered)
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 		if l.Name == m.Name() {
 			continue
 		}
-		if other, ok := p.readManifest(ctx, client, l.Name); ok && len(m.Garbage(other)) < len(m.Blocks) {
+		if other, ok := p.readManifest(ctx, client, l.Name); ok && len(m.UnreferencedBlocks(other)) < len(m.Blocks) {
 			out = append(out, other)
 		}
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -285,7 +285,7 @@
 // steward reads the target's cache events; unless it is unsure its word counts.
 func (p *Planner) candidate(t *table.Target, v coordinator.View, seen bool, l contextdir.Located) placement.Candidate {
 	resident, unsure := remembered(l, t.ID)
-	if seen && !v.Unsure {
+	if seen && !v.Unconfirmed {
 		resident, unsure = v.ResidentBlocks, false
 	}
 	rate := p.costs.PrefillRate(t.ID)
--- a/internal/planner/recover.go
+++ b/internal/planner/recover.go
@@ -99,7 +99,7 @@
 	ctx context.Context, s *table.Store, c gateway.Context, mark string, positions map[block.Hash]int,
 ) (best found, all bool, err error) {
 	client := p.stores.client(s.ID, s.Address)
-	prefix := store.PrefixOfGenerations(c.Scope, generationStart(c.Chain))
+	prefix := store.GenerationsPrefix(c.Scope, generationStart(c.Chain))
 	listed, err := client.List(ctx, prefix, mark, maxRecovered)
 	if err != nil {
 		return found{}, false, err
@@ -116,7 +116,7 @@
 	return best, len(listed) < maxRecovered, nil
 }
 
-func (p *Planner) foundOf(id request.StoreID, model request.Model, l storeapi.Listed, blocks int) found {
+func (p *Planner) foundOf(id request.StoreID, model request.Model, l storeapi.ObjectInfo, blocks int) found {
 	return found{
 		copy: contextdir.Copy{
 			Manifest: l.Name,
--- a/internal/planner/recover_test.go
+++ b/internal/planner/recover_test.go
@@ -33,7 +33,7 @@
 			w.commit(former, contextOf("temper", wanted+text("answer", 3)))
 			c := contextOf(testScope, wanted+text("answer", 3)+text("question", 2))
 
-			naive, err := w.client.List(w.ctx, store.PrefixOfGenerations(c.Scope, generationStart(c.Chain)), store.ManifestMark, maxRecovered)
+			naive, err := w.client.List(w.ctx, store.GenerationsPrefix(c.Scope, generationStart(c.Chain)), store.ManifestMark, maxRecovered)
 			w.check(err)
 			for _, l := range naive {
 				if l.Name == later.Name() || l.Name == earlier.Name() {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := target.New(target.Options{ID: "t1", Address: server.Address(), SilentAfter: testTimeout})
+	client := target.New(target.Options{ID: "t1", Address: server.Address(), StreamIdleTimeout: testTimeout})
 	t.Cleanup(func() {
 		client.Close()
 		server.Close()
@@ -252,7 +252,7 @@
 	if err == nil {
 		_, _, err = read(ctx, s)
 	}
-	if !errors.Is(err, target.ErrCut) || target.NotStarted(err) {
+	if !errors.Is(err, target.ErrConnectionLost) || target.NotStarted(err) {
 		t.Fatalf("crash: %v", err)
 	}
 }
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -138,17 +138,17 @@
 }
 
 // list returns objects by name, the longest unused first.
-func (s *Store) list(prefix, contains string, limit int) []storeapi.Listed {
+func (s *Store) list(prefix, contains string, limit int) []storeapi.ObjectInfo {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := []storeapi.Listed{}
+	out := []storeapi.ObjectInfo{}
 	now := time.Now()
 	for name, o := range s.objects {
 		if strings.HasPrefix(name, prefix) && strings.Contains(name, contains) {
-			out = append(out, storeapi.Listed{Name: name, Tier: o.tier, IdleMillis: now.Sub(o.used).Milliseconds()})
+			out = append(out, storeapi.ObjectInfo{Name: name, Tier: o.tier, IdleMillis: now.Sub(o.used).Milliseconds()})
 		}
 	}
-	slices.SortFunc(out, func(a, b storeapi.Listed) int {
+	slices.SortFunc(out, func(a, b storeapi.ObjectInfo) int {
 		return cmp.Or(cmp.Compare(b.IdleMillis, a.IdleMillis), cmp.Compare(a.Name, b.Name))
 	})
 	return out[:min(limit, len(out))]
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -139,7 +139,7 @@
 
 // List returns objects whose names begin with prefix and contain a text, the longest
 // unused first.
-func (c *Client) List(ctx context.Context, prefix, contains string, limit int) ([]storeapi.Listed, error) {
+func (c *Client) List(ctx context.Context, prefix, contains string, limit int) ([]storeapi.ObjectInfo, error) {
 	q := url.Values{"prefix": {prefix}, "contains": {contains}, "limit": {strconv.Itoa(limit)}}
 	answer, err := c.do(ctx, call{method: http.MethodGet, path: storeapi.PathList + "?" + q.Encode()})
 	if err != nil {
@@ -172,7 +172,7 @@
 	}
 	length, err := strconv.ParseInt(a.header.Get(storeapi.HeaderLength), 10, 64)
 	if err != nil {
-		return nil, 0, &MissError{Name: name, Reason: MissTorn}
+		return nil, 0, &MissError{Name: name, Reason: MissCorrupt}
 	}
 	return a.content, length, nil
 }
@@ -244,7 +244,7 @@
 	case status == http.StatusNotFound:
 		return &MissError{Name: k.name, Reason: MissAbsent}
 	case status == http.StatusGone && put, status == http.StatusConflict && put:
-		return errors.Wrap(ErrNameUsed, k.name)
+		return errors.Wrap(ErrNameTaken, k.name)
 	case status == http.StatusGone:
 		return &MissError{Name: k.name, Reason: MissFreed}
 	case status == http.StatusConflict:
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -16,8 +16,8 @@
 	ErrFull = errors.New("store: full")
 	// ErrPinned reports an object that cannot be freed yet.
 	ErrPinned = errors.New("store: pinned")
-	// ErrNameUsed reports a name that stands, or stood, for other content.
-	ErrNameUsed = errors.New("store: name used before")
+	// ErrNameTaken reports a name that stands, or stood, for other content.
+	ErrNameTaken = errors.New("store: name used before")
 	// ErrUnavailable reports that the store VM did not answer, or not as it should.
 	ErrUnavailable = errors.New("store: unavailable")
 )
@@ -30,10 +30,10 @@
 	MissAbsent MissReason = "absent"
 	// MissFreed means that the object was freed.
 	MissFreed MissReason = "freed"
-	// MissTorn means that length or digest do not match.
-	MissTorn MissReason = "torn"
-	// MissForeign means that the content belongs to another name.
-	MissForeign MissReason = "foreign"
+	// MissCorrupt means that length or digest do not match.
+	MissCorrupt MissReason = "torn"
+	// MissWrongName means that the content belongs to another name.
+	MissWrongName MissReason = "foreign"
 )
 
 // MissError is content that must be treated as not there.
--- a/internal/store/manifest.go
+++ b/internal/store/manifest.go
@@ -185,10 +185,10 @@
 	}
 	m, ok := openEnvelope(content)
 	if !ok {
-		return Manifest{}, &MissError{Name: name, Reason: MissTorn}
+		return Manifest{}, &MissError{Name: name, Reason: MissCorrupt}
 	}
 	if m.Name() != name {
-		return Manifest{}, &MissError{Name: name, Reason: MissForeign}
+		return Manifest{}, &MissError{Name: name, Reason: MissWrongName}
 	}
 	return m, nil
 }
@@ -221,13 +221,13 @@
 		return nil, err
 	}
 	if length != b.Length || digestOf(content) != b.Digest {
-		return nil, &MissError{Name: name, Reason: MissTorn}
+		return nil, &MissError{Name: name, Reason: MissCorrupt}
 	}
 	return content, nil
 }
 
-// Garbage returns the names of the blocks that none of kept lists.
-func (m Manifest) Garbage(kept ...Manifest) []string {
+// UnreferencedBlocks returns the names of the blocks that none of kept lists.
+func (m Manifest) UnreferencedBlocks(kept ...Manifest) []string {
 	stays := map[string]bool{}
 	for _, k := range kept {
 		for _, name := range k.BlockNames() {
@@ -242,7 +242,7 @@
 // is passed over; a pinned object stops it with ErrPinned, and a repeat goes on from
 // there.
 func (c *Client) DeleteExport(ctx context.Context, m Manifest, kept ...Manifest) error {
-	for _, name := range append([]string{m.Name()}, m.Garbage(kept...)...) {
+	for _, name := range append([]string{m.Name()}, m.UnreferencedBlocks(kept...)...) {
 		if err := c.Delete(ctx, name); err != nil && !errors.Is(err, ErrMiss) {
 			return err
 		}
--- a/internal/store/name.go
+++ b/internal/store/name.go
@@ -32,9 +32,9 @@
 // ManifestMark is what names of manifests contain and names of blocks do not.
 const ManifestMark = "/manifest-"
 
-// PrefixOfGenerations returns the start of the names of all exports whose generation
+// GenerationsPrefix returns the start of the names of all exports whose generation
 // begins with start.
-func PrefixOfGenerations(scope block.Scope, start string) string {
+func GenerationsPrefix(scope block.Scope, start string) string {
 	return strings.TrimSuffix(Prefix(scope, Generation(start)), "/")
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -124,9 +124,9 @@
 	tears := 2
 	switches.Apply(fault.Command{TearReads: &tears})
 	_, err = client.GetManifest(ctx, m.Scope(), m.Generation, m.Tail())
-	wantMiss(t, err, store.MissTorn)
+	wantMiss(t, err, store.MissCorrupt)
 	_, err = client.GetBlock(ctx, m, m.Blocks[0])
-	wantMiss(t, err, store.MissTorn)
+	wantMiss(t, err, store.MissCorrupt)
 
 	if err := client.Tier(ctx, m.BlockNames(), storeapi.TierDisk); err != nil {
 		t.Fatal(err)
@@ -145,7 +145,7 @@
 		t.Fatalf("pinned block: %v", err)
 	}
 	wantMiss(t, client.Pin(ctx, m.BlockNames(), time.Hour), store.MissFreed)
-	if err := client.PutManifest(ctx, m); !errors.Is(err, store.ErrNameUsed) {
+	if err := client.PutManifest(ctx, m); !errors.Is(err, store.ErrNameTaken) {
 		t.Fatalf("second use of a freed name: %v", err)
 	}
 	status, err := client.Status(ctx)
--- a/internal/storeapi/storeapi.go
+++ b/internal/storeapi/storeapi.go
@@ -54,11 +54,11 @@
 
 // ListResponse lists objects, the longest unused first.
 type ListResponse struct {
-	Objects []Listed `json:"objects"`
+	Objects []ObjectInfo `json:"objects"`
 }
 
-// Listed is one object of a list.
-type Listed struct {
+// ObjectInfo is one object of a list.
+type ObjectInfo struct {
 	Name       string `json:"name"`
 	Tier       Tier   `json:"tier"`
 	IdleMillis int64  `json:"idle_ms"` // since the last read or write
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -28,12 +28,12 @@
 
 // Defaults of Options.
 const (
-	DefaultDialTimeout    = time.Second
-	DefaultHeaderTimeout  = 5 * time.Second
-	DefaultSilentAfter    = 5 * time.Second
-	DefaultServiceTimeout = 30 * time.Second
-	DefaultMaxIdle        = 64
-	DefaultMaxBody        = 8 << 20
+	DefaultDialTimeout       = time.Second
+	DefaultHeaderTimeout     = 5 * time.Second
+	DefaultStreamIdleTimeout = 5 * time.Second
+	DefaultServiceTimeout    = 30 * time.Second
+	DefaultMaxIdle           = 64
+	DefaultMaxBody           = 8 << 20
 )
 
 // maxErrorBody is how much of an error answer is read, in bytes.
@@ -46,18 +46,18 @@
 	Logger  hclog.Logger
 	Metrics tally.Scope
 
-	DialTimeout    time.Duration // until a connection is made
-	HeaderTimeout  time.Duration // from a connection until the answer's header; not for exports, imports and service calls
-	SilentAfter    time.Duration // longest time without a byte on an open stream
-	ServiceTimeout time.Duration // of a whole service call
-	MaxIdle        int           // idle connections kept
-	MaxBody        int64         // largest service answer in bytes
+	DialTimeout       time.Duration // until a connection is made
+	HeaderTimeout     time.Duration // from a connection until the answer's header; not for exports, imports and service calls
+	StreamIdleTimeout time.Duration // longest time without a byte on an open stream
+	ServiceTimeout    time.Duration // of a whole service call
+	MaxIdle           int           // idle connections kept
+	MaxBody           int64         // largest service answer in bytes
 }
 
 func (o Options) withDefaults() Options {
 	orElse(&o.DialTimeout, DefaultDialTimeout)
 	orElse(&o.HeaderTimeout, DefaultHeaderTimeout)
-	orElse(&o.SilentAfter, DefaultSilentAfter)
+	orElse(&o.StreamIdleTimeout, DefaultStreamIdleTimeout)
 	orElse(&o.ServiceTimeout, DefaultServiceTimeout)
 	orElse(&o.MaxIdle, DefaultMaxIdle)
 	orElse(&o.MaxBody, DefaultMaxBody)
@@ -190,12 +190,12 @@
 func (c *Client) call(ctx context.Context, op string, timeout time.Duration, method, path string, in, out any) error {
 	if timeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeoutCause(ctx, timeout, ErrSilent)
+		ctx, cancel = context.WithTimeoutCause(ctx, timeout, ErrTimeout)
 		defer cancel()
 	}
 	req, err := c.newRequest(ctx, method, path, in)
 	if err != nil {
-		return c.fail(op, ErrBadAnswer, true, err)
+		return c.fail(op, ErrBadResponse, true, err)
 	}
 	resp, err := c.send(op, c.connections.pooled(), req)
 	if err != nil {
@@ -252,7 +252,7 @@
 }
 
 func kindBeforeConnection(ctx context.Context) error {
-	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), ErrSilent) {
+	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), ErrTimeout) {
 		return ErrCanceled
 	}
 	return ErrUnreachable
@@ -260,10 +260,10 @@
 
 // broken classifies a failure on a connection that was made.
 func (c *Client) broken(op string, ctx context.Context, err error) error {
-	kind := ErrCut
+	kind := ErrConnectionLost
 	switch {
-	case errors.Is(context.Cause(ctx), ErrSilent):
-		kind = ErrSilent
+	case errors.Is(context.Cause(ctx), ErrTimeout):
+		kind = ErrTimeout
 	case ctx.Err() != nil:
 		kind = ErrCanceled
 	}
@@ -275,12 +275,12 @@
 func (c *Client) refused(op string, resp *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	if err != nil {
-		return c.fail(op, ErrCut, false, err)
+		return c.fail(op, ErrConnectionLost, false, err)
 	}
 	answer := &engineapi.Error{Started: true}
 	d := json.NewDecoder(bytes.NewReader(body))
 	if d.Decode(answer) != nil || answer.Code == "" {
-		return c.fail(op, ErrBadAnswer, false, errors.Newf("status %d", resp.StatusCode))
+		return c.fail(op, ErrBadResponse, false, errors.Newf("status %d", resp.StatusCode))
 	}
 	return c.fail(op, ErrRefused, !answer.Started, answer)
 }
--- a/internal/target/connections.go
+++ b/internal/target/connections.go
@@ -99,11 +99,11 @@
 // Probe makes a fresh connection and asks for any answer. It tells a target that is
 // down or frozen from one whose old connections went silent.
 func (c *Client) Probe(ctx context.Context) error {
-	ctx, cancel := context.WithTimeoutCause(ctx, c.o.HeaderTimeout, ErrSilent)
+	ctx, cancel := context.WithTimeoutCause(ctx, c.o.HeaderTimeout, ErrTimeout)
 	defer cancel()
 	req, err := c.newRequest(ctx, http.MethodGet, "/v1/state", nil)
 	if err != nil {
-		return c.fail("probe", ErrBadAnswer, true, err)
+		return c.fail("probe", ErrBadResponse, true, err)
 	}
 	resp, err := c.send("probe", c.connections.fresh, req)
 	if err != nil {
@@ -112,10 +112,10 @@
 	return resp.Body.Close()
 }
 
-// RecoverSilence is to be called after ErrSilent: if a fresh connection works, the
+// ResetIfReachable is to be called after ErrSilent: if a fresh connection works, the
 // pool is thrown away and the call may be resumed or repeated; else the probe's error
 // tells that the target itself does not answer.
-func (c *Client) RecoverSilence(ctx context.Context) error {
+func (c *Client) ResetIfReachable(ctx context.Context) error {
 	if err := c.Probe(ctx); err != nil {
 		return err
 	}
--- a/internal/target/errors.go
+++ b/internal/target/errors.go
@@ -12,15 +12,15 @@
 var (
 	// ErrUnreachable reports that no connection came about; nothing was sent.
 	ErrUnreachable = errors.New("target: unreachable")
-	// ErrCut reports a connection that ended before the answer was whole.
-	ErrCut = errors.New("target: connection cut")
-	// ErrSilent reports an open connection on which nothing came for the set time.
-	ErrSilent = errors.New("target: connection silent")
+	// ErrConnectionLost reports a connection that ended before the answer was whole.
+	ErrConnectionLost = errors.New("target: connection cut")
+	// ErrTimeout reports an open connection on which nothing came for the set time.
+	ErrTimeout = errors.New("target: connection silent")
 	// ErrRefused reports an error that the target itself gave; errors.As to
 	// *engineapi.Error gives it.
 	ErrRefused = errors.New("target: refused")
-	// ErrBadAnswer reports an answer that does not follow the interface.
-	ErrBadAnswer = errors.New("target: bad answer")
+	// ErrBadResponse reports an answer that does not follow the interface.
+	ErrBadResponse = errors.New("target: bad answer")
 	// ErrCanceled reports that the caller's context ended.
 	ErrCanceled = errors.New("target: canceled")
 )
--- a/internal/target/service.go
+++ b/internal/target/service.go
@@ -37,11 +37,11 @@
 // is not NotStarted leaves open whether the call was executed.
 func (c *Client) CallService(ctx context.Context, call ServiceCall) (*ServiceResponse, error) {
 	const op = "service call"
-	ctx, cancel := context.WithTimeoutCause(ctx, c.o.ServiceTimeout, ErrSilent)
+	ctx, cancel := context.WithTimeoutCause(ctx, c.o.ServiceTimeout, ErrTimeout)
 	defer cancel()
 	req, err := newRequestOnce(ctx, call.Method, "http://"+c.o.Address+call.Path, call.Body)
 	if err != nil {
-		return nil, c.fail(op, ErrBadAnswer, true, err)
+		return nil, c.fail(op, ErrBadResponse, true, err)
 	}
 	req.Header = passedOn(call.Header)
 	transport := c.connections.fresh
@@ -58,7 +58,7 @@
 		return nil, c.broken(op, ctx, err)
 	}
 	if int64(len(body)) > c.o.MaxBody {
-		return nil, c.fail(op, ErrBadAnswer, false, errors.Newf("answer above %d bytes", c.o.MaxBody))
+		return nil, c.fail(op, ErrBadResponse, false, errors.Newf("answer above %d bytes", c.o.MaxBody))
 	}
 	return &ServiceResponse{Status: resp.StatusCode, Header: passedOn(resp.Header), Body: body}, nil
 }
--- a/internal/target/stream.go
+++ b/internal/target/stream.go
@@ -37,9 +37,9 @@
 	req, err := c.newRequest(ctx, method, path, in)
 	if err != nil {
 		cancel(err)
-		return nil, c.fail(op, ErrBadAnswer, true, err)
+		return nil, c.fail(op, ErrBadResponse, true, err)
 	}
-	header := time.AfterFunc(c.o.DialTimeout+c.o.HeaderTimeout, func() { cancel(ErrSilent) })
+	header := time.AfterFunc(c.o.DialTimeout+c.o.HeaderTimeout, func() { cancel(ErrTimeout) })
 	resp, err := c.send(op, c.connections.pooled(), req)
 	if err != nil {
 		header.Stop()
@@ -88,7 +88,7 @@
 	}
 	var f engineapi.Frame
 	if err := json.Unmarshal(data, &f); err != nil {
-		return f, s.client.fail(s.op, ErrBadAnswer, false, err)
+		return f, s.client.fail(s.op, ErrBadResponse, false, err)
 	}
 	s.done = f.Done
 	return f, nil
@@ -97,8 +97,8 @@
 // readEvent returns the data of the next event. Each line, also a comment, shows that
 // the connection lives and starts the time for silence anew.
 func (s *Stream) readEvent() ([]byte, error) {
-	after := s.client.o.SilentAfter
-	silence := time.AfterFunc(after, func() { s.cancel(ErrSilent) })
+	after := s.client.o.StreamIdleTimeout
+	silence := time.AfterFunc(after, func() { s.cancel(ErrTimeout) })
 	defer silence.Stop()
 	for {
 		line, err := s.readLine()
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -40,7 +40,7 @@
 
 func newClient(t *testing.T, address string, silentAfter time.Duration) *target.Client {
 	t.Helper()
-	c := target.New(target.Options{ID: "t1", Address: address, SilentAfter: silentAfter})
+	c := target.New(target.Options{ID: "t1", Address: address, StreamIdleTimeout: silentAfter})
 	t.Cleanup(c.Close)
 	return c
 }
@@ -211,7 +211,7 @@
 		notStarted bool
 	}{
 		{"connection refused", refusedErr, target.ErrUnreachable, true},
-		{"answer lost", lostErr, target.ErrCut, false},
+		{"answer lost", lostErr, target.ErrConnectionLost, false},
 		{"wrong version", versionErr, target.ErrRefused, true},
 		{"canceled before", canceledErr, target.ErrCanceled, true},
 	} {
@@ -238,9 +238,9 @@
 	var text strings.Builder
 	for next := 0; ; {
 		f, err := s.Next(ctx)
-		if errors.Is(err, target.ErrSilent) {
+		if errors.Is(err, target.ErrTimeout) {
 			s.Close()
-			if err := client.RecoverSilence(ctx); err != nil {
+			if err := client.ResetIfReachable(ctx); err != nil {
 				t.Fatal(err)
 			}
 			if s, err = client.Resume(ctx, req.RequestID, next); err != nil {
