--- a/internal/coordinator/acquire.go
+++ b/internal/coordinator/acquire.go
@@ -14,129 +14,133 @@
 )
 
 const (
-	// acquireLeg is how long a steward holds one question of a peer before it says that
-	// the request still waits.
-	acquireLeg = time.Second
-	// legSlack is how much longer than that a peer's answer is waited for.
-	legSlack = time.Second
-	// maxSilentLegs is how many questions in a row may stay unanswered.
-	maxSilentLegs = 2
-	// releaseTimeout bounds the message that ends a grant; a lost one lapses by itself.
+	// longPollDuration is how long a coordinator holds one Acquire call of a peer before it
+	// replies that the request still waits.
+	longPollDuration = time.Second
+	// longPollMargin is added to longPollDuration for the client's timeout.
+	longPollMargin = time.Second
+	// maxTimedOutPolls is how many consecutive calls may time out before the coordinator
+	// counts as unreachable.
+	maxTimedOutPolls = 2
+	// releaseTimeout bounds the call that releases a grant. If the call is lost, the grant
+	// expires at the coordinator.
 	releaseTimeout = 2 * time.Second
 )
 
-// maxMoves is how many times an ask follows a queue that moves to another daemon.
-const maxMoves = 2
+// maxQueueMoves is how many times a request follows a queue that moves to another daemon.
+const maxQueueMoves = 2
 
 // Acquire implements gateway.Stewards.
-func (s *Service) Acquire(ctx context.Context, ask gateway.Ask) (gateway.Grant, *request.Error) {
-	grant, refusal := s.acquireOnce(ctx, ask)
-	for range maxMoves {
+func (s *Service) Acquire(ctx context.Context, req gateway.Ask) (gateway.Grant, *request.Error) {
+	grant, refusal := s.acquireOnce(ctx, req)
+	for range maxQueueMoves {
 		if refusal == nil || refusal.Code != request.CodeNotHolder {
 			break
 		}
-		grant, refusal = s.acquireOnce(ctx, ask)
+		grant, refusal = s.acquireOnce(ctx, req)
 	}
 	return grant, refusal
 }
 
-// acquireOnce asks the present steward. If it can not be asked, this daemon decides by
-// itself: the queue's place is soft.
-func (s *Service) acquireOnce(ctx context.Context, ask gateway.Ask) (gateway.Grant, *request.Error) {
-	m := s.steward(ask.Target)
+// acquireOnce requests a grant from the current coordinator. If the coordinator is
+// unreachable, this daemon decides instead, which is safe because the queue is a hashed
+// assignment.
+func (s *Service) acquireOnce(ctx context.Context, req gateway.Ask) (gateway.Grant, *request.Error) {
+	m := s.coordinatorOf(req.Target)
 	if s.isSelf(m) {
-		return s.acquireSelf(ctx, ask)
+		return s.acquireFromSelf(ctx, req)
 	}
-	grant, refusal, err := s.acquireAt(ctx, m, ask)
+	grant, refusal, err := s.acquireFromPeer(ctx, m, req)
 	if err == nil {
 		if refusal == nil {
-			s.granted.add(ask.Request, grant, m)
+			s.grants.add(req.Request, grant, m)
 		}
 		return grant, refusal
 	}
 	if ctx.Err() != nil {
-		return gateway.Grant{}, gaveUp()
+		return gateway.Grant{}, errCallerGone()
 	}
-	s.log.Warn("Steward was not reached; this daemon decides", "steward", m.Id, "target", ask.Target, "error", err)
-	return s.acquireSelf(ctx, ask)
+	s.log.Warn("Coordinator is unreachable; this daemon decides instead", "steward", m.Id, "target", req.Target, "error", err)
+	return s.acquireFromSelf(ctx, req)
 }
 
-func (s *Service) acquireSelf(ctx context.Context, ask gateway.Ask) (gateway.Grant, *request.Error) {
+func (s *Service) acquireFromSelf(ctx context.Context, req gateway.Ask) (gateway.Grant, *request.Error) {
 	self := s.opts.Members.Self()
-	grant, refusal := s.acquireHere(ctx, ask, self.Id)
+	grant, refusal := s.acquireLocal(ctx, req, self.Id)
 	if refusal == nil {
-		s.granted.add(ask.Request, grant, self)
+		s.grants.add(req.Request, grant, self)
 	}
 	return grant, refusal
 }
 
-func gaveUp() *request.Error {
+func errCallerGone() *request.Error {
 	return request.Refuse(request.CodeCancelled, http.StatusServiceUnavailable, 0, "the caller left")
 }
 
-// acquireAt asks a peer until it grants or refuses. The question is cut into short
-// ones: over a connection that has gone silent a long one would hold the request until
-// its deadline. Asking again is harmless, since an ask is known by its request.
-func (s *Service) acquireAt(ctx context.Context, m *peer.Member, ask gateway.Ask) (gateway.Grant, *request.Error, error) {
+// acquireFromPeer sends Acquire calls to a peer until it grants or refuses the request. It
+// uses short long-poll calls, since a single long call over a connection that has stopped
+// delivering data would block the request until its deadline. Repeating the call is
+// idempotent: the coordinator identifies it by its request id.
+func (s *Service) acquireFromPeer(ctx context.Context, m *peer.Member, req gateway.Ask) (gateway.Grant, *request.Error, error) {
 	silent := 0
 	for {
-		answer, err := s.acquireLegAt(ctx, m, ask)
-		if err == nil && answer.Waiting {
+		resp, err := s.longPollAcquire(ctx, m, req)
+		if err == nil && resp.Waiting {
 			err = ctx.Err()
 		}
 		switch {
-		case err != nil && ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded) && silent+1 < maxSilentLegs:
+		case err != nil && ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded) && silent+1 < maxTimedOutPolls:
 			silent++
 			s.opts.Peers.Reset()
 		case err != nil:
-			s.withdraw(m, ask)
+			s.cancelAtPeer(m, req)
 			return gateway.Grant{}, nil, err
-		case answer.Granted:
+		case resp.Granted:
 			grant := gateway.Grant{
-				ID: answer.GrantId, Target: ask.Target, Incarnation: answer.Incarnation, Priority: int(answer.Priority),
+				ID: resp.GrantId, Target: req.Target, Incarnation: resp.Incarnation, Priority: int(resp.Priority),
 			}
 			return grant, nil, nil
-		case !answer.Waiting:
-			return gateway.Grant{}, refusalOf(answer), nil
+		case !resp.Waiting:
+			return gateway.Grant{}, refusalOf(resp), nil
 		default:
 			silent = 0
 		}
 	}
 }
 
-// withdraw ends an ask at a peer that is no longer wanted. Between two questions nobody
-// there sees the caller leave: the ask would be granted later and hold a place until it
-// lapses.
-func (s *Service) withdraw(m *peer.Member, ask gateway.Ask) {
+// cancelAtPeer removes a request from a peer's queue. Between two long-poll calls the peer
+// can not detect that the caller has disconnected: it would grant the request later, and
+// the grant would occupy a slot until it expires.
+func (s *Service) cancelAtPeer(m *peer.Member, req gateway.Ask) {
 	s.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		_, err := s.opts.Peers.Steward(m).Release(ctx, &peer.ReleaseRequest{
-			Target: string(ask.Target), RequestId: string(ask.Request),
+			Target: string(req.Target), RequestId: string(req.Request),
 		})
 		if err != nil {
-			s.log.Debug("Ask was not withdrawn; it lapses", "target", ask.Target, "error", err)
+			s.log.Debug("Cancelling a waiting request at the coordinator failed; the request or its grant will expire", "target", req.Target, "error", err)
 		}
 	})
 }
 
-func (s *Service) acquireLegAt(ctx context.Context, m *peer.Member, ask gateway.Ask) (*peer.AcquireResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, acquireLeg+legSlack)
+func (s *Service) longPollAcquire(ctx context.Context, m *peer.Member, req gateway.Ask) (*peer.AcquireResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, longPollDuration+longPollMargin)
 	defer cancel()
-	answer, err := s.opts.Peers.Steward(m).Acquire(ctx, &peer.AcquireRequest{
+	resp, err := s.opts.Peers.Steward(m).Acquire(ctx, &peer.AcquireRequest{
 		From:         s.opts.Members.Self().Id,
-		RequestId:    string(ask.Request),
-		Target:       string(ask.Target),
-		Organisation: string(ask.Org),
-		PromptTokens: ask.Tokens,
-		DeadlineMs:   max(1, time.Until(ask.Deadline).Milliseconds()),
-		Suspect:      ask.Suspect,
-		Fingerprint:  string(ask.Fingerprint),
+		RequestId:    string(req.Request),
+		Target:       string(req.Target),
+		Organisation: string(req.Org),
+		PromptTokens: req.Tokens,
+		DeadlineMs:   max(1, time.Until(req.Deadline).Milliseconds()),
+		Suspect:      req.Suspect,
+		Fingerprint:  string(req.Fingerprint),
 	})
 	if err != nil && ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return answer, err
+	return resp, err
 }
 
 func refusalOf(a *peer.AcquireResponse) *request.Error {
@@ -144,38 +148,39 @@
 		time.Duration(a.RetryAfterMs)*time.Millisecond, "the target has no room for this request in time")
 }
 
-// acquireHere enters an ask into the queue of this daemon's keeper and waits.
-func (s *Service) acquireHere(ctx context.Context, ask gateway.Ask, from string) (gateway.Grant, *request.Error) {
-	grant, refusal, _ := s.acquireWithin(ctx, ask, from, nil)
+// acquireLocal enters a request into the queue of this daemon's actor and waits for the
+// outcome.
+func (s *Service) acquireLocal(ctx context.Context, req gateway.Ask, from string) (gateway.Grant, *request.Error) {
+	grant, refusal, _ := s.acquireLocalUntil(ctx, req, from, nil)
 	return grant, refusal
 }
 
-// acquireWithin is acquireHere, but says that the ask still waits when leg fires.
-func (s *Service) acquireWithin(
-	ctx context.Context, ask gateway.Ask, from string, leg <-chan time.Time,
+// acquireLocalUntil is like acquireLocal, but returns with waiting set when pollEnd fires.
+func (s *Service) acquireLocalUntil(
+	ctx context.Context, req gateway.Ask, from string, pollEnd <-chan time.Time,
 ) (g gateway.Grant, refusal *request.Error, waiting bool) {
-	row, ok := s.opts.Tables.Current().Target(ask.Target)
+	row, ok := s.opts.Tables.Current().Target(req.Target)
 	if !ok {
-		return gateway.Grant{}, errMoved(), false
+		return gateway.Grant{}, errQueueMoved(), false
 	}
-	k := s.keeper(ctx, *row)
-	answer := make(answerTo, 1)
-	k.send(&submitMsg{ask: s.coreAsk(ask, from), answer: answer})
+	a := s.ensureActor(ctx, *row)
+	reply := make(replyChan, 1)
+	a.send(&submitMsg{req: s.admissionRequest(req, from), reply: reply})
 	select {
-	case a := <-answer:
-		g, refusal = grantOf(a, k)
+	case action := <-reply:
+		g, refusal = grantOf(action, a)
 		return g, refusal, false
-	case <-leg:
+	case <-pollEnd:
 		return gateway.Grant{}, nil, true
 	case <-ctx.Done():
-		k.send(&cancelMsg{id: ask.Request})
-		return gateway.Grant{}, gaveUp(), false
-	case <-k.quit:
-		return gateway.Grant{}, errMoved(), false
+		a.send(&cancelMsg{id: req.Request})
+		return gateway.Grant{}, errCallerGone(), false
+	case <-a.quit:
+		return gateway.Grant{}, errQueueMoved(), false
 	}
 }
 
-// weightOf returns an organisation's share of a contended target.
+// weightOf returns an organisation's weight in the sharing of a contended target.
 func (s *Service) weightOf(id request.OrgID) int {
 	if org, ok := s.opts.Tables.Current().Organisation(id); ok {
 		return org.Weight
@@ -183,69 +188,69 @@
 	return 1
 }
 
-func (s *Service) coreAsk(ask gateway.Ask, from string) admission.Ask {
+func (s *Service) admissionRequest(req gateway.Ask, from string) admission.Ask {
 	return admission.Ask{
-		ID:       ask.Request,
+		ID:       req.Request,
 		From:     request.DaemonID(from),
-		Org:      ask.Org,
-		Weight:   s.weightOf(ask.Org),
-		Tokens:   ask.Tokens,
-		Deadline: ask.Deadline,
-		Suspect:  ask.Suspect,
+		Org:      req.Org,
+		Weight:   s.weightOf(req.Org),
+		Tokens:   req.Tokens,
+		Deadline: req.Deadline,
+		Suspect:  req.Suspect,
 
-		Fingerprint: string(ask.Fingerprint),
+		Fingerprint: string(req.Fingerprint),
 	}
 }
 
-func grantOf(a admission.Action, k *keeper) (gateway.Grant, *request.Error) {
-	switch a := a.(type) {
+func grantOf(action admission.Action, a *targetActor) (gateway.Grant, *request.Error) {
+	switch action := action.(type) {
 	case admission.Grant:
-		return gateway.Grant{ID: a.ID, Target: k.row.ID, Incarnation: k.incarnation.Load(), Priority: a.Priority}, nil
+		return gateway.Grant{ID: action.ID, Target: a.row.ID, Incarnation: a.incarnation.Load(), Priority: action.Priority}, nil
 	case admission.Refuse:
-		return gateway.Grant{}, a.Err
+		return gateway.Grant{}, action.Err
 	default:
-		return gateway.Grant{}, errMoved()
+		return gateway.Grant{}, errQueueMoved()
 	}
 }
 
 // Release implements gateway.Stewards. It does not wait for a peer.
 //
-// The grant goes back to the steward that gave it, not to the one that has the place
-// now. While a dead daemon is still taken for the steward, this daemon decides in its
-// stead: grants given back to the dead one would keep their places here until they
-// lapse, and new requests would wait that long.
+// It releases the grant at the coordinator that issued it, not at the current one. While
+// membership still lists a dead daemon as the coordinator, this daemon decides instead.
+// Grants released at the dead daemon would occupy their slots here until they expire, and
+// new requests would wait that long.
 func (s *Service) Release(g gateway.Grant, r gateway.Release) {
-	giver, ok := s.granted.remove(g.ID)
-	if !ok || s.isSelf(giver) {
-		s.releaseHere(g, r)
+	issuer, ok := s.grants.remove(g.ID)
+	if !ok || s.isSelf(issuer) {
+		s.releaseLocal(g, r)
 		return
 	}
 	s.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
-		_, err := s.opts.Peers.Steward(giver).Release(ctx, &peer.ReleaseRequest{
+		_, err := s.opts.Peers.Steward(issuer).Release(ctx, &peer.ReleaseRequest{
 			GrantId:       g.ID,
 			Target:        string(g.Target),
 			PrefillTokens: r.PrefillTokens,
 			TargetFailed:  r.TargetFailed,
 		})
 		if err != nil {
-			s.log.Debug("Release was not taken; the grant lapses", "target", g.Target, "error", err)
+			s.log.Debug("Releasing a grant at its coordinator failed; the grant will expire", "target", g.Target, "error", err)
 		}
 	})
 }
 
-// cancelHere forgets a request that waits or is granted here.
-func (s *Service) cancelHere(t request.TargetID, id request.ID) {
-	k, ok := s.existing(t)
+// cancelLocal removes a request that waits or holds a grant here.
+func (s *Service) cancelLocal(t request.TargetID, id request.ID) {
+	a, ok := s.findActor(t)
 	if ok {
-		k.send(&cancelMsg{id: id})
+		a.send(&cancelMsg{id: id})
 	}
 }
 
-func (s *Service) releaseHere(g gateway.Grant, r gateway.Release) {
-	k, ok := s.existing(g.Target)
+func (s *Service) releaseLocal(g gateway.Grant, r gateway.Release) {
+	a, ok := s.findActor(g.Target)
 	if ok {
-		k.send(&releaseMsg{grant: g.ID, outcome: admission.Outcome{PrefillTokens: r.PrefillTokens}})
+		a.send(&releaseMsg{grant: g.ID, outcome: admission.Outcome{PrefillTokens: r.PrefillTokens}})
 	}
 }
--- a/internal/coordinator/actor.go
+++ b/internal/coordinator/actor.go
@@ -18,81 +18,83 @@
 )
 
 const (
-	// tickInterval is how often waiting asks are checked against their deadlines.
+	// tickInterval is how often waiting requests are checked against their deadlines.
 	tickInterval = 50 * time.Millisecond
-	// failuresUntilDown is how many polls in a row must fail before a target is down.
+	// failuresUntilDown is how many consecutive polls must fail before a target counts as
+	// down.
 	failuresUntilDown = 2
 	defaultCapacity   = 8
-	// maxPrefill bounds the prompt tokens granted and not yet computed: two pieces, so
-	// that the target never idles and the queue, which is fair, stays here.
+	// maxPrefill bounds the prompt tokens that are granted but not yet computed. It is two
+	// prefill chunks: the target never idles, and further requests wait in the
+	// coordinator's queue, which is fair, and not in the target's.
 	maxPrefill = 4000
-	// grantTTL is how long a grant lives unless renewed.
+	// grantTTL is how long a grant stays valid unless it is renewed.
 	grantTTL = 15 * time.Second
 )
 
-// answerTo carries the outcome of an ask to the goroutine that waits for it.
-type answerTo chan admission.Action
+// replyChan carries the outcome of a request to the goroutine that waits for it.
+type replyChan chan admission.Action
 
-// Messages of a keeper's actor.
+// Messages of a target's actor.
 type (
 	submitMsg struct {
-		ask    admission.Ask
-		answer answerTo
+		req   admission.Ask
+		reply replyChan
 	}
 	cancelMsg  struct{ id request.ID }
 	releaseMsg struct {
 		grant   string
 		outcome admission.Outcome
 	}
-	renewMsg  struct{ ids []request.ID }
-	loadMsg   struct{ load engineapi.Load }
-	eventsMsg struct{ page engineapi.EventPage }
-	snapMsg   struct{ snapshot engineapi.Snapshot }
-	downMsg   struct{}
-	upMsg     struct{}
-	leaveMsg  struct{}
-	resignMsg struct{}
-	tickMsg   struct{}
-	lookMsg   struct {
+	renewMsg    struct{ ids []request.ID }
+	loadMsg     struct{ load engineapi.Load }
+	eventsMsg   struct{ page engineapi.EventPage }
+	snapshotMsg struct{ snapshot engineapi.Snapshot }
+	downMsg     struct{}
+	upMsg       struct{}
+	leavingMsg  struct{}
+	resignMsg   struct{}
+	tickMsg     struct{}
+	viewMsg     struct {
 		probe  probe
 		org    request.OrgID
 		tokens int64
-		answer chan view
+		reply  chan view
 	}
 )
 
-// keeper owns the admission state of one target.
-type keeper struct {
+// targetActor owns the admission state and the queue of one target.
+type targetActor struct {
 	service *Service
 	row     table.Target
 	pid     *actor.PID
 	quit    chan struct{}
 
 	mu      sync.Mutex
-	cancel  context.CancelFunc // of the poller; nil while it does not run
+	cancel  context.CancelFunc // stops the poller; nil while it does not run
 	stopped bool
 
-	incarnation atomic.Uint64 // of the target, as reported last
+	incarnation atomic.Uint64 // incarnation of the target in its last load report
 
 	// Owned by the actor.
-	core      *admission.Steward
+	admission *admission.Steward
 	residency *residency
 	load      engineapi.Load
-	waiting   map[request.ID][]answerTo
+	waiting   map[request.ID][]replyChan
 }
 
-func newKeeper(s *Service, row table.Target) *keeper {
+func newTargetActor(s *Service, row table.Target) *targetActor {
 	capacity := row.Capacity
 	if capacity <= 0 {
 		capacity = defaultCapacity
 	}
-	k := &keeper{
+	a := &targetActor{
 		service:   s,
 		row:       row,
 		quit:      make(chan struct{}),
 		residency: newResidency(),
-		waiting:   map[request.ID][]answerTo{},
-		core: admission.New(admission.Params{
+		waiting:   map[request.ID][]replyChan{},
+		admission: admission.New(admission.Params{
 			Target:     row.ID,
 			Instance:   s.grantPrefix(row.ID),
 			MaxRunning: capacity,
@@ -102,161 +104,163 @@
 			GrantTTL:         grantTTL,
 		}),
 	}
-	k.pid = s.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor { return k }))
-	s.tasks.Go(k.ticker)
-	return k
+	a.pid = s.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor { return a }))
+	s.tasks.Go(a.runTicker)
+	return a
 }
 
-// grantPrefix begins the ids of one keeper's grants.
+// grantPrefix returns the prefix of the ids of one actor's grants.
 //
-// The failure: keepers count their grants each from one, so two targets of one daemon
-// gave out the same ids. A peer that held one of each kept a single note of who gave
-// them, could not give the second back, and its place stayed taken until it lapsed.
-// A prefix that names the target and the keeper's turn is never given twice by a
-// daemon, and Instance tells daemons and their starts apart.
+// The failure it prevents: each actor numbers its grants from one, so without a prefix
+// two targets of one daemon issue the same ids. A peer that holds such a pair has a single
+// registry entry for both, cannot release the second one, and its slot stays occupied
+// until the grant expires. The prefix holds the target and the actor's number, which a
+// daemon never uses twice, and Instance, which differs between daemons and their starts.
 func (s *Service) grantPrefix(id request.TargetID) string {
-	return fmt.Sprintf("%s.%s.%d", s.opts.Instance, id, s.keeperTurn.Add(1))
+	return fmt.Sprintf("%s.%s.%d", s.opts.Instance, id, s.actorsStarted.Add(1))
 }
 
-// ticker drives deadlines until the keeper stops.
-func (k *keeper) ticker() {
+// runTicker sends the actor a tick, which expires requests and grants, until it stops.
+func (a *targetActor) runTicker() {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-k.quit:
+		case <-a.quit:
 			return
 		case <-tick.C:
-			k.send(&tickMsg{})
+			a.send(&tickMsg{})
 		}
 	}
 }
 
-func (k *keeper) send(message any) { k.service.system.Root.Send(k.pid, message) }
+func (a *targetActor) send(message any) { a.service.system.Root.Send(a.pid, message) }
 
-func (k *keeper) stop() {
-	k.stopPolling()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.stopped {
+func (a *targetActor) stop() {
+	a.stopPolling()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.stopped {
 		return
 	}
-	k.stopped = true
-	close(k.quit)
-	_ = k.service.system.Root.PoisonFuture(k.pid).Wait()
+	a.stopped = true
+	close(a.quit)
+	_ = a.service.system.Root.PoisonFuture(a.pid).Wait()
 }
 
 // Receive implements actor.Actor.
-func (k *keeper) Receive(c actor.Context) {
+func (a *targetActor) Receive(c actor.Context) {
 	now := time.Now()
 	switch m := c.Message().(type) {
 	case *submitMsg:
-		k.submit(now, m)
+		a.submit(now, m)
 	case *cancelMsg:
-		delete(k.waiting, m.id)
-		k.apply(k.core.Cancel(now, m.id))
+		delete(a.waiting, m.id)
+		a.apply(a.admission.Cancel(now, m.id))
 	case *releaseMsg:
-		k.apply(k.core.Release(now, m.grant, m.outcome))
+		a.apply(a.admission.Release(now, m.grant, m.outcome))
 	case *renewMsg:
 		for _, id := range m.ids {
-			k.core.Renew(now, id)
+			a.admission.Renew(now, id)
 		}
 	case *loadMsg:
-		k.load = m.load
-		k.incarnation.Store(m.load.Incarnation)
-		k.apply(k.core.OnLoad(now, m.load))
+		a.load = m.load
+		a.incarnation.Store(m.load.Incarnation)
+		a.apply(a.admission.OnLoad(now, m.load))
 	case *eventsMsg:
-		k.residency.onEvents(m.page)
-	case *snapMsg:
-		k.residency.onSnapshot(m.snapshot)
+		a.residency.onEvents(m.page)
+	case *snapshotMsg:
+		a.residency.onSnapshot(m.snapshot)
 	case *downMsg:
-		k.residency.clear()
-		k.apply(k.core.OnTargetDown(now))
+		a.residency.clear()
+		a.apply(a.admission.OnTargetDown(now))
 	case *upMsg:
-		k.apply(k.core.OnTargetUp(now))
-	case *leaveMsg:
-		k.apply(k.core.OnTargetLeaving(now))
+		a.apply(a.admission.OnTargetUp(now))
+	case *leavingMsg:
+		a.apply(a.admission.OnTargetLeaving(now))
 	case *resignMsg:
-		k.apply(k.core.Resign(now))
+		a.apply(a.admission.Resign(now))
 	case *tickMsg:
-		k.apply(k.core.Tick(now))
-	case *lookMsg:
-		m.answer <- k.view(now, m)
+		a.apply(a.admission.Tick(now))
+	case *viewMsg:
+		m.reply <- a.view(now, m)
 	case *actor.Stopped:
-		k.refuseAll()
+		a.refuseAll()
 	}
 }
 
-func (k *keeper) submit(now time.Time, m *submitMsg) {
-	k.waiting[m.ask.ID] = append(k.waiting[m.ask.ID], m.answer)
-	k.apply(k.core.Submit(now, m.ask))
+func (a *targetActor) submit(now time.Time, m *submitMsg) {
+	a.waiting[m.req.ID] = append(a.waiting[m.req.ID], m.reply)
+	a.apply(a.admission.Submit(now, m.req))
 }
 
-// apply hands decisions to those who wait for them.
-func (k *keeper) apply(actions []admission.Action) {
-	for _, a := range actions {
-		switch a := a.(type) {
+// apply delivers admission decisions to the goroutines that wait for them.
+func (a *targetActor) apply(actions []admission.Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case admission.Grant:
-			k.answer(a.Ask.ID, a)
+			a.reply(action.Ask.ID, action)
 		case admission.Refuse:
-			k.answer(a.Ask.ID, a)
+			a.reply(action.Ask.ID, action)
 		case admission.Died:
-			k.witness(a)
+			a.reportTargetFailure(action)
 		}
 	}
 }
 
-// witness reports the requests that a dead target had in flight. Their senders report
-// it too, unless they died with it.
-func (k *keeper) witness(d admission.Died) {
+// reportTargetFailure reports the requests that a dead target had in flight. The daemons
+// that sent them report the failure as well, unless they died too.
+func (a *targetActor) reportTargetFailure(d admission.Died) {
 	var fingerprints []quarantine.Fingerprint
-	for _, ask := range d.InFlight {
-		if ask.Fingerprint != "" {
-			fingerprints = append(fingerprints, quarantine.Fingerprint(ask.Fingerprint))
+	for _, req := range d.InFlight {
+		if req.Fingerprint != "" {
+			fingerprints = append(fingerprints, quarantine.Fingerprint(req.Fingerprint))
 		}
 	}
-	if k.service.opts.OnTargetDied != nil && len(fingerprints) > 0 {
-		k.service.tasks.Go(func() { k.service.opts.OnTargetDied(k.row.ID, d.Incarnation, fingerprints) })
+	if a.service.opts.OnTargetDied != nil && len(fingerprints) > 0 {
+		a.service.tasks.Go(func() { a.service.opts.OnTargetDied(a.row.ID, d.Incarnation, fingerprints) })
 	}
 }
 
-func (k *keeper) answer(id request.ID, a admission.Action) {
-	for _, to := range k.waiting[id] {
-		to <- a
+func (a *targetActor) reply(id request.ID, action admission.Action) {
+	for _, to := range a.waiting[id] {
+		to <- action
 	}
-	delete(k.waiting, id)
+	delete(a.waiting, id)
 }
 
-func (k *keeper) refuseAll() {
-	for id := range k.waiting {
-		k.answer(id, admission.Refuse{Err: errMoved()})
+func (a *targetActor) refuseAll() {
+	for id := range a.waiting {
+		a.reply(id, admission.Refuse{Err: errQueueMoved()})
 	}
 }
 
-// errMoved answers those who waited here when this daemon stopped being steward.
-func errMoved() *request.Error {
+// errQueueMoved returns the refusal of a request that waited here when this daemon
+// stopped coordinating the target.
+func errQueueMoved() *request.Error {
 	return request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, tickInterval, "the target's queue has moved")
 }
 
-// view is what an organisation's prompt would meet here. The wait is its own: a loud
-// organisation's queue is not in the way of one within its share.
-func (k *keeper) view(now time.Time, m *lookMsg) view {
-	v := k.core.View(now)
-	ask := admission.Ask{Org: m.org, Weight: k.service.weightOf(m.org), Tokens: m.tokens}
+// view returns the target's state as it applies to one organisation's prompt. The
+// expected wait is specific to the organisation: the queue of an organisation above its
+// share does not delay one that is within its share.
+func (a *targetActor) view(now time.Time, m *viewMsg) view {
+	v := a.admission.View(now)
+	req := admission.Ask{Org: m.org, Weight: a.service.weightOf(m.org), Tokens: m.tokens}
 	return view{
-		target:   k.row.ID,
-		wait:     k.core.ExpectedWait(now, ask),
-		running:  v.Running,
-		granted:  v.Granted,
-		waiting:  v.Waiting,
-		resident: k.residency.leading(m.probe),
-		unsure:   k.residency.unsure,
-		down:     v.Down,
-		leaving:  v.Leaving || k.vmLeaving(),
-		version:  k.load.Version,
-		age:      v.ReportAge,
-		prefill:  v.QueuedPrefillTokens,
+		target:      a.row.ID,
+		wait:        a.admission.ExpectedWait(now, req),
+		running:     v.Running,
+		granted:     v.Granted,
+		waiting:     v.Waiting,
+		resident:    a.residency.leading(m.probe),
+		unconfirmed: a.residency.unconfirmed,
+		down:        v.Down,
+		leaving:     v.Leaving || a.vmLeaving(),
+		version:     a.load.Version,
+		age:         v.ReportAge,
+		prefill:     v.QueuedPrefillTokens,
 	}
 }
 
-func (k *keeper) vmLeaving() bool { return k.service.VMLeaving(&k.row) }
+func (a *targetActor) vmLeaving() bool { return a.service.VMLeaving(&a.row) }
--- a/internal/coordinator/cache.go
+++ b/internal/coordinator/cache.go
@@ -7,36 +7,36 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// places remembers the steward of each target while the live daemons stay the same.
-// Every daemon looks at all targets at each poll interval; without it, that costs the
-// product of daemons and targets each time.
-type places struct {
-	mu       sync.Mutex
-	live     []*peer.Member // that the answers hold for
-	stewards map[request.TargetID]*peer.Member
+// coordinatorCache caches the coordinator of each target until the set of live daemons
+// changes. Every daemon checks all targets at each poll interval; without the cache each
+// check costs time proportional to the product of daemons and targets.
+type coordinatorCache struct {
+	mu           sync.Mutex
+	live         []*peer.Member // members for which the entries are valid
+	coordinators map[request.TargetID]*peer.Member
 }
 
-// find returns the daemon that has a target's place, this one if none is live.
-func (p *places) find(members Members, id request.TargetID) *peer.Member {
+// lookup returns the daemon that coordinates a target, or this daemon if none is live.
+func (p *coordinatorCache) lookup(members Members, id request.TargetID) *peer.Member {
 	live := members.Live()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.stewards == nil || !sameSlice(live, p.live) {
+	if p.coordinators == nil || !sameSlice(live, p.live) {
 		p.live = live
-		p.stewards = map[request.TargetID]*peer.Member{}
+		p.coordinators = map[request.TargetID]*peer.Member{}
 	}
-	if m, ok := p.stewards[id]; ok {
+	if m, ok := p.coordinators[id]; ok {
 		return m
 	}
-	m := members.Place(placeKey(id))
+	m := members.Place(assignmentKey(id))
 	if m == nil {
 		m = members.Self()
 	}
-	p.stewards[id] = m
+	p.coordinators[id] = m
 	return m
 }
 
-// sameSlice tells whether both are one slice, not only equal ones.
+// sameSlice reports whether a and b share the same backing array, not only equal elements.
 func sameSlice(a, b []*peer.Member) bool {
 	if len(a) != len(b) {
 		return false
--- a/internal/coordinator/cache_test.go
+++ b/internal/coordinator/cache_test.go
@@ -9,12 +9,12 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// movingMembers are live daemons that a test changes.
-type movingMembers struct{ live []*peer.Member }
+// changingMembers is a set of live daemons that a test changes.
+type changingMembers struct{ live []*peer.Member }
 
-func (m *movingMembers) Self() *peer.Member            { return &peer.Member{Id: "self"} }
-func (m *movingMembers) Live() []*peer.Member          { return m.live }
-func (m *movingMembers) Place(key string) *peer.Member { return membership.Place(m.live, key) }
+func (m *changingMembers) Self() *peer.Member            { return &peer.Member{Id: "self"} }
+func (m *changingMembers) Live() []*peer.Member          { return m.live }
+func (m *changingMembers) Place(key string) *peer.Member { return membership.Place(m.live, key) }
 
 func daemons(n int) []*peer.Member {
 	out := make([]*peer.Member, n)
@@ -24,45 +24,45 @@
 	return out
 }
 
-// A daemon dies and a caller waits for a target that nobody polls any more: the
-// remembered places still name the dead one.
-func TestRememberedPlacesFollowTheLiveDaemons(t *testing.T) {
-	m := &movingMembers{}
-	var p places
+// Guards against a stale cache: if it still listed a dead daemon as a target's coordinator,
+// no daemon would poll the target and its callers would wait.
+func TestCachedCoordinatorsFollowLiveDaemons(t *testing.T) {
+	m := &changingMembers{}
+	var p coordinatorCache
 	for _, live := range [][]*peer.Member{daemons(5), daemons(4), daemons(4), nil, daemons(5)} {
 		m.live = live
 		for i := range 200 {
 			id := request.TargetID(fmt.Sprint("engine-", i%100))
-			want := m.Place(placeKey(id))
+			want := m.Place(assignmentKey(id))
 			if want == nil {
 				want = m.Self()
 			}
-			if got := p.find(m, id); got.Id != want.Id {
-				t.Fatalf("%d live: steward of %s is %s, want %s", len(live), id, got.Id, want.Id)
+			if got := p.lookup(m, id); got.Id != want.Id {
+				t.Fatalf("%d live: coordinator of %s is %s, want %s", len(live), id, got.Id, want.Id)
 			}
 		}
 	}
 }
 
-// BenchmarkReconcilePlaces is one look at the stewards of all targets.
-func BenchmarkReconcilePlaces(b *testing.B) {
-	m := &movingMembers{live: daemons(390)}
+// BenchmarkReconcileCoordinators measures finding the coordinators of all targets once.
+func BenchmarkReconcileCoordinators(b *testing.B) {
+	m := &changingMembers{live: daemons(390)}
 	ids := make([]request.TargetID, 1300)
 	for i := range ids {
 		ids[i] = request.TargetID(fmt.Sprintf("engine-%04d", i))
 	}
-	b.Run("remembered", func(b *testing.B) {
-		var p places
+	b.Run("cached", func(b *testing.B) {
+		var p coordinatorCache
 		for b.Loop() {
 			for _, id := range ids {
-				p.find(m, id)
+				p.lookup(m, id)
 			}
 		}
 	})
 	b.Run("computed", func(b *testing.B) {
 		for b.Loop() {
 			for _, id := range ids {
-				m.Place(placeKey(id))
+				m.Place(assignmentKey(id))
 			}
 		}
 	})
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,13 +1,13 @@
 // Package coordinator runs the coordinators of targets and calls those of peers.
 //
-// Each target has one steward among the live daemons, chosen by rendezvous hash: it
-// alone polls the target's load and cache events, holds the queue for it and hands
-// out grants. All other daemons ask it. The steward is a soft place: while two
-// daemons disagree about it, the target may get more work than its capacity, which
-// its own queue absorbs.
+// Each target has one coordinator among the live daemons, chosen by rendezvous hash.
+// Only the coordinator polls the target's load and cache events, holds its queue and
+// issues grants; all other daemons request grants from it. The coordinator is a hashed
+// assignment, not a leased one: while daemons have different membership views, the
+// target may get more work than its capacity, which its own queue absorbs.
 //
-// Every target has an actor here that owns its admission state; a small goroutine
-// beside it polls the target while this daemon is its steward.
+// For every target that it coordinates, a daemon runs an actor that owns the admission
+// state. A separate goroutine polls the target while this daemon is its coordinator.
 package coordinator
 
 import (
@@ -29,20 +29,21 @@
 	"github.com/bluebellscale/bluebellscale/internal/target"
 )
 
-// Tables gives the operators' table in force.
+// Tables provides the effective operators' table.
 type Tables interface {
 	Current() *table.Snapshot
 }
 
-// Members gives the soft places among the live daemons.
+// Members provides the live daemons and the hashed assignments among them.
 type Members interface {
 	Self() *peer.Member
 	// Live returns the same slice until the live daemons change.
 	Live() []*peer.Member
+	// Place returns the live daemon that a key is assigned to, nil if none is live.
 	Place(key string) *peer.Member
 }
 
-// Targets gives the client of a target.
+// Targets provides the client of a target.
 type Targets interface {
 	Client(t table.Target) *target.Client
 }
@@ -54,64 +55,65 @@
 	Targets      Targets
 	VMs          platform.VMList // may be nil
 	Peers        PeerDialer
-	Instance     string // differs for every start of every daemon
+	Instance     string // unique to each start of each daemon
 	PollInterval time.Duration
-	QueueLimit   int // asks waiting for one target
-	// OnTargetDied is told which requests a target that died had in flight; may be nil.
+	QueueLimit   int // maximum number of requests waiting for one target
+	// OnTargetDied receives the fingerprints of the requests that a target had in flight
+	// when it died; may be nil.
 	OnTargetDied func(t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint)
 	Logger       hclog.Logger
 	Metrics      tally.Scope
 }
 
-// PeerDialer gives the twirp client of a peer.
+// PeerDialer provides the twirp client of a peer.
 type PeerDialer interface {
 	Steward(m *peer.Member) peer.Steward
-	// Reset throws pooled connections away, after one has gone silent.
+	// Reset discards the pooled connections, after a call over one of them timed out.
 	Reset()
 }
 
-// Service runs stewards and asks those of peers.
+// Service runs this daemon's coordinators and calls those of peers.
 type Service struct {
-	opts    Options
-	log     hclog.Logger
-	system  *actor.ActorSystem
-	granted *grantBook
-	places  places
-	tasks   sync.WaitGroup // everything that runs beside the actors
+	opts         Options
+	log          hclog.Logger
+	system       *actor.ActorSystem
+	grants       *grantRegistry
+	coordinators coordinatorCache
+	tasks        sync.WaitGroup // goroutines other than the actors
 
-	keeperTurn atomic.Uint64 // keepers started so far
+	actorsStarted atomic.Uint64 // number of actors started so far
 
-	mu      sync.Mutex
-	keepers map[request.TargetID]*keeper
-	leaving map[string]bool // IP numbers of leaving VMs
+	mu           sync.Mutex
+	targetActors map[request.TargetID]*targetActor
+	leaving      map[string]bool // IP numbers of leaving VMs
 }
 
-// New starts a service.
+// New returns a service, whose actor system is started.
 func New(opts Options) *Service {
 	if opts.Metrics == nil {
 		opts.Metrics = tally.NoopScope
 	}
 	return &Service{
-		opts:    opts,
-		log:     opts.Logger.Named("steward"),
-		system:  actors.NewSystem(opts.Logger),
-		granted: newGrantBook(),
-		keepers: map[request.TargetID]*keeper{},
-		leaving: map[string]bool{},
+		opts:         opts,
+		log:          opts.Logger.Named("steward"),
+		system:       actors.NewSystem(opts.Logger),
+		grants:       newGrantRegistry(),
+		targetActors: map[request.TargetID]*targetActor{},
+		leaving:      map[string]bool{},
 	}
 }
 
-// placeKey is the soft place of a target's steward.
-func placeKey(id request.TargetID) string { return "target/" + string(id) }
+// assignmentKey returns the key whose hash chooses a target's coordinator.
+func assignmentKey(id request.TargetID) string { return "target/" + string(id) }
 
-// steward returns the daemon that should hold a target's queue.
-func (s *Service) steward(id request.TargetID) *peer.Member {
-	return s.places.find(s.opts.Members, id)
+// coordinatorOf returns the daemon that coordinates a target.
+func (s *Service) coordinatorOf(id request.TargetID) *peer.Member {
+	return s.coordinators.lookup(s.opts.Members, id)
 }
 
 func (s *Service) isSelf(m *peer.Member) bool { return m.Id == s.opts.Members.Self().Id }
 
-// Run keeps an actor for each target that this daemon is steward of, until ctx ends.
+// Run maintains an actor for each target that this daemon coordinates, until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	tick := time.NewTicker(s.opts.PollInterval)
 	defer tick.Stop()
@@ -128,72 +130,74 @@
 	}
 }
 
-// reconcile starts polling targets that came here and stops those that went.
+// reconcile starts polling targets that are newly assigned to this daemon, and stops
+// polling those that are no longer listed or assigned here. An actor whose target has
+// moved stays until it is idle.
 func (s *Service) reconcile(ctx context.Context) {
 	current := s.opts.Tables.Current()
 	for _, t := range current.Targets() {
-		if !s.isSelf(s.steward(t.ID)) {
+		if !s.isSelf(s.coordinatorOf(t.ID)) {
 			continue
 		}
-		s.keeper(ctx, *t).startPolling(ctx)
+		s.ensureActor(ctx, *t).startPolling(ctx)
 	}
-	for _, k := range s.all() {
-		row, listed := current.Target(k.row.ID)
-		if listed && row.Address == k.row.Address && s.isSelf(s.steward(k.row.ID)) {
+	for _, a := range s.allActors() {
+		row, listed := current.Target(a.row.ID)
+		if listed && row.Address == a.row.Address && s.isSelf(s.coordinatorOf(a.row.ID)) {
 			continue
 		}
-		k.stopPolling()
-		if !listed || row.Address != k.row.Address || k.idle(ctx) {
-			s.drop(k)
+		a.stopPolling()
+		if !listed || row.Address != a.row.Address || a.idle(ctx) {
+			s.removeActor(a)
 		}
 	}
 }
 
-func (s *Service) all() []*keeper {
+func (s *Service) allActors() []*targetActor {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]*keeper, 0, len(s.keepers))
-	for _, k := range s.keepers {
-		out = append(out, k)
+	out := make([]*targetActor, 0, len(s.targetActors))
+	for _, a := range s.targetActors {
+		out = append(out, a)
 	}
 	return out
 }
 
-// keeper returns the actor of a target and starts it if needed.
-func (s *Service) keeper(_ context.Context, row table.Target) *keeper {
+// ensureActor returns the actor of a target and starts it if it does not run.
+func (s *Service) ensureActor(_ context.Context, row table.Target) *targetActor {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if k, ok := s.keepers[row.ID]; ok {
-		return k
+	if a, ok := s.targetActors[row.ID]; ok {
+		return a
 	}
-	k := newKeeper(s, row)
-	s.keepers[row.ID] = k
-	return k
+	a := newTargetActor(s, row)
+	s.targetActors[row.ID] = a
+	return a
 }
 
-// existing returns the actor of a target if it runs here.
-func (s *Service) existing(id request.TargetID) (*keeper, bool) {
+// findActor returns the actor of a target if it runs on this daemon.
+func (s *Service) findActor(id request.TargetID) (*targetActor, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k, ok := s.keepers[id]
-	return k, ok
+	a, ok := s.targetActors[id]
+	return a, ok
 }
 
-func (s *Service) drop(k *keeper) {
+func (s *Service) removeActor(a *targetActor) {
 	s.mu.Lock()
-	delete(s.keepers, k.row.ID)
+	delete(s.targetActors, a.row.ID)
 	s.mu.Unlock()
-	k.stop()
+	a.stop()
 }
 
 func (s *Service) stopAll() {
-	for _, k := range s.all() {
-		s.drop(k)
+	for _, a := range s.allActors() {
+		s.removeActor(a)
 	}
 }
 
-// Shutdown stops all actors and waits for what runs beside them; each of it has a
-// timeout. Asks that wait are refused. Nothing may be asked of the service any more.
+// Shutdown stops all actors, which refuse the requests that wait, and then waits for the
+// other goroutines, each of which has a timeout. The service must not be used afterwards.
 func (s *Service) Shutdown() {
 	s.stopAll()
 	s.tasks.Wait()
--- a/internal/coordinator/grants.go
+++ b/internal/coordinator/grants.go
@@ -10,87 +10,90 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// grantBook remembers the grants that this daemon's requests hold, and who gave them.
-type grantBook struct {
+// grantRegistry records the grants that this daemon's requests hold, and the daemons that
+// issued them.
+type grantRegistry struct {
 	mu     sync.Mutex
-	grants map[string]bookedGrant
+	grants map[string]heldGrant
 }
 
-type bookedGrant struct {
+type heldGrant struct {
 	request request.ID
 	target  request.TargetID
-	giver   *peer.Member
+	issuer  *peer.Member
 	renewed time.Time
 }
 
-func newGrantBook() *grantBook { return &grantBook{grants: map[string]bookedGrant{}} }
+func newGrantRegistry() *grantRegistry { return &grantRegistry{grants: map[string]heldGrant{}} }
 
-func (b *grantBook) add(id request.ID, g gateway.Grant, giver *peer.Member) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.grants[g.ID] = bookedGrant{request: id, target: g.Target, giver: giver, renewed: time.Now()}
+func (r *grantRegistry) add(id request.ID, g gateway.Grant, issuer *peer.Member) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.grants[g.ID] = heldGrant{request: id, target: g.Target, issuer: issuer, renewed: time.Now()}
 }
 
-// remove forgets a grant and returns who gave it.
-func (b *grantBook) remove(grant string) (*peer.Member, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	g, ok := b.grants[grant]
-	delete(b.grants, grant)
-	return g.giver, ok
+// remove deletes a grant and returns the daemon that issued it.
+func (r *grantRegistry) remove(grant string) (*peer.Member, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	g, ok := r.grants[grant]
+	delete(r.grants, grant)
+	return g.issuer, ok
 }
 
-// renewal is the grants of one target that one steward gave.
-type renewal struct {
+// renewalKey identifies the grants of one target that one daemon issued.
+type renewalKey struct {
 	target request.TargetID
-	giver  string
+	issuer string
 }
 
-// due returns the requests whose grants should be renewed now.
-func (b *grantBook) due(now time.Time) (map[renewal][]string, map[string]*peer.Member) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	requests := map[renewal][]string{}
-	givers := map[string]*peer.Member{}
-	for id, g := range b.grants {
+// takeDue returns the requests whose grants are due for renewal, with their issuers by id,
+// and marks these grants as renewed.
+func (r *grantRegistry) takeDue(now time.Time) (map[renewalKey][]string, map[string]*peer.Member) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	requests := map[renewalKey][]string{}
+	issuers := map[string]*peer.Member{}
+	for id, g := range r.grants {
 		if now.Sub(g.renewed) < grantTTL/3 {
 			continue
 		}
 		g.renewed = now
-		b.grants[id] = g
-		key := renewal{target: g.target, giver: g.giver.Id}
+		r.grants[id] = g
+		key := renewalKey{target: g.target, issuer: g.issuer.Id}
 		requests[key] = append(requests[key], string(g.request))
-		givers[g.giver.Id] = g.giver
+		issuers[g.issuer.Id] = g.issuer
 	}
-	return requests, givers
+	return requests, issuers
 }
 
-// renewGrants keeps the grants of long requests alive, one message for each target.
+// renewGrants renews the grants of long-running requests, with one call for each target
+// and issuer.
 func (s *Service) renewGrants(ctx context.Context) {
-	due, givers := s.granted.due(time.Now())
+	due, issuers := s.grants.takeDue(time.Now())
 	for key, requests := range due {
-		giver := givers[key.giver]
-		if s.isSelf(giver) {
-			s.renewHere(key.target, requests)
+		issuer := issuers[key.issuer]
+		if s.isSelf(issuer) {
+			s.renewLocal(key.target, requests)
 			continue
 		}
-		s.tasks.Go(func() { s.renewAt(ctx, giver, key.target, requests) })
+		s.tasks.Go(func() { s.renewAtPeer(ctx, issuer, key.target, requests) })
 	}
 }
 
-func (s *Service) renewAt(ctx context.Context, giver *peer.Member, id request.TargetID, requests []string) {
+func (s *Service) renewAtPeer(ctx context.Context, issuer *peer.Member, id request.TargetID, requests []string) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	_, err := s.opts.Peers.Steward(giver).Renew(ctx, &peer.RenewRequest{
+	_, err := s.opts.Peers.Steward(issuer).Renew(ctx, &peer.RenewRequest{
 		From: s.opts.Members.Self().Id, Target: string(id), RequestIds: requests,
 	})
 	if err != nil {
-		s.log.Debug("Grants were not renewed", "target", id, "error", err)
+		s.log.Debug("Renewing grants at their coordinator failed", "target", id, "error", err)
 	}
 }
 
-func (s *Service) renewHere(id request.TargetID, requests []string) {
-	k, ok := s.existing(id)
+func (s *Service) renewLocal(id request.TargetID, requests []string) {
+	a, ok := s.findActor(id)
 	if !ok {
 		return
 	}
@@ -98,5 +101,5 @@
 	for _, r := range requests {
 		ids = append(ids, request.ID(r))
 	}
-	k.send(&renewMsg{ids: ids})
+	a.send(&renewMsg{ids: ids})
 }
--- a/internal/coordinator/poll.go
+++ b/internal/coordinator/poll.go
@@ -11,60 +11,61 @@
 	"github.com/bluebellscale/bluebellscale/internal/target"
 )
 
-// pollTimeout bounds one question to a target.
+// pollTimeout bounds one poll of a target, and one read of the VM list.
 const pollTimeout = 2 * time.Second
 
-func (k *keeper) startPolling(ctx context.Context) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.cancel != nil || k.stopped {
+func (a *targetActor) startPolling(ctx context.Context) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.cancel != nil || a.stopped {
 		return
 	}
-	ctx, k.cancel = context.WithCancel(ctx)
-	k.service.tasks.Go(func() { k.poll(ctx) })
+	ctx, a.cancel = context.WithCancel(ctx)
+	a.service.tasks.Go(func() { a.poll(ctx) })
 }
 
-func (k *keeper) stopPolling() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.cancel != nil {
-		k.cancel()
-		k.cancel = nil
-		k.send(&resignMsg{})
+func (a *targetActor) stopPolling() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.cancel != nil {
+		a.cancel()
+		a.cancel = nil
+		a.send(&resignMsg{})
 	}
 }
 
-// cursor is how far a target's cache events have been read.
+// cursor is the position up to which a target's cache events have been read.
 type cursor struct {
 	incarnation uint64
-	after       uint64 // newest sequence read
-	// lost says that events are missing and no snapshot has been read since. It stays set
-	// until one has: a target whose snapshot is asked for once only, and whose answer to
-	// that is lost, would be taken to hold nothing for as long as it lives.
+	after       uint64 // newest sequence number read
+	// lost is set when events are missing and no snapshot has been read since. It stays
+	// set until a snapshot has been read. If the snapshot were requested only once and the
+	// response were lost, the target's cache would count as empty for as long as it lives.
 	lost bool
 }
 
-// take moves on by a page.
-func (c *cursor) take(page engineapi.EventPage) {
+// advance moves the cursor past a page of events.
+func (c *cursor) advance(page engineapi.EventPage) {
 	next := c.after + 1
 	for _, e := range page.Events {
 		c.lost = c.lost || e.Seq != next
 		next = e.Seq + 1
 	}
-	// A restarted target counts anew and may by chance go on with the number that is due.
+	// A restarted target numbers its events from the start again, and its next event may
+	// happen to have the expected number.
 	c.lost = c.lost || page.Next+1 != next || page.Incarnation != c.incarnation
 	c.incarnation = page.Incarnation
 	c.after = page.Next
 }
 
-// poll asks the target for load and cache events until ctx ends.
-func (k *keeper) poll(ctx context.Context) {
-	tick := time.NewTicker(k.service.opts.PollInterval)
+// poll reads the target's load and cache events at each poll interval until ctx ends.
+func (a *targetActor) poll(ctx context.Context) {
+	tick := time.NewTicker(a.service.opts.PollInterval)
 	defer tick.Stop()
 	failures := 0
-	at := cursor{lost: true}
+	cur := cursor{lost: true}
 	for {
-		failures = k.pollAndJudge(ctx, failures, &at)
+		failures = a.pollAndRecord(ctx, failures, &cur)
 		select {
 		case <-ctx.Done():
 			return
@@ -73,94 +74,95 @@
 	}
 }
 
-// pollAndJudge polls once and returns how many polls in a row have failed.
-func (k *keeper) pollAndJudge(ctx context.Context, failures int, at *cursor) int {
-	err := k.pollOnce(ctx, at)
+// pollAndRecord polls once and returns the number of consecutive failed polls.
+func (a *targetActor) pollAndRecord(ctx context.Context, failures int, cur *cursor) int {
+	err := a.pollOnce(ctx, cur)
 	if ctx.Err() != nil {
 		return failures
 	}
-	failures = k.judge(failures, err)
+	failures = a.recordPoll(failures, err)
 	if failures >= failuresUntilDown {
-		at.lost = true // what was known of the target has been cleared
+		cur.lost = true // the actor has cleared the target's residency
 	}
 	return failures
 }
 
-// judge counts failed polls. A target is down only after several: one lost answer
-// must not empty its queue.
-func (k *keeper) judge(failures int, err error) int {
+// recordPoll counts consecutive failed polls. A target counts as down only after
+// failuresUntilDown of them, since one lost response must not empty its queue.
+func (a *targetActor) recordPoll(failures int, err error) int {
 	if err == nil {
 		return 0
 	}
 	failures++
-	k.recover()
+	a.resetConnections()
 	if failures == failuresUntilDown {
-		k.service.log.Warn("Target does not answer", "target", k.row.ID, "error", err)
-		k.send(&downMsg{})
+		a.service.log.Warn("Target does not respond to polls; marking it as down", "target", a.row.ID, "error", err)
+		a.send(&downMsg{})
 	}
 	return failures
 }
 
-// recover throws the pooled connections to the target away if new ones work. Polls go
-// over few connections; one that has gone silent would make the target look down.
-func (k *keeper) recover() {
+// resetConnections discards the pooled connections to the target if a new connection
+// works. Polls use few connections, and one that no longer delivers data would make the
+// target appear down.
+func (a *targetActor) resetConnections() {
 	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
-	if err := k.service.opts.Targets.Client(k.row).ResetIfReachable(ctx); err != nil {
-		k.service.log.Debug("Target does not answer on a new connection", "target", k.row.ID, "error", err)
+	if err := a.service.opts.Targets.Client(a.row).ResetIfReachable(ctx); err != nil {
+		a.service.log.Debug("Target does not respond on a new connection", "target", a.row.ID, "error", err)
 	}
 }
 
-func (k *keeper) pollOnce(ctx context.Context, at *cursor) error {
+func (a *targetActor) pollOnce(ctx context.Context, cur *cursor) error {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	client := k.service.opts.Targets.Client(k.row)
-	if k.row.Kind == table.KindService {
-		return k.pollService(ctx, client)
+	client := a.service.opts.Targets.Client(a.row)
+	if a.row.Kind == table.KindService {
+		return a.pollService(ctx, client)
 	}
 	load, err := client.Load(ctx)
 	if err != nil {
 		return err
 	}
-	load.Leaving = load.Leaving || k.vmLeaving()
-	k.send(&loadMsg{load: load})
-	return k.pollEvents(ctx, client, at)
+	load.Leaving = load.Leaving || a.vmLeaving()
+	a.send(&loadMsg{load: load})
+	return a.pollEvents(ctx, client, cur)
 }
 
-func (k *keeper) pollService(ctx context.Context, client *target.Client) error {
+func (a *targetActor) pollService(ctx context.Context, client *target.Client) error {
 	if err := client.Probe(ctx); err != nil {
 		return err
 	}
-	if k.vmLeaving() {
-		k.send(&leaveMsg{})
+	if a.vmLeaving() {
+		a.send(&leavingMsg{})
 		return nil
 	}
-	k.send(&upMsg{})
+	a.send(&upMsg{})
 	return nil
 }
 
-func (k *keeper) pollEvents(ctx context.Context, client *target.Client, at *cursor) error {
-	page, err := client.Events(ctx, at.after)
+func (a *targetActor) pollEvents(ctx context.Context, client *target.Client, cur *cursor) error {
+	page, err := client.Events(ctx, cur.after)
 	if err != nil {
 		return err
 	}
-	at.take(page)
-	k.send(&eventsMsg{page: page})
-	if !at.lost {
+	cur.advance(page)
+	a.send(&eventsMsg{page: page})
+	if !cur.lost {
 		return nil
 	}
 	snapshot, err := client.Snapshot(ctx)
 	if err != nil {
 		return err
 	}
-	at.lost = snapshot.Incarnation != at.incarnation || snapshot.Seq < at.after
-	at.after = max(at.after, snapshot.Seq)
-	k.send(&snapMsg{snapshot: snapshot})
+	cur.lost = snapshot.Incarnation != cur.incarnation || snapshot.Seq < cur.after
+	cur.after = max(cur.after, snapshot.Seq)
+	a.send(&snapshotMsg{snapshot: snapshot})
 	return nil
 }
 
-// pollVMs reads which VMs are leaving. The list lags and may not answer; what was
-// read last stays in force.
+// pollVMs reads which VMs are leaving. The VM list lags and may be unavailable; the result
+// of the last successful read stays effective.
 func (s *Service) pollVMs(ctx context.Context) {
 	if s.opts.VMs == nil {
 		return
@@ -169,7 +171,7 @@
 	defer cancel()
 	vms, err := s.opts.VMs.VMs(ctx)
 	if err != nil {
-		s.log.Debug("VM list was not read", "error", err)
+		s.log.Debug("Reading the VM list failed", "error", err)
 		return
 	}
 	s.setLeaving(vms)
@@ -187,7 +189,7 @@
 	s.mu.Unlock()
 }
 
-// hostOf accepts an IP number with or without a port.
+// hostOf returns the host of an address, which may have a port.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -196,7 +198,7 @@
 	return host
 }
 
-// VMLeaving tells whether the VM list says that a target's VM is leaving.
+// VMLeaving reports whether the VM list marks a target's VM as leaving.
 func (s *Service) VMLeaving(t *table.Target) bool { return s.isLeaving(hostOf(t.Address)) }
 
 func (s *Service) isLeaving(host string) bool {
--- a/internal/coordinator/poll_test.go
+++ b/internal/coordinator/poll_test.go
@@ -21,21 +21,21 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// fakeEngine shows load, cache events and blocks.
+// fakeEngine serves load, cache events and blocks.
 type fakeEngine struct {
-	mu          sync.Mutex // a question that was cut may still be served when the next comes
-	incarnation uint64
-	seq         uint64
-	blocks      []block.Hash
-	lose        map[string]int // answers to be lost, by path
+	mu            sync.Mutex // a call that was aborted may still be served when the next one arrives
+	incarnation   uint64
+	seq           uint64
+	blocks        []block.Hash
+	dropResponses map[string]int // number of responses to drop, by path
 }
 
 // ServeHTTP implements http.Handler.
 func (e *fakeEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.lose[r.URL.Path] > 0 {
-		e.lose[r.URL.Path]--
+	if e.dropResponses[r.URL.Path] > 0 {
+		e.dropResponses[r.URL.Path]--
 		panic(http.ErrAbortHandler)
 	}
 	var answer any
@@ -55,10 +55,10 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// polledKeeper returns the keeper of a fake engine. Nothing polls it but the test.
-func polledKeeper(t *testing.T, e *fakeEngine) *keeper {
+// newPolledActor returns the actor of a fake engine, which only the test polls.
+func newPolledActor(t *testing.T, e *fakeEngine) *targetActor {
 	t.Helper()
-	s := newService(t, "d1", "d1", deadSteward{})
+	s := newService(t, "d1", "d1", unreachableCoordinator{})
 	server := httptest.NewUnstartedServer(e)
 	server.Config.ErrorLog = hclog.NewNullLogger().StandardLogger(nil)
 	server.Start()
@@ -66,116 +66,119 @@
 	row, _ := s.opts.Tables.Current().Target("engine-1")
 	polled := *row
 	polled.Address = server.Listener.Addr().String()
-	return s.keeper(t.Context(), polled)
+	return s.ensureActor(t.Context(), polled)
 }
 
-// A prompt whose context lies in a target's accelerator memory is computed anew, from
-// some fault on, for as long as the target lives: its steward holds it for empty. The
-// fault cost it the one snapshot that it asked for, or cleared what it knew, or let the
-// target restart and count on at the very number that was due.
-func TestResidencyComesBackAfterEachFault(t *testing.T) {
+// Guards against a coordinator that considers a target's cache empty for as long as the
+// target lives, so that prompts whose context is resident there are computed again. This
+// comes about when the response to the only snapshot request is lost, when the residency
+// is cleared after failed polls, or when the target restarts and its event numbers happen
+// to continue at the expected one.
+func TestResidencyRecoversAfterEachFault(t *testing.T) {
 	faults := map[string]func(*fakeEngine){
-		// Twice, since the HTTP library itself asks again if a pooled connection is cut.
-		"snapshot lost":        func(e *fakeEngine) { e.lose[engineapi.PathBlocks] = 2; e.incarnation++ },
-		"cut off for a while":  func(e *fakeEngine) { e.lose[engineapi.PathLoad] = 2 * failuresUntilDown },
-		"restarted, counts on": func(e *fakeEngine) { e.incarnation++; e.seq += 3 },
-		"restarted, counts":    func(e *fakeEngine) { e.incarnation++; e.seq = 2 },
+		// Two responses, since net/http itself retries when a pooled connection is closed.
+		"snapshot lost":                 func(e *fakeEngine) { e.dropResponses[engineapi.PathBlocks] = 2; e.incarnation++ },
+		"unreachable for a while":       func(e *fakeEngine) { e.dropResponses[engineapi.PathLoad] = 2 * failuresUntilDown },
+		"restarted, sequence continues": func(e *fakeEngine) { e.incarnation++; e.seq += 3 },
+		"restarted, sequence restarts":  func(e *fakeEngine) { e.incarnation++; e.seq = 2 },
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			chain := block.Chain("salt", make([]byte, 10*block.BytesPerBlock))
-			e := &fakeEngine{incarnation: 1, seq: 5, blocks: chain, lose: map[string]int{}}
-			k := polledKeeper(t, e)
-			at, failures := cursor{lost: true}, 0
+			e := &fakeEngine{incarnation: 1, seq: 5, blocks: chain, dropResponses: map[string]int{}}
+			a := newPolledActor(t, e)
+			cur, failures := cursor{lost: true}, 0
 			check := func() {
 				t.Helper()
-				v, _ := k.look(t.Context(), Prompt{}, probeOf(chain[:e.seq]))
-				if v.unsure || v.resident != int(e.seq) {
-					t.Fatalf("unsure %v, %d of %d blocks", v.unsure, v.resident, e.seq)
+				v, _ := a.queryView(t.Context(), Prompt{}, newProbe(chain[:e.seq]))
+				if v.unconfirmed || v.resident != int(e.seq) {
+					t.Fatalf("unconfirmed %v, %d of %d blocks", v.unconfirmed, v.resident, e.seq)
 				}
 			}
-			failures = k.pollAndJudge(t.Context(), failures, &at)
+			failures = a.pollAndRecord(t.Context(), failures, &cur)
 			check()
 			e.mu.Lock()
 			fault(e)
 			e.mu.Unlock()
 			for range 2*failuresUntilDown + 2 {
-				failures = k.pollAndJudge(t.Context(), failures, &at)
+				failures = a.pollAndRecord(t.Context(), failures, &cur)
 			}
 			check()
 		})
 	}
 }
 
-// The VM list says that a target's VM is leaving. A request placed there after the next
-// poll would be cut with the VM.
+// The VM list marks a target's VM as leaving. A request placed there after the next poll
+// would be aborted when the VM terminates.
 func TestLeavingVMGetsNoGrantAfterTheNextPoll(t *testing.T) {
-	e := &fakeEngine{incarnation: 1, lose: map[string]int{}}
-	k := polledKeeper(t, e)
-	at := cursor{lost: true}
-	k.pollAndJudge(t.Context(), 0, &at)
-	first, refusal := k.service.Acquire(t.Context(), ask("r1"))
+	e := &fakeEngine{incarnation: 1, dropResponses: map[string]int{}}
+	a := newPolledActor(t, e)
+	cur := cursor{lost: true}
+	a.pollAndRecord(t.Context(), 0, &cur)
+	first, refusal := a.service.Acquire(t.Context(), grantRequest("r1"))
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
-	k.service.Release(first, gateway.Release{})
-	k.service.setLeaving([]platform.VM{{Address: "127.0.0.1", Leaving: true}})
-	k.pollAndJudge(t.Context(), 0, &at)
-	if _, refusal := k.service.Acquire(t.Context(), ask("r2")); refusal == nil || refusal.RetryAfter == 0 || refusal.Ran != request.NotRun {
-		t.Fatalf("got %v, want a refusal with a time to come back", refusal)
+	a.service.Release(first, gateway.Release{})
+	a.service.setLeaving([]platform.VM{{Address: "127.0.0.1", Leaving: true}})
+	a.pollAndRecord(t.Context(), 0, &cur)
+	if _, refusal := a.service.Acquire(t.Context(), grantRequest("r2")); refusal == nil || refusal.RetryAfter == 0 || refusal.Ran != request.NotRun {
+		t.Fatalf("got %v, want a refusal that says not run and has a retry delay", refusal)
 	}
 }
 
-// twoDaemons returns the services of d1 and d2. Both take d1 for the steward; d2 asks it
-// over twirp.
-func twoDaemons(t *testing.T) (asker, steward *Service, server *httptest.Server) {
+// newTwoDaemons returns the services of d1 and d2. In the membership of both, d1 is the
+// coordinator; d2 calls it over twirp.
+func newTwoDaemons(t *testing.T) (requester, holder *Service, server *httptest.Server) {
 	t.Helper()
-	steward = newService(t, "d1", "d1", deadSteward{})
-	server = httptest.NewServer(&mortal{Handler: peer.NewStewardServer(liveSteward{steward.Server()})})
+	holder = newService(t, "d1", "d1", unreachableCoordinator{})
+	server = httptest.NewServer(&killableHandler{Handler: peer.NewStewardServer(localCoordinator{holder.Server()})})
 	t.Cleanup(server.Close)
-	asker = newService(t, "d2", "d1", peer.NewStewardProtobufClient(server.URL, http.DefaultClient))
-	return asker, steward, server
+	requester = newService(t, "d2", "d1", peer.NewStewardProtobufClient(server.URL, http.DefaultClient))
+	return requester, holder, server
 }
 
-// mortal is a server that can die: it then answers nobody, also who has connected just before.
-type mortal struct {
+// killableHandler is a handler that can be killed: it then answers no request, not even
+// on connections that were made before.
+type killableHandler struct {
 	http.Handler
-	dead atomic.Bool
+	killed atomic.Bool
 }
 
 // ServeHTTP implements http.Handler.
-func (m *mortal) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if m.dead.Load() {
+func (m *killableHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if m.killed.Load() {
 		panic(http.ErrAbortHandler)
 	}
 	m.Handler.ServeHTTP(w, r)
 }
 
-func (k *keeper) counts(t *testing.T) (running, waiting int) {
-	v, ok := k.look(t.Context(), Prompt{}, probe{})
+func (a *targetActor) counts(t *testing.T) (running, waiting int) {
+	v, ok := a.queryView(t.Context(), Prompt{}, probe{})
 	if !ok {
-		t.Fatal("no answer of the keeper")
+		t.Fatal("no reply from the actor")
 	}
 	return v.running, v.waiting
 }
 
-// A steward dies while a request waits in its queue and another holds its only place.
-// The waiting one would be held until its deadline; its own daemon decides instead.
-func TestAskThatWaitsOutlivesItsSteward(t *testing.T) {
-	asker, steward, server := twoDaemons(t)
-	if _, refusal := steward.Acquire(t.Context(), ask("r1")); refusal != nil {
+// A coordinator dies while one request waits in its queue and another holds the target's
+// only slot. The waiting request must not stay blocked until its deadline: the daemon that
+// sent it decides instead.
+func TestWaitingRequestSurvivesCoordinatorFailure(t *testing.T) {
+	requester, holder, server := newTwoDaemons(t)
+	if _, refusal := holder.Acquire(t.Context(), grantRequest("r1")); refusal != nil {
 		t.Fatal(refusal)
 	}
 	granted := make(chan *request.Error, 1)
 	go func() {
-		_, refusal := asker.Acquire(context.Background(), ask("r2"))
+		_, refusal := requester.Acquire(context.Background(), grantRequest("r2"))
 		granted <- refusal
 	}()
-	k := steward.all()[0]
+	a := holder.allActors()[0]
 	for waiting := 0; waiting == 0; {
-		_, waiting = k.counts(t)
+		_, waiting = a.counts(t)
 	}
-	server.Config.Handler.(*mortal).dead.Store(true)
+	server.Config.Handler.(*killableHandler).killed.Store(true)
 	server.Listener.Close()
 	server.CloseClientConnections()
 	if refusal := <-granted; refusal != nil {
@@ -183,64 +186,64 @@
 	}
 }
 
-// Two daemons both take themselves for the steward of a target with one place. Each
-// gives it away, so the target has two requests: more than its share, which its own
-// queue absorbs. All is given back to the one that gave it.
-func TestTwoStewardsCostEfficiencyOnly(t *testing.T) {
-	asker, steward, _ := twoDaemons(t)
-	there, refusal := asker.Acquire(t.Context(), ask("r1"))
+// Two daemons each act as the coordinator of a target with one slot. Each grants it, so
+// the target has two requests, which exceeds its capacity and which its own queue absorbs.
+// Each grant is released at the daemon that issued it.
+func TestTwoCoordinatorsOnlyOversubscribeTarget(t *testing.T) {
+	requester, holder, _ := newTwoDaemons(t)
+	remote, refusal := requester.Acquire(t.Context(), grantRequest("r1"))
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
-	here, refusal := asker.acquireSelf(t.Context(), ask("r2"))
+	local, refusal := requester.acquireFromSelf(t.Context(), grantRequest("r2"))
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
-	asker.Release(there, gateway.Release{})
-	asker.Release(here, gateway.Release{})
-	for _, s := range []*Service{asker, steward} {
+	requester.Release(remote, gateway.Release{})
+	requester.Release(local, gateway.Release{})
+	for _, s := range []*Service{requester, holder} {
 		for running := 1; running != 0; {
-			running, _ = s.all()[0].counts(t) // a release to a peer takes its time
+			running, _ = s.allActors()[0].counts(t) // a release at a peer is asynchronous
 		}
 	}
 }
 
-// A stream longer than a grant lives keeps it by renewals, which go to the giver; one
-// whose renewals stop does not.
-func TestGrantsAreRenewedAtTheirGiver(t *testing.T) {
-	b := newGrantBook()
+// A stream that outlasts grantTTL keeps its grant through renewals, which go to the daemon
+// that issued the grant. A grant that has been removed is not renewed.
+func TestGrantsAreRenewedAtIssuingCoordinator(t *testing.T) {
+	b := newGrantRegistry()
 	b.add("r1", gateway.Grant{ID: "g1", Target: "engine-1"}, &peer.Member{Id: "d2"})
-	if due, _ := b.due(time.Now()); len(due) != 0 {
-		t.Fatalf("due at once: %v", due)
+	if due, _ := b.takeDue(time.Now()); len(due) != 0 {
+		t.Fatalf("due immediately: %v", due)
 	}
 	later := time.Now().Add(grantTTL / 2)
-	due, givers := b.due(later)
-	if got := due[renewal{target: "engine-1", giver: "d2"}]; len(got) != 1 || got[0] != "r1" || givers["d2"] == nil {
-		t.Fatalf("due %v at %v", due, givers)
+	due, issuers := b.takeDue(later)
+	if got := due[renewalKey{target: "engine-1", issuer: "d2"}]; len(got) != 1 || got[0] != "r1" || issuers["d2"] == nil {
+		t.Fatalf("due %v at %v", due, issuers)
 	}
-	if again, _ := b.due(later); len(again) != 0 {
+	if again, _ := b.takeDue(later); len(again) != 0 {
 		t.Fatal("renewed twice")
 	}
 	b.remove("g1")
-	if after, _ := b.due(later.Add(grantTTL)); len(after) != 0 {
+	if after, _ := b.takeDue(later.Add(grantTTL)); len(after) != 0 {
 		t.Fatal("renewed after its end")
 	}
 }
 
-// FuzzPeerMessages feeds a steward what no daemon of ours would send.
+// FuzzPeerMessages sends a coordinator messages that no correct daemon sends.
 func FuzzPeerMessages(f *testing.F) {
 	f.Add("engine-1", "r1", "atlas", int64(10), int64(100), false, "fp", []byte("hash"), int32(1))
 	f.Add("engine-1", "r1", "", int64(-1<<63), int64(1<<62), true, "", make([]byte, len(block.Hash{})), int32(-5))
-	s := newService(f, "d1", "d1", deadSteward{})
+	s := newService(f, "d1", "d1", unreachableCoordinator{})
 	server := s.Server()
 	f.Fuzz(func(t *testing.T, id, r, org string, tokens, deadline int64, suspect bool, fp string, hash []byte, position int32) {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 		defer cancel()
-		answer, err := server.Acquire(ctx, &peer.AcquireRequest{
+		resp, err := server.Acquire(ctx, &peer.AcquireRequest{
 			Target: id, RequestId: r, Organisation: org, PromptTokens: tokens, DeadlineMs: deadline, Suspect: suspect, Fingerprint: fp,
 		})
-		if err == nil && answer.Granted {
-			_, _ = server.Release(ctx, &peer.ReleaseRequest{Target: id, GrantId: answer.GrantId, PrefillTokens: tokens})
+		if err == nil && resp.Granted {
+			_, _ = server.Release(ctx, &peer.ReleaseRequest{Target: id, GrantId: resp.GrantId, PrefillTokens: tokens})
 		}
 		look, err := server.Look(context.Background(), &peer.LookRequest{
 			Targets: []string{id}, Organisation: org, PromptTokens: tokens, Positions: []int32{position}, Hashes: [][]byte{hash},
@@ -248,10 +251,10 @@
 		if err == nil && len(look.Views) == 1 && (look.Views[0].ExpectedWaitMs < 0 || look.Views[0].ResidentBlocks < 0) {
 			t.Fatalf("got %v", look.Views[0])
 		}
-		// Whatever was asked, an honest request is still served.
-		honest, refusal := s.Acquire(context.Background(), ask("honest"))
+		// A well-formed request must still be served afterwards.
+		honest, refusal := s.Acquire(context.Background(), grantRequest("honest"))
 		if refusal != nil {
-			t.Fatalf("an honest request is refused: %v", refusal)
+			t.Fatalf("a well-formed request was refused: %v", refusal)
 		}
 		s.Release(honest, gateway.Release{PrefillTokens: 10})
 	})
--- a/internal/coordinator/residency.go
+++ b/internal/coordinator/residency.go
@@ -5,50 +5,51 @@
 	"github.com/bluebellscale/bluebellscale/internal/engineapi"
 )
 
-// maxResident bounds the blocks remembered of one target.
-const maxResident = 1 << 20
+// maxResidentBlocks bounds the number of blocks recorded for one target.
+const maxResidentBlocks = 1 << 20
 
-// residency is the set of blocks that a target's cache events have shown. It is a
-// hint: events come late and with gaps, and the target's answer is the truth.
+// residency is the set of blocks that are resident in a target's cache according to its
+// events. It is a hint: events arrive late and with gaps, and only the target itself is
+// authoritative.
 type residency struct {
 	incarnation uint64
-	next        uint64 // sequence of the newest event applied
-	unsure      bool   // a gap was seen and no snapshot has come since
+	lastSeq     uint64 // sequence number of the newest event applied
+	unconfirmed bool   // a gap was detected and no snapshot has been applied since
 	blocks      map[block.Hash]struct{}
 }
 
 func newResidency() *residency {
-	return &residency{unsure: true, blocks: map[block.Hash]struct{}{}}
+	return &residency{unconfirmed: true, blocks: map[block.Hash]struct{}{}}
 }
 
-// clear forgets all, after the target died.
+// clear empties the set, after the target died or restarted.
 func (r *residency) clear() {
-	r.unsure = true
-	r.next = 0
+	r.unconfirmed = true
+	r.lastSeq = 0
 	r.blocks = map[block.Hash]struct{}{}
 }
 
-// onEvents applies a page. A sequence that skips a number means that events were
-// lost: blocks may be gone that are still remembered, so the set is unsure until a
-// snapshot has been read.
+// onEvents applies a page of events. A gap in the sequence numbers means that events were
+// lost: the set may contain blocks that the target has evicted, so it is unconfirmed until
+// a snapshot has been applied.
 func (r *residency) onEvents(page engineapi.EventPage) {
 	if page.Incarnation != r.incarnation {
 		r.clear()
 		r.incarnation = page.Incarnation
 	}
 	for _, e := range page.Events {
-		if e.Seq <= r.next {
+		if e.Seq <= r.lastSeq {
 			continue
 		}
-		if e.Seq != r.next+1 {
-			r.unsure = true
+		if e.Seq != r.lastSeq+1 {
+			r.unconfirmed = true
 		}
-		r.next = e.Seq
+		r.lastSeq = e.Seq
 		r.apply(e)
 	}
-	if page.Next > r.next {
-		r.unsure = true
-		r.next = page.Next
+	if page.Next > r.lastSeq {
+		r.unconfirmed = true
+		r.lastSeq = page.Next
 	}
 }
 
@@ -68,35 +69,35 @@
 }
 
 func (r *residency) add(h block.Hash) {
-	if len(r.blocks) >= maxResident {
-		r.unsure = true
+	if len(r.blocks) >= maxResidentBlocks {
+		r.unconfirmed = true
 		return
 	}
 	r.blocks[h] = struct{}{}
 }
 
-// onSnapshot replaces the set, unless newer events have been applied.
+// onSnapshot replaces the set, unless events newer than the snapshot have been applied.
 func (r *residency) onSnapshot(s engineapi.Snapshot) {
-	if s.Incarnation == r.incarnation && s.Seq < r.next {
+	if s.Incarnation == r.incarnation && s.Seq < r.lastSeq {
 		return
 	}
 	r.clear()
 	r.incarnation = s.Incarnation
-	r.next = s.Seq
+	r.lastSeq = s.Seq
 	for _, h := range s.Blocks {
 		r.add(h)
 	}
-	r.unsure = false
+	r.unconfirmed = false
 }
 
-// probe is a chain of blocks seen at a few positions, from the first block on.
+// probe is a sample of a chain of blocks, in order of position.
 type probe struct {
-	positions []int // leading blocks that the hash of the same index stands for
+	positions []int // number of leading blocks that the hash at the same index covers
 	hashes    []block.Hash
 }
 
-// leading returns how many leading blocks of the probed chain are resident. Engines
-// evict a chain from its end, so the first missing position bounds it.
+// leading returns the number of leading blocks of the probed chain that are resident.
+// Engines evict a chain from its end, so the first missing position is an upper bound.
 func (r *residency) leading(p probe) int {
 	found := 0
 	for i, h := range p.hashes {
@@ -108,14 +109,14 @@
 	return found
 }
 
-// maxProbe is the most positions of a chain that are sent to a steward.
-const maxProbe = 24
+// maxProbePositions is the maximum number of positions of a chain sent to a coordinator.
+const maxProbePositions = 24
 
-// probeOf samples a chain: its whole length, and points that halve the rest, so a
-// cut near the end is found as exactly as one near the start.
-func probeOf(chain []block.Hash) probe {
+// newProbe samples a chain at its full length and at evenly spaced positions, so that
+// a partially resident chain is measured with the same accuracy wherever it ends.
+func newProbe(chain []block.Hash) probe {
 	var p probe
-	step := max(1, (len(chain)+maxProbe-1)/maxProbe)
+	step := max(1, (len(chain)+maxProbePositions-1)/maxProbePositions)
 	for n := 1; n < len(chain); n += step {
 		p.positions = append(p.positions, n)
 		p.hashes = append(p.hashes, chain[n-1])
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -13,22 +13,22 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Server answers peers. It is the thin side of twirp's Steward service without Slice.
+// Server serves the calls of peers: the methods of twirp's Steward service except Slice.
 type Server struct {
 	service *Service
 }
 
-// Server returns the side of the service that peers talk to.
+// Server returns the server for the calls of peers.
 func (s *Service) Server() *Server { return &Server{service: s} }
 
 // Acquire serves peer.Steward.
-func (v *Server) Acquire(ctx context.Context, r *peer.AcquireRequest) (*peer.AcquireResponse, error) {
+func (s *Server) Acquire(ctx context.Context, r *peer.AcquireRequest) (*peer.AcquireResponse, error) {
 	if r.Target == "" || r.RequestId == "" {
 		return nil, twirp.RequiredArgumentError("target and request_id")
 	}
-	leg := time.NewTimer(acquireLeg)
+	leg := time.NewTimer(longPollDuration)
 	defer leg.Stop()
-	grant, refusal, waiting := v.service.acquireWithin(ctx, gateway.Ask{
+	grant, refusal, waiting := s.service.acquireLocalUntil(ctx, gateway.Ask{
 		Request:  request.ID(r.RequestId),
 		Target:   request.TargetID(r.Target),
 		Org:      request.OrgID(r.Organisation),
@@ -48,18 +48,18 @@
 }
 
 // Renew serves peer.Steward.
-func (v *Server) Renew(_ context.Context, r *peer.RenewRequest) (*peer.RenewResponse, error) {
-	v.service.renewHere(request.TargetID(r.Target), r.RequestIds)
+func (s *Server) Renew(_ context.Context, r *peer.RenewRequest) (*peer.RenewResponse, error) {
+	s.service.renewLocal(request.TargetID(r.Target), r.RequestIds)
 	return &peer.RenewResponse{}, nil
 }
 
 // Release serves peer.Steward.
-func (v *Server) Release(_ context.Context, r *peer.ReleaseRequest) (*peer.ReleaseResponse, error) {
+func (s *Server) Release(_ context.Context, r *peer.ReleaseRequest) (*peer.ReleaseResponse, error) {
 	if r.RequestId != "" {
-		v.service.cancelHere(request.TargetID(r.Target), request.ID(r.RequestId))
+		s.service.cancelLocal(request.TargetID(r.Target), request.ID(r.RequestId))
 		return &peer.ReleaseResponse{}, nil
 	}
-	v.service.releaseHere(
+	s.service.releaseLocal(
 		gateway.Grant{ID: r.GrantId, Target: request.TargetID(r.Target)},
 		gateway.Release{PrefillTokens: r.PrefillTokens, TargetFailed: r.TargetFailed},
 	)
@@ -67,8 +67,8 @@
 }
 
 // Look serves peer.Steward.
-func (v *Server) Look(ctx context.Context, r *peer.LookRequest) (*peer.LookResponse, error) {
-	p, err := probeFrom(r)
+func (s *Server) Look(ctx context.Context, r *peer.LookRequest) (*peer.LookResponse, error) {
+	p, err := parseProbe(r)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 	}
 	out := &peer.LookResponse{}
 	prompt := Prompt{Org: request.OrgID(r.Organisation), Tokens: int(r.PromptTokens)}
-	for _, w := range v.service.lookHere(ctx, ids, prompt, p) {
+	for _, w := range s.service.localViews(ctx, ids, prompt, p) {
 		out.Views = append(out.Views, &peer.TargetView{
 			Target:         string(w.Target),
 			ExpectedWaitMs: w.Wait.Milliseconds(),
@@ -94,8 +94,8 @@
 	return out, nil
 }
 
-func probeFrom(r *peer.LookRequest) (probe, error) {
-	if len(r.Positions) != len(r.Hashes) || len(r.Hashes) > 2*maxProbe {
+func parseProbe(r *peer.LookRequest) (probe, error) {
+	if len(r.Positions) != len(r.Hashes) || len(r.Hashes) > 2*maxProbePositions {
 		return probe{}, twirp.InvalidArgumentError("hashes", "want one for each position, and not too many")
 	}
 	var p probe
--- a/internal/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -9,14 +9,14 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// stateTimeout bounds the wait for one actor in a dump.
+// stateTimeout bounds the wait for the actors' replies in State.
 const stateTimeout = time.Second
 
-// TargetState is a target in the dump of a daemon.
+// TargetState is the state of one target in a daemon's debug dump.
 type TargetState struct {
 	Target           request.TargetID `json:"target"`
 	Address          string           `json:"address"`
-	Coordinator      string           `json:"steward"` // the daemon that holds its queue
+	Coordinator      string           `json:"steward"` // daemon that coordinates the target
 	Local            bool             `json:"here"`
 	Version          request.Version  `json:"version"`
 	Running          int              `json:"running"`
@@ -28,20 +28,20 @@
 	ReportAgeMs      int64            `json:"report_age_ms"`
 }
 
-// State returns the targets whose queue is held here, ordered by id.
+// State returns the targets that have an actor on this daemon, ordered by id.
 func (s *Service) State() []TargetState {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	out := []TargetState{}
-	for _, k := range s.all() {
-		v, ok := k.look(ctx, Prompt{}, probe{})
+	for _, a := range s.allActors() {
+		v, ok := a.queryView(ctx, Prompt{}, probe{})
 		if !ok {
 			continue
 		}
-		m := s.steward(k.row.ID)
+		m := s.coordinatorOf(a.row.ID)
 		out = append(out, TargetState{
-			Target:           k.row.ID,
-			Address:          k.row.Address,
+			Target:           a.row.ID,
+			Address:          a.row.Address,
 			Coordinator:      m.Id,
 			Local:            s.isSelf(m),
 			Version:          v.version,
@@ -50,7 +50,7 @@
 			PrefillTokens:    v.prefill,
 			Down:             v.down,
 			Leaving:          v.leaving,
-			CacheUnconfirmed: v.unsure,
+			CacheUnconfirmed: v.unconfirmed,
 			ReportAgeMs:      v.age.Milliseconds(),
 		})
 	}
--- a/internal/coordinator/views.go
+++ b/internal/coordinator/views.go
@@ -13,63 +13,63 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// lookTimeout bounds the wait for a peer's view. A target whose steward does not
-// answer in time is judged by what this daemon knows.
-const lookTimeout = 250 * time.Millisecond
+// viewTimeout bounds the wait for a peer's views. For a target whose coordinator does not
+// reply in time, this daemon relies on its own information.
+const viewTimeout = 250 * time.Millisecond
 
-// view is what a steward knows about a target and one chain of blocks.
+// view is a coordinator's state of a target, with respect to one chain of blocks.
 type view struct {
-	target   request.TargetID
-	wait     time.Duration
-	prefill  int64
-	running  int
-	granted  int
-	waiting  int
-	resident int
-	unsure   bool
-	down     bool
-	leaving  bool
-	version  request.Version
-	age      time.Duration
+	target      request.TargetID
+	wait        time.Duration
+	prefill     int64
+	running     int
+	granted     int
+	waiting     int
+	resident    int
+	unconfirmed bool
+	down        bool
+	leaving     bool
+	version     request.Version
+	age         time.Duration
 }
 
-// Prompt is what targets are looked at for.
+// Prompt describes the prompt that views of targets are requested for.
 type Prompt struct {
 	Org    request.OrgID
 	Chain  []block.Hash
 	Tokens int
 }
 
-// View is what is known about a target for placement.
+// View is the state of a target that placement uses.
 type View struct {
 	Target         request.TargetID
-	Wait           time.Duration // until the target would begin to compute the prompt
+	Wait           time.Duration // expected time until the target begins to compute the prompt
 	Running        int
 	Waiting        int
-	ResidentBlocks int // leading blocks of the chain in accelerator memory
+	ResidentBlocks int // number of leading blocks of the chain in accelerator memory
 	Unconfirmed    bool
 	Down           bool
 	Leaving        bool
-	Version        request.Version // empty: not reported yet
+	Version        request.Version // empty if not reported yet
 }
 
-// Look returns the stewards' views of targets for one prompt. Targets whose steward
-// did not answer are missing.
+// Look returns the coordinators' views of targets for one prompt. Targets whose
+// coordinator did not reply are missing from the result.
 func (s *Service) Look(ctx context.Context, ids []request.TargetID, p Prompt) map[request.TargetID]View {
-	probed := probeOf(p.Chain)
-	bySteward := map[string][]request.TargetID{}
+	probed := newProbe(p.Chain)
+	byCoordinator := map[string][]request.TargetID{}
 	members := map[string]*peer.Member{}
 	for _, id := range ids {
-		m := s.steward(id)
+		m := s.coordinatorOf(id)
 		members[m.Id] = m
-		bySteward[m.Id] = append(bySteward[m.Id], id)
+		byCoordinator[m.Id] = append(byCoordinator[m.Id], id)
 	}
 	var mu sync.Mutex
 	out := make(map[request.TargetID]View, len(ids))
 	var wait sync.WaitGroup
-	for name, group := range bySteward {
+	for name, group := range byCoordinator {
 		wait.Go(func() {
-			views := s.lookAt(ctx, members[name], group, p, probed)
+			views := s.queryViews(ctx, members[name], group, p, probed)
 			mu.Lock()
 			defer mu.Unlock()
 			for _, v := range views {
@@ -81,19 +81,19 @@
 	return out
 }
 
-func (s *Service) lookAt(ctx context.Context, m *peer.Member, ids []request.TargetID, p Prompt, probed probe) []View {
+func (s *Service) queryViews(ctx context.Context, m *peer.Member, ids []request.TargetID, p Prompt, probed probe) []View {
 	if s.isSelf(m) {
-		return s.lookHere(ctx, ids, p, probed)
+		return s.localViews(ctx, ids, p, probed)
 	}
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
-	answer, err := s.opts.Peers.Steward(m).Look(ctx, lookRequest(ids, p, probed))
+	resp, err := s.opts.Peers.Steward(m).Look(ctx, lookRequest(ids, p, probed))
 	if err != nil {
-		s.log.Debug("Steward did not answer", "steward", m.Id, "error", err)
+		s.log.Debug("Reading target views from a coordinator failed", "steward", m.Id, "error", err)
 		return nil
 	}
-	out := make([]View, 0, len(answer.Views))
-	for _, v := range answer.Views {
+	out := make([]View, 0, len(resp.Views))
+	for _, v := range resp.Views {
 		out = append(out, View{
 			Target:         request.TargetID(v.Target),
 			Wait:           time.Duration(v.ExpectedWaitMs) * time.Millisecond,
@@ -121,14 +121,14 @@
 	return r
 }
 
-func (s *Service) lookHere(ctx context.Context, ids []request.TargetID, p Prompt, probed probe) []View {
+func (s *Service) localViews(ctx context.Context, ids []request.TargetID, p Prompt, probed probe) []View {
 	var out []View
 	for _, id := range ids {
 		row, ok := s.opts.Tables.Current().Target(id)
 		if !ok {
 			continue
 		}
-		v, ok := s.keeper(ctx, *row).look(ctx, p, probed)
+		v, ok := s.ensureActor(ctx, *row).queryView(ctx, p, probed)
 		if !ok {
 			continue
 		}
@@ -138,7 +138,7 @@
 			Running:        v.running,
 			Waiting:        v.waiting,
 			ResidentBlocks: v.resident,
-			Unconfirmed:    v.unsure,
+			Unconfirmed:    v.unconfirmed,
 			Down:           v.down,
 			Leaving:        v.leaving,
 			Version:        v.version,
@@ -147,28 +147,29 @@
 	return out
 }
 
-func (k *keeper) look(ctx context.Context, p Prompt, probed probe) (view, bool) {
-	answer := make(chan view, 1)
-	k.send(&lookMsg{probe: probed, org: p.Org, tokens: int64(p.Tokens), answer: answer})
+func (a *targetActor) queryView(ctx context.Context, p Prompt, probed probe) (view, bool) {
+	reply := make(chan view, 1)
+	a.send(&viewMsg{probe: probed, org: p.Org, tokens: int64(p.Tokens), reply: reply})
 	select {
-	case v := <-answer:
+	case v := <-reply:
 		return v, true
 	case <-ctx.Done():
 		return view{}, false
-	case <-k.quit:
+	case <-a.quit:
 		return view{}, false
 	}
 }
 
-// idle tells whether nobody waits here or holds a grant.
-func (k *keeper) idle(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+// idle reports whether no request waits here or holds a grant.
+func (a *targetActor) idle(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
-	v, ok := k.look(ctx, Prompt{}, probe{})
+	v, ok := a.queryView(ctx, Prompt{}, probe{})
 	return ok && v.granted == 0 && v.waiting == 0
 }
 
-// Calls implements gateway.Stewards: the instances of a service, least loaded first.
+// Calls implements gateway.Stewards. It returns the available instances of a service, the
+// least loaded first.
 func (s *Service) Calls(ctx context.Context, service string, exclude map[request.TargetID]bool) []table.Target {
 	var rows []table.Target
 	var ids []request.TargetID
