--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -1,9 +1,9 @@
 // Package target is the client of targets: model engines (engineapi) and plain
 // services.
 //
-// Every error says whether the request surely did not start (NotStarted), because
-// only then may a call that is not repeatable be sent again. net/http repeats some
-// requests by itself; see connections.go for how that is ruled out.
+// Every error states whether the request certainly did not start (NotStarted), since only
+// then may a call that is not repeatable be sent again. net/http retries some requests
+// automatically; connections.go describes how this package prevents that.
 package target
 
 import (
@@ -36,31 +36,31 @@
 	DefaultMaxBody           = 8 << 20
 )
 
-// maxErrorBody is how much of an error answer is read, in bytes.
+// maxErrorBody is the maximum number of bytes read of an error response.
 const maxErrorBody = 64 << 10
 
-// Options of New. Zero durations and counts take the defaults.
+// Options configures a Client. Zero durations and counts take the defaults.
 type Options struct {
 	ID      request.TargetID
-	Address string // host:port, host an IP number
+	Address string // host:port; the host is an IP number
 	Logger  hclog.Logger
 	Metrics tally.Scope
 
-	DialTimeout       time.Duration // until a connection is made
-	HeaderTimeout     time.Duration // from a connection until the answer's header; not for exports, imports and service calls
-	StreamIdleTimeout time.Duration // longest time without a byte on an open stream
-	ServiceTimeout    time.Duration // of a whole service call
-	MaxIdle           int           // idle connections kept
-	MaxBody           int64         // largest service answer in bytes
+	DialTimeout       time.Duration // limit for making a connection
+	HeaderTimeout     time.Duration // limit from a connection to the response header; not for exports, imports and service calls
+	StreamIdleTimeout time.Duration // longest time without data on an open stream
+	ServiceTimeout    time.Duration // limit for a complete service call
+	MaxIdle           int           // maximum number of idle connections
+	MaxBody           int64         // maximum size of a service response in bytes
 }
 
 func (o Options) withDefaults() Options {
-	orElse(&o.DialTimeout, DefaultDialTimeout)
-	orElse(&o.HeaderTimeout, DefaultHeaderTimeout)
-	orElse(&o.StreamIdleTimeout, DefaultStreamIdleTimeout)
-	orElse(&o.ServiceTimeout, DefaultServiceTimeout)
-	orElse(&o.MaxIdle, DefaultMaxIdle)
-	orElse(&o.MaxBody, DefaultMaxBody)
+	setDefault(&o.DialTimeout, DefaultDialTimeout)
+	setDefault(&o.HeaderTimeout, DefaultHeaderTimeout)
+	setDefault(&o.StreamIdleTimeout, DefaultStreamIdleTimeout)
+	setDefault(&o.ServiceTimeout, DefaultServiceTimeout)
+	setDefault(&o.MaxIdle, DefaultMaxIdle)
+	setDefault(&o.MaxBody, DefaultMaxBody)
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
@@ -70,14 +70,14 @@
 	return o
 }
 
-func orElse[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
 	}
 }
 
-// Client talks to one target. It is safe for concurrent use.
+// Client calls one target. It is safe for concurrent use.
 type Client struct {
 	o           Options
 	log         hclog.Logger
@@ -85,7 +85,7 @@
 	connections connections
 }
 
-// New returns a client; it connects on the first call.
+// New returns a client, which connects on the first call.
 func New(o Options) *Client {
 	o = o.withDefaults()
 	c := &Client{
@@ -103,22 +103,22 @@
 // Address returns the target's host:port.
 func (c *Client) Address() string { return c.o.Address }
 
-// Close drops idle connections. Open streams go on.
+// Close closes idle connections. Open streams are not affected.
 func (c *Client) Close() { c.connections.closeIdle() }
 
-// Complete asks a model engine for a completion. A refusal wraps *engineapi.Error.
-// The stream ends with ctx.
+// Complete requests a completion from a model engine. A refusal wraps *engineapi.Error.
+// The stream ends when ctx ends.
 func (c *Client) Complete(ctx context.Context, req engineapi.CompletionRequest) (*Stream, error) {
 	return c.openStream(ctx, "completion", req.RequestID, http.MethodPost, engineapi.PathCompletions, req)
 }
 
-// Resume reads a stream that the engine still has, from a sequence on.
+// Resume reads a stream that the engine still holds, starting at a sequence number.
 func (c *Client) Resume(ctx context.Context, id request.ID, from int) (*Stream, error) {
 	path := streamPath(id) + "?from=" + strconv.Itoa(from)
 	return c.openStream(ctx, "resume", id, http.MethodGet, path, nil)
 }
 
-// Cancel ends a stream. It succeeds if the engine does not know the stream.
+// Cancel ends a stream. It also succeeds if the engine does not know the stream.
 func (c *Client) Cancel(ctx context.Context, id request.ID) error {
 	err := c.call(ctx, "cancel", c.o.HeaderTimeout, http.MethodDelete, streamPath(id), nil, nil)
 	var refused *engineapi.Error
@@ -128,14 +128,14 @@
 	return err
 }
 
-// Load reads the engine's lagging load report.
+// Load reads the engine's load report, which lags behind its state.
 func (c *Client) Load(ctx context.Context) (engineapi.Load, error) {
 	var out engineapi.Load
 	err := c.call(ctx, "load", c.o.HeaderTimeout, http.MethodGet, engineapi.PathLoad, nil, &out)
 	return out, err
 }
 
-// Events reads cache events beyond a sequence.
+// Events reads the cache events after a sequence number.
 func (c *Client) Events(ctx context.Context, after uint64) (engineapi.EventPage, error) {
 	var out engineapi.EventPage
 	path := engineapi.PathEvents + "?after=" + strconv.FormatUint(after, 10)
@@ -143,38 +143,38 @@
 	return out, err
 }
 
-// Snapshot reads the whole content of the engine's prefix cache.
+// Snapshot reads the complete content of the engine's prefix cache.
 func (c *Client) Snapshot(ctx context.Context) (engineapi.Snapshot, error) {
 	var out engineapi.Snapshot
 	err := c.call(ctx, "snapshot", c.o.HeaderTimeout, http.MethodGet, engineapi.PathBlocks, nil, &out)
 	return out, err
 }
 
-// Export has the engine write blocks to a store VM. It takes as long as the link
-// does; bound it by ctx.
+// Export makes the engine write blocks to a store VM. It takes as long as the transfer
+// over the link; callers limit it with ctx.
 func (c *Client) Export(ctx context.Context, req engineapi.ExportRequest) (engineapi.ExportResponse, error) {
 	var out engineapi.ExportResponse
 	err := c.call(ctx, "export", 0, http.MethodPost, engineapi.PathExport, req, &out)
 	return out, err
 }
 
-// Import has the engine read blocks from a store VM. It takes as long as the link
-// does; bound it by ctx.
+// Import makes the engine read blocks from a store VM. It takes as long as the transfer
+// over the link; callers limit it with ctx.
 func (c *Client) Import(ctx context.Context, req engineapi.ImportRequest) (engineapi.ImportResponse, error) {
 	var out engineapi.ImportResponse
 	err := c.call(ctx, "import", 0, http.MethodPost, engineapi.PathImport, req, &out)
 	return out, err
 }
 
-// Order gives the engine an order. An old epoch is refused with
-// engineapi.CodeStaleEpoch by engines that check.
+// Order sends the engine an order. Engines that check epochs refuse an old one with
+// engineapi.CodeStaleEpoch.
 func (c *Client) Order(ctx context.Context, order engineapi.Order) (engineapi.OrderResponse, error) {
 	var out engineapi.OrderResponse
 	err := c.call(ctx, "order", c.o.HeaderTimeout, http.MethodPost, engineapi.PathOrders, order, &out)
 	return out, err
 }
 
-// State reads what the engine is and does now.
+// State reads the engine's current state.
 func (c *Client) State(ctx context.Context) (engineapi.State, error) {
 	var out engineapi.State
 	err := c.call(ctx, "state", c.o.HeaderTimeout, http.MethodGet, engineapi.PathState, nil, &out)
@@ -185,8 +185,8 @@
 	return engineapi.PathStreams + url.PathEscape(string(id))
 }
 
-// call sends in as JSON and reads the answer into out. Zero timeout leaves the
-// bound to ctx.
+// call sends in as JSON and decodes the response into out. With a timeout of zero, only
+// ctx limits the call.
 func (c *Client) call(ctx context.Context, op string, timeout time.Duration, method, path string, in, out any) error {
 	if timeout > 0 {
 		var cancel context.CancelFunc
@@ -203,7 +203,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		return c.refused(op, resp)
+		return c.responseError(op, resp)
 	}
 	if out == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
@@ -211,7 +211,7 @@
 		err = json.NewDecoder(resp.Body).Decode(out)
 	}
 	if err != nil {
-		return c.broken(op, ctx, err)
+		return c.connectionError(op, ctx, err)
 	}
 	return nil
 }
@@ -224,7 +224,7 @@
 			return nil, err
 		}
 	}
-	req, err := newRequestOnce(ctx, method, "http://"+c.o.Address+path, body)
+	req, err := newNonReplayableRequest(ctx, method, "http://"+c.o.Address+path, body)
 	if err != nil {
 		return nil, err
 	}
@@ -234,8 +234,8 @@
 	return req, nil
 }
 
-// send does one round trip. Once a connection was handed to the request, its bytes
-// may have reached the target, so from then on no failure counts as not started.
+// send performs one round trip. Once the request has been given a connection, its bytes
+// may have reached the target, so no later failure counts as not started.
 func (c *Client) send(op string, transport http.RoundTripper, req *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -246,20 +246,20 @@
 		return resp, nil
 	}
 	if !connected.Load() {
-		return nil, c.fail(op, kindBeforeConnection(ctx), true, err)
+		return nil, c.fail(op, dialErrorKind(ctx), true, err)
 	}
-	return nil, c.broken(op, ctx, err)
+	return nil, c.connectionError(op, ctx, err)
 }
 
-func kindBeforeConnection(ctx context.Context) error {
+func dialErrorKind(ctx context.Context) error {
 	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), ErrTimeout) {
 		return ErrCanceled
 	}
 	return ErrUnreachable
 }
 
-// broken classifies a failure on a connection that was made.
-func (c *Client) broken(op string, ctx context.Context, err error) error {
+// connectionError classifies a failure on an established connection.
+func (c *Client) connectionError(op string, ctx context.Context, err error) error {
 	kind := ErrConnectionLost
 	switch {
 	case errors.Is(context.Cause(ctx), ErrTimeout):
@@ -270,19 +270,19 @@
 	return c.fail(op, kind, false, err)
 }
 
-// refused turns an error answer into an error. Only an engineapi.Error can say that
-// the request did not start.
-func (c *Client) refused(op string, resp *http.Response) error {
+// responseError converts an error response into an error. Only an engineapi.Error can state
+// that the request did not start.
+func (c *Client) responseError(op string, resp *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	if err != nil {
 		return c.fail(op, ErrConnectionLost, false, err)
 	}
-	answer := &engineapi.Error{Started: true}
+	refusal := &engineapi.Error{Started: true}
 	d := json.NewDecoder(bytes.NewReader(body))
-	if d.Decode(answer) != nil || answer.Code == "" {
+	if d.Decode(refusal) != nil || refusal.Code == "" {
 		return c.fail(op, ErrBadResponse, false, errors.Newf("status %d", resp.StatusCode))
 	}
-	return c.fail(op, ErrRefused, !answer.Started, answer)
+	return c.fail(op, ErrRefused, !refusal.Started, refusal)
 }
 
 func (c *Client) fail(op string, kind error, notStarted bool, cause error) error {
--- a/internal/target/connections.go
+++ b/internal/target/connections.go
@@ -9,8 +9,8 @@
 	"sync"
 )
 
-// connections holds the two ways to a target: a pool whose connections are used
-// again, and fresh connections that carry one request each.
+// connections holds the two transports to a target: a pool whose connections are reused,
+// and one that makes a fresh connection for each request.
 type connections struct {
 	o     Options
 	fresh *http.Transport
@@ -53,51 +53,52 @@
 	c.fresh.CloseIdleConnections()
 }
 
-// onceBody is a request body that cannot be read twice.
-type onceBody struct{ io.Reader }
+// nonReplayableBody is a request body that can be read only once.
+type nonReplayableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
-// newRequestOnce returns a request that net/http cannot send twice.
+// newNonReplayableRequest returns a request that net/http cannot send twice, unless it is
+// a GET request.
 //
-// The failure: http.Transport by itself sends a request again when a reused
-// connection dies before the first byte of the answer, if it holds the request for
-// replayable. A POST counts as replayable once it carries an Idempotency-Key header
-// and has no body or a GetBody function. The target may have run the first one, and a
-// plain service does not look at the key: the caller then gets one answer while two
-// labels were printed.
+// The failure it prevents: http.Transport automatically resends a request when a reused
+// connection fails before the first byte of the response and the request counts as
+// replayable. A POST counts as replayable if it has an Idempotency-Key header and either
+// no body or a GetBody function. The target may have run the first request, and a plain
+// service ignores the key: the caller gets one response, but two labels are printed.
 //
-// Why the guard holds: the body is neither nil nor http.NoBody and GetBody is nil, so
-// the transport can never replay it, whatever the headers; an empty body is wrapped
-// as well. Calls that may not be repeated moreover go over fresh connections, and
-// the transport replays only on reused ones. Redirects, which would also send again,
-// are followed by http.Client only, and this package uses the transport directly.
-func newRequestOnce(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
+// Why it works: the body is neither nil nor http.NoBody, and GetBody is nil, so the
+// transport can never replay the request, whatever its headers; an empty body is wrapped
+// too. In addition, calls that are not repeatable use fresh connections, and the transport
+// replays requests on reused connections only. Redirects, which would also resend a
+// request, are followed by http.Client only, and this package uses the transport directly.
+func newNonReplayableRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil || method == http.MethodGet {
 		return req, err
 	}
-	req.Body = onceBody{bytes.NewReader(body)}
+	req.Body = nonReplayableBody{bytes.NewReader(body)}
 	req.ContentLength = int64(len(body))
 	req.GetBody = nil
 	return req, nil
 }
 
-// ResetConnections throws the pool away; new calls make new connections.
+// ResetConnections discards the connection pool, so that later calls make new connections.
 //
-// The failure: something between the two ends loses track of open connections. They
-// stay open and silent for good, while new ones work; each call that gets one from the
-// pool waits out its deadline. Why the guard holds: no call after the reset can get an
-// old connection, and streams still open on one end by their own SilentAfter.
+// The failure it handles: a network element between daemon and target loses track of open
+// connections. They stay open but never deliver data again, while new connections work, so
+// that each call that gets one from the pool times out. Why it works: no call after the
+// reset can get an old connection, and streams that are still open on an old connection
+// end after their StreamIdleTimeout.
 func (c *Client) ResetConnections() {
 	c.connections.reset()
 	c.metrics.Counter("connection_resets").Inc(1)
-	c.log.Info("Connections reset")
+	c.log.Info("Connection pool was reset")
 }
 
-// Probe makes a fresh connection and asks for any answer. It tells a target that is
-// down or frozen from one whose old connections went silent.
+// Probe sends a request on a fresh connection and accepts any response. It distinguishes a
+// target that is down or stalled from one whose pooled connections no longer deliver data.
 func (c *Client) Probe(ctx context.Context) error {
 	ctx, cancel := context.WithTimeoutCause(ctx, c.o.HeaderTimeout, ErrTimeout)
 	defer cancel()
@@ -112,9 +113,9 @@
 	return resp.Body.Close()
 }
 
-// ResetIfReachable is to be called after ErrSilent: if a fresh connection works, the
-// pool is thrown away and the call may be resumed or repeated; else the probe's error
-// tells that the target itself does not answer.
+// ResetIfReachable must be called after ErrTimeout. If a fresh connection works, it
+// discards the pool, and the call may be resumed or repeated. Otherwise it returns the
+// error of the probe, which means that the target itself does not respond.
 func (c *Client) ResetIfReachable(ctx context.Context) error {
 	if err := c.Probe(ctx); err != nil {
 		return err
--- a/internal/target/errors.go
+++ b/internal/target/errors.go
@@ -8,29 +8,29 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Kinds of failure. Test for them with errors.Is.
+// Kinds of failure, for use with errors.Is.
 var (
-	// ErrUnreachable reports that no connection came about; nothing was sent.
+	// ErrUnreachable reports that no connection could be made, so nothing was sent.
 	ErrUnreachable = errors.New("target: unreachable")
-	// ErrConnectionLost reports a connection that ended before the answer was whole.
-	ErrConnectionLost = errors.New("target: connection cut")
-	// ErrTimeout reports an open connection on which nothing came for the set time.
-	ErrTimeout = errors.New("target: connection silent")
-	// ErrRefused reports an error that the target itself gave; errors.As to
-	// *engineapi.Error gives it.
-	ErrRefused = errors.New("target: refused")
-	// ErrBadResponse reports an answer that does not follow the interface.
-	ErrBadResponse = errors.New("target: bad answer")
+	// ErrConnectionLost reports a connection that ended before the response was complete.
+	ErrConnectionLost = errors.New("target: connection lost before the response was complete")
+	// ErrTimeout reports an open connection on which no data arrived within the timeout.
+	ErrTimeout = errors.New("target: timed out waiting for data")
+	// ErrRefused reports an error response of the target. errors.As with *engineapi.Error
+	// returns its content.
+	ErrRefused = errors.New("target: request refused")
+	// ErrBadResponse reports a response that violates the interface.
+	ErrBadResponse = errors.New("target: invalid response")
 	// ErrCanceled reports that the caller's context ended.
 	ErrCanceled = errors.New("target: canceled")
 )
 
-// Error is a failed call to a target.
+// Error describes a failed call to a target.
 type Error struct {
 	Target     request.TargetID
 	Op         string
 	Kind       error // one of the kinds above
-	NotStarted bool  // the target surely did not start the request
+	NotStarted bool  // the target certainly did not start the request
 	Cause      error
 }
 
@@ -46,12 +46,12 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Is makes an Error match its kind.
+// Is makes an Error match its Kind.
 func (e *Error) Is(target error) bool { return target == e.Kind }
 
-// NotStarted tells whether the target surely did not start the request that failed
-// with err: there was no connection, or the target said so itself. It is false as
-// soon as bytes of the request may have left, since the target may have read them.
+// NotStarted reports whether the target certainly did not start the request that failed
+// with err: no connection was made, or the target's response states it. It is false once
+// bytes of the request may have been sent, since the target may have read them.
 func NotStarted(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && e.NotStarted
--- a/internal/target/service.go
+++ b/internal/target/service.go
@@ -12,38 +12,39 @@
 // ServiceCall is a call to a plain service.
 type ServiceCall struct {
 	Method string
-	Path   string // with query, from the slash on
+	Path   string // path and query, with the leading slash
 	Header http.Header
 	Body   []byte
-	// Repeatable allows a pooled connection. A call that may not be repeated always
-	// gets a fresh one; see newRequestOnce.
+	// Repeatable allows the call to use a pooled connection. A call that is not repeatable
+	// always uses a fresh one; see newNonReplayableRequest.
 	Repeatable bool
 }
 
-// ServiceResponse is a plain service's whole answer, whatever its status.
+// ServiceResponse is a plain service's complete response, whatever its status.
 type ServiceResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to one connection and must not be forwarded (RFC 9110, section
+// 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// CallService sends a call at most once and returns the whole answer. An error that
-// is not NotStarted leaves open whether the call was executed.
+// CallService sends a call at most once and returns the complete response. After an error
+// that is not NotStarted, it is unknown whether the call was executed.
 func (c *Client) CallService(ctx context.Context, call ServiceCall) (*ServiceResponse, error) {
 	const op = "service call"
 	ctx, cancel := context.WithTimeoutCause(ctx, c.o.ServiceTimeout, ErrTimeout)
 	defer cancel()
-	req, err := newRequestOnce(ctx, call.Method, "http://"+c.o.Address+call.Path, call.Body)
+	req, err := newNonReplayableRequest(ctx, call.Method, "http://"+c.o.Address+call.Path, call.Body)
 	if err != nil {
 		return nil, c.fail(op, ErrBadResponse, true, err)
 	}
-	req.Header = passedOn(call.Header)
+	req.Header = endToEndHeaders(call.Header)
 	transport := c.connections.fresh
 	if call.Repeatable {
 		transport = c.connections.pooled()
@@ -55,15 +56,15 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.o.MaxBody+1))
 	if err != nil {
-		return nil, c.broken(op, ctx, err)
+		return nil, c.connectionError(op, ctx, err)
 	}
 	if int64(len(body)) > c.o.MaxBody {
-		return nil, c.fail(op, ErrBadResponse, false, errors.Newf("answer above %d bytes", c.o.MaxBody))
+		return nil, c.fail(op, ErrBadResponse, false, errors.Newf("response exceeds %d bytes", c.o.MaxBody))
 	}
-	return &ServiceResponse{Status: resp.StatusCode, Header: passedOn(resp.Header), Body: body}, nil
+	return &ServiceResponse{Status: resp.StatusCode, Header: endToEndHeaders(resp.Header), Body: body}, nil
 }
 
-func passedOn(h http.Header) http.Header {
+func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
 		return make(http.Header)
@@ -73,7 +74,7 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	out.Del("Content-Length")
--- a/internal/target/stream.go
+++ b/internal/target/stream.go
@@ -15,12 +15,12 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// maxLine is the longest line of a stream in bytes.
+// maxLine is the maximum length of a line of a stream in bytes.
 const maxLine = 1 << 20
 
 var dataPrefix = []byte("data:")
 
-// Stream is an open completion. It is for one goroutine; Close may be called from any.
+// Stream is an open completion. It must be used by one goroutine only, except for Close.
 type Stream struct {
 	client *Client
 	op     string
@@ -39,21 +39,21 @@
 		cancel(err)
 		return nil, c.fail(op, ErrBadResponse, true, err)
 	}
-	header := time.AfterFunc(c.o.DialTimeout+c.o.HeaderTimeout, func() { cancel(ErrTimeout) })
+	headerTimer := time.AfterFunc(c.o.DialTimeout+c.o.HeaderTimeout, func() { cancel(ErrTimeout) })
 	resp, err := c.send(op, c.connections.pooled(), req)
 	if err != nil {
-		header.Stop()
+		headerTimer.Stop()
 		cancel(err)
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		err := c.refused(op, resp)
-		header.Stop()
+		err := c.responseError(op, resp)
+		headerTimer.Stop()
 		resp.Body.Close()
 		cancel(err)
 		return nil, err
 	}
-	header.Stop()
+	headerTimer.Stop()
 	return &Stream{
 		client: c,
 		op:     op,
@@ -68,11 +68,11 @@
 // ID returns the request that the stream was opened for.
 func (s *Stream) ID() request.ID { return s.id }
 
-// Next returns the next frame as it came: the caller checks its identity, sequence
-// and version. It returns io.EOF after the frame with Done set. It fails with ErrCut
-// if the connection ends before that, with ErrSilent if no byte comes for
-// Options.SilentAfter (an engine sends comments while a request waits), and with
-// ErrCanceled when ctx ends. The stream is of no use after an error.
+// Next returns the next frame as received; the caller checks its identity, sequence number
+// and version. It returns io.EOF after the frame with Done set. It fails with
+// ErrConnectionLost if the connection ends before that frame, with ErrTimeout if no data
+// arrives for Options.StreamIdleTimeout (an engine sends comments while a request waits),
+// and with ErrCanceled when ctx ends. The stream must not be used after an error.
 func (s *Stream) Next(ctx context.Context) (engineapi.Frame, error) {
 	if s.done {
 		return engineapi.Frame{}, io.EOF
@@ -84,7 +84,7 @@
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
-		return engineapi.Frame{}, s.client.broken(s.op, s.ctx, err)
+		return engineapi.Frame{}, s.client.connectionError(s.op, s.ctx, err)
 	}
 	var f engineapi.Frame
 	if err := json.Unmarshal(data, &f); err != nil {
@@ -94,12 +94,12 @@
 	return f, nil
 }
 
-// readEvent returns the data of the next event. Each line, also a comment, shows that
-// the connection lives and starts the time for silence anew.
+// readEvent returns the data of the next event. Each line, including a comment, shows that
+// the connection works and restarts the idle timeout.
 func (s *Stream) readEvent() ([]byte, error) {
-	after := s.client.o.StreamIdleTimeout
-	silence := time.AfterFunc(after, func() { s.cancel(ErrTimeout) })
-	defer silence.Stop()
+	timeout := s.client.o.StreamIdleTimeout
+	idleTimer := time.AfterFunc(timeout, func() { s.cancel(ErrTimeout) })
+	defer idleTimer.Stop()
 	for {
 		line, err := s.readLine()
 		if err != nil {
@@ -108,7 +108,7 @@
 		if data, ok := bytes.CutPrefix(line, dataPrefix); ok {
 			return bytes.TrimSpace(data), nil
 		}
-		silence.Reset(after)
+		idleTimer.Reset(timeout)
 	}
 }
 
@@ -118,7 +118,7 @@
 		part, more := s.lines.ReadSlice('\n')
 		line = append(line, part...)
 		if len(line) > maxLine {
-			return nil, errors.Newf("line above %d bytes", maxLine)
+			return nil, errors.Newf("line exceeds %d bytes", maxLine)
 		}
 		if !errors.Is(more, bufio.ErrBufferFull) {
 			return line, more
@@ -126,7 +126,7 @@
 	}
 }
 
-// Close ends reading. The engine goes on with the request; use Client.Cancel to stop it.
+// Close stops reading. The engine continues with the request; Client.Cancel stops it.
 func (s *Stream) Close() {
 	s.cancel(context.Canceled)
 	s.resp.Body.Close()
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -25,8 +25,8 @@
 
 const (
 	testTimeout = 30 * time.Second
-	// endless is more tokens than any test waits for.
-	endless = 1_000_000
+	// unboundedTokens is more tokens than any test reads.
+	unboundedTokens = 1_000_000
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -69,8 +69,8 @@
 	}
 }
 
-// dropper is a server that answers the first request on each connection, and reads
-// ("executes") the second but closes the connection without an answer.
+// dropper is a server that responds to the first request on each connection. It reads
+// ("executes") the second one, but closes the connection without a response.
 type dropper struct {
 	listener net.Listener
 	executed atomic.Int64
@@ -118,11 +118,11 @@
 	}
 }
 
-// A label is printed twice for one call. The service executes a call and its
-// connection dies before the answer; the connection was in use before, so net/http
-// takes the request for lost with an idle connection and, because of the
-// Idempotency-Key header, sends it again by itself.
-func TestNoHiddenRepeat(t *testing.T) {
+// Guards against a label that is printed twice for one call. The service executes a call,
+// and its connection fails before the response. Since the connection is reused, net/http
+// assumes that the request was lost with an idle connection and, because of the
+// Idempotency-Key header, sends it again.
+func TestNoImplicitRetry(t *testing.T) {
 	ctx := testContext(t)
 	const calls = 2
 	header := http.Header{service.HeaderKey: {"key"}}
@@ -145,7 +145,7 @@
 		resp.Body.Close()
 	}
 	if got := naive.executed.Load(); got != calls+1 {
-		t.Fatalf("the naive client no longer shows the fault: %d executions of %d calls", got, calls)
+		t.Fatalf("the naive client no longer reproduces the fault: %d executions of %d calls", got, calls)
 	}
 
 	for _, body := range []string{"lot", ""} {
@@ -173,9 +173,9 @@
 	}
 }
 
-// An answer says "not run" though the service ran the call, and its caller sends it
-// again under a new key. Only failures before a connection, and what the target itself
-// says, may count as not started.
+// Guards against a response that says "not run" although the service ran the call, so that
+// the caller sends the call again under a new key. Only failures before a connection is
+// made and the target's own statement may count as not started.
 func TestNotStarted(t *testing.T) {
 	ctx := testContext(t)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
@@ -211,9 +211,9 @@
 		notStarted bool
 	}{
 		{"connection refused", refusedErr, target.ErrUnreachable, true},
-		{"answer lost", lostErr, target.ErrConnectionLost, false},
+		{"response lost", lostErr, target.ErrConnectionLost, false},
 		{"wrong version", versionErr, target.ErrRefused, true},
-		{"canceled before", canceledErr, target.ErrCanceled, true},
+		{"canceled before the call", canceledErr, target.ErrCanceled, true},
 	} {
 		if !errors.Is(c.err, c.kind) || target.NotStarted(c.err) != c.notStarted {
 			t.Errorf("%s: %v, not started %v", c.name, c.err, target.NotStarted(c.err))
@@ -224,9 +224,10 @@
 	}
 }
 
-// A caller waits for ever for the rest of its answer. Something between daemon and
-// engine forgot the open connection: it stays open and silent, while new ones work.
-func TestSilentStreamIsResumed(t *testing.T) {
+// Guards against a caller that waits forever for the rest of its response. A network
+// element between daemon and engine has dropped the state of the open connection: the
+// connection stays open without delivering data, while new connections work.
+func TestStalledStreamIsResumed(t *testing.T) {
 	ctx := testContext(t)
 	e, address := startEngine(t, engine.Options{})
 	client := newClient(t, address, 200*time.Millisecond)
@@ -265,13 +266,13 @@
 		t.Fatalf("text %q, want %q", text.String(), want)
 	}
 	if got := e.Switches().Status().Silenced; got == 0 {
-		t.Fatal("no connection went silent")
+		t.Fatal("no connection was silenced")
 	}
 }
 
-// Two callers get each other's words. An engine mixes up two streams; the frames still
-// carry the request they belong to, which is how the reader can tell.
-func TestSwappedFramesKeepTheirIdentity(t *testing.T) {
+// Guards against two callers that receive each other's text. When an engine swaps two
+// streams, each frame still carries the id of its request, so the reader can detect it.
+func TestSwappedFramesAreDetectable(t *testing.T) {
 	ctx := testContext(t)
 	e, address := startEngine(t, engine.Options{})
 	client := newClient(t, address, testTimeout)
@@ -279,7 +280,7 @@
 	e.Switches().Apply(fault.Command{SwapAnswers: &swap})
 	var streams []*target.Stream
 	for _, id := range []string{"a", "b"} {
-		s, err := client.Complete(ctx, completion(id, endless))
+		s, err := client.Complete(ctx, completion(id, unboundedTokens))
 		if err != nil {
 			t.Fatal(err)
 		}
