--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,8 +1,8 @@
-// Package store is the client of store VMs (storeapi), with the names and manifests
-// under which contexts are kept there.
+// Package store is the client of store VMs (storeapi). It defines the names and manifests
+// under which contexts are stored there.
 //
-// Content that is freed or torn is never handed out: every read checks length and
-// digest and fails with a typed miss.
+// The client never returns freed or corrupt content: every read checks length and digest
+// and fails with a *MissError.
 package store
 
 import (
@@ -34,19 +34,19 @@
 	DefaultMaxIdle     = 16
 )
 
-// maxContent is the largest content read, in bytes.
+// maxContent is the maximum size of content that is read, in bytes.
 const maxContent = 16 << 20
 
-// Options of New. Zero durations and counts take the defaults.
+// Options configures a Client. Zero durations and counts take the defaults.
 type Options struct {
 	ID      request.StoreID
-	Address string // host:port, host an IP number
+	Address string // host:port; the host is an IP number
 	Logger  hclog.Logger
 	Metrics tally.Scope
 
 	DialTimeout time.Duration
-	CallTimeout time.Duration // of a whole call
-	MaxIdle     int           // idle connections kept
+	CallTimeout time.Duration // limit for a complete call
+	MaxIdle     int           // maximum number of idle connections
 }
 
 func (o Options) withDefaults() Options {
@@ -68,7 +68,7 @@
 	return o
 }
 
-// Client talks to one store VM. It is safe for concurrent use.
+// Client calls one store VM. It is safe for concurrent use.
 type Client struct {
 	o       Options
 	log     hclog.Logger
@@ -78,7 +78,7 @@
 	pool *http.Transport
 }
 
-// New returns a client; it connects on the first call.
+// New returns a client, which connects on the first call.
 func New(o Options) *Client {
 	o = o.withDefaults()
 	return &Client{
@@ -103,50 +103,50 @@
 // Address returns the store VM's host:port.
 func (c *Client) Address() string { return c.o.Address }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport().CloseIdleConnections() }
 
-// Pin keeps objects from being freed for ttl. A *MissError means that one of them is
-// not there; those before it are pinned.
+// Pin protects objects from being freed for ttl. A *MissError means that one of them does
+// not exist; the objects before it are pinned.
 func (c *Client) Pin(ctx context.Context, names []string, ttl time.Duration) error {
 	body := storeapi.PinRequest{Names: names, TTLMillis: ttl.Milliseconds()}
 	return c.postJSON(ctx, storeapi.PathPin, body)
 }
 
-// Tier moves objects to a tier, in order, up to the first that cannot be moved.
+// Tier moves objects to a tier, in order, and stops at the first that cannot be moved.
 func (c *Client) Tier(ctx context.Context, names []string, tier storeapi.Tier) error {
 	return c.postJSON(ctx, storeapi.PathTier, storeapi.TierRequest{Names: names, Tier: tier})
 }
 
-// Delete frees an object; its name is never used again.
+// Delete frees an object, whose name is never used again.
 func (c *Client) Delete(ctx context.Context, name string) error {
-	_, err := c.do(ctx, call{method: http.MethodDelete, path: objectPath(name), name: name})
+	_, err := c.do(ctx, apiCall{method: http.MethodDelete, path: objectPath(name), name: name})
 	return err
 }
 
-// Status reads room and link use.
+// Status reads the capacity and the link use of the store VM.
 func (c *Client) Status(ctx context.Context) (storeapi.Status, error) {
 	var out storeapi.Status
-	answer, err := c.do(ctx, call{method: http.MethodGet, path: storeapi.PathStatus})
+	resp, err := c.do(ctx, apiCall{method: http.MethodGet, path: storeapi.PathStatus})
 	if err != nil {
 		return out, err
 	}
-	if err := json.Unmarshal(answer.content, &out); err != nil {
+	if err := json.Unmarshal(resp.content, &out); err != nil {
 		return out, errors.Mark(errors.Wrap(err, "status"), ErrUnavailable)
 	}
 	return out, nil
 }
 
-// List returns objects whose names begin with prefix and contain a text, the longest
-// unused first.
+// List returns at most limit objects whose names begin with prefix and contain the text
+// contains, the least recently used first.
 func (c *Client) List(ctx context.Context, prefix, contains string, limit int) ([]storeapi.ObjectInfo, error) {
 	q := url.Values{"prefix": {prefix}, "contains": {contains}, "limit": {strconv.Itoa(limit)}}
-	answer, err := c.do(ctx, call{method: http.MethodGet, path: storeapi.PathList + "?" + q.Encode()})
+	resp, err := c.do(ctx, apiCall{method: http.MethodGet, path: storeapi.PathList + "?" + q.Encode()})
 	if err != nil {
 		return nil, err
 	}
 	var out storeapi.ListResponse
-	if err := json.Unmarshal(answer.content, &out); err != nil {
+	if err := json.Unmarshal(resp.content, &out); err != nil {
 		return nil, errors.Mark(errors.Wrap(err, "list"), ErrUnavailable)
 	}
 	return out.Objects, nil
@@ -154,7 +154,7 @@
 
 func (c *Client) put(ctx context.Context, name string, content []byte) error {
 	header := http.Header{storeapi.HeaderDigest: {digestOf(content)}}
-	_, err := c.do(ctx, call{
+	_, err := c.do(ctx, apiCall{
 		method: http.MethodPut,
 		path:   objectPath(name),
 		name:   name,
@@ -164,30 +164,30 @@
 	return err
 }
 
-// get returns an object's content and the length that the store VM charges for it.
+// get returns an object's content and the length that the store VM accounts for it.
 func (c *Client) get(ctx context.Context, name string) ([]byte, int64, error) {
-	a, err := c.do(ctx, call{method: http.MethodGet, path: objectPath(name), name: name})
+	resp, err := c.do(ctx, apiCall{method: http.MethodGet, path: objectPath(name), name: name})
 	if err != nil {
 		return nil, 0, err
 	}
-	length, err := strconv.ParseInt(a.header.Get(storeapi.HeaderLength), 10, 64)
+	length, err := strconv.ParseInt(resp.header.Get(storeapi.HeaderLength), 10, 64)
 	if err != nil {
 		return nil, 0, &MissError{Name: name, Reason: MissCorrupt}
 	}
-	return a.content, length, nil
+	return resp.content, length, nil
 }
 
 func (c *Client) postJSON(ctx context.Context, path string, in any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return errors.Wrap(err, "store: request")
+		return errors.Wrap(err, "store: encode request")
 	}
-	_, err = c.do(ctx, call{method: http.MethodPost, path: path, name: path, body: body})
+	_, err = c.do(ctx, apiCall{method: http.MethodPost, path: path, name: path, body: body})
 	return err
 }
 
-// call is one round trip. Name is what a failure is about.
-type call struct {
+// apiCall is one round trip. Its name identifies the object or path in errors.
+type apiCall struct {
 	method string
 	path   string
 	name   string
@@ -195,64 +195,64 @@
 	body   []byte
 }
 
-type answer struct {
+type response struct {
 	header  http.Header
 	content []byte
 }
 
-func (c *Client) do(ctx context.Context, k call) (answer, error) {
+func (c *Client) do(ctx context.Context, call apiCall) (response, error) {
 	parent := ctx
 	ctx, cancel := context.WithTimeout(ctx, c.o.CallTimeout)
 	defer cancel()
 	c.metrics.Counter("calls").Inc(1)
 	transport := c.transport()
-	a, status, err := c.roundTrip(ctx, transport, k)
+	resp, status, err := c.roundTrip(ctx, transport, call)
 	if err != nil {
 		c.metrics.Counter("failures").Inc(1)
 		if ctx.Err() != nil && parent.Err() == nil {
-			c.dropPool(transport)
+			c.replacePool(transport)
 		}
-		return answer{}, errors.Mark(errors.Wrapf(err, "store %s: %s", c.o.ID, k.method), ErrUnavailable)
+		return response{}, errors.Mark(errors.Wrapf(err, "store %s: %s", c.o.ID, call.method), ErrUnavailable)
 	}
-	return a, failureOf(k, status)
+	return resp, statusError(call, status)
 }
 
-func (c *Client) roundTrip(ctx context.Context, transport *http.Transport, k call) (answer, int, error) {
-	req, err := http.NewRequestWithContext(ctx, k.method, "http://"+c.o.Address+k.path, bytes.NewReader(k.body))
+func (c *Client) roundTrip(ctx context.Context, transport *http.Transport, call apiCall) (response, int, error) {
+	req, err := http.NewRequestWithContext(ctx, call.method, "http://"+c.o.Address+call.path, bytes.NewReader(call.body))
 	if err != nil {
-		return answer{}, 0, err
+		return response{}, 0, err
 	}
-	for name, values := range k.header {
+	for name, values := range call.header {
 		req.Header[name] = values
 	}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return answer{}, 0, err
+		return response{}, 0, err
 	}
 	defer resp.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(resp.Body, maxContent))
-	return answer{header: resp.Header, content: content}, resp.StatusCode, err
+	return response{header: resp.Header, content: content}, resp.StatusCode, err
 }
 
-// failureOf turns a status into an error. Puts and reads of a freed name differ: the
-// one may not use it again, the other must treat it as not there.
-func failureOf(k call, status int) error {
-	put := k.method == http.MethodPut
+// statusError converts an HTTP status into an error. For a freed name, a put fails since
+// the name must not be used again, and a read is a miss.
+func statusError(call apiCall, status int) error {
+	put := call.method == http.MethodPut
 	switch {
 	case status/100 == 2:
 		return nil
 	case status == http.StatusNotFound:
-		return &MissError{Name: k.name, Reason: MissAbsent}
+		return &MissError{Name: call.name, Reason: MissAbsent}
 	case status == http.StatusGone && put, status == http.StatusConflict && put:
-		return errors.Wrap(ErrNameTaken, k.name)
+		return errors.Wrap(ErrNameTaken, call.name)
 	case status == http.StatusGone:
-		return &MissError{Name: k.name, Reason: MissFreed}
+		return &MissError{Name: call.name, Reason: MissFreed}
 	case status == http.StatusConflict:
-		return errors.Wrap(ErrPinned, k.name)
+		return errors.Wrap(ErrPinned, call.name)
 	case status == http.StatusInsufficientStorage:
-		return errors.Wrap(ErrFull, k.name)
+		return errors.Wrap(ErrFull, call.name)
 	default:
-		return errors.Wrapf(ErrUnavailable, "%s: status %d", k.name, status)
+		return errors.Wrapf(ErrUnavailable, "%s: status %d", call.name, status)
 	}
 }
 
@@ -262,20 +262,20 @@
 	return c.pool
 }
 
-// dropPool replaces the pool after a call ran out of time.
+// replacePool replaces the connection pool after a call timed out.
 //
-// The failure: open connections go silent for good while new ones work, so that each
-// call that gets one from the pool runs out of time. Why the guard holds: the next
-// call makes a new connection; a store VM that is merely slow loses some idle
-// connections by it and nothing else.
-func (c *Client) dropPool(old *http.Transport) {
+// The failure it handles: open connections never deliver data again while new ones work,
+// so that each call that gets one from the pool times out. Why it works: the next call
+// makes a new connection. If the store VM is merely slow, only some idle connections are
+// lost.
+func (c *Client) replacePool(old *http.Transport) {
 	c.mu.Lock()
 	if c.pool == old {
 		c.pool = newTransport(c.o)
 	}
 	c.mu.Unlock()
 	old.CloseIdleConnections()
-	c.log.Warn("Call ran out of time; connections are dropped")
+	c.log.Warn("Call timed out; replaced the connection pool")
 }
 
 func objectPath(name string) string { return storeapi.PathObjects + url.PathEscape(name) }
--- a/internal/store/manifest.go
+++ b/internal/store/manifest.go
@@ -13,35 +13,36 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Manifest lists the blocks of one exported context, first block first. It is written
-// after all of them, and readers use only blocks that a manifest lists: a context
-// whose export stopped half way has no manifest and does not exist for them.
+// Manifest lists the blocks of one exported context, in chain order. It is written after
+// all blocks, and readers use only blocks that a manifest lists. A context whose export
+// was interrupted has no manifest and does not exist for readers.
 type Manifest struct {
 	Org        request.OrgID             `json:"org"`
 	Model      request.Model             `json:"model"`
 	Version    request.Version           `json:"version"`
 	Generation Generation                `json:"generation"`
 	Blocks     []engineapi.ExportedBlock `json:"blocks"`
-	// Earlier lists the exports whose blocks this one begins with, in order. Blocks that
-	// follow theirs were written under Generation.
+	// Earlier lists, in order, the earlier exports whose blocks this context begins with.
+	// The blocks after theirs were written under Generation.
 	Earlier []Segment `json:"earlier,omitempty"`
 }
 
-// Segment is a run of blocks that an earlier export wrote.
+// Segment is the generation and number of consecutive blocks that an earlier export wrote.
 type Segment struct {
 	Generation Generation `json:"generation"`
 	Blocks     int        `json:"blocks"`
 }
 
-// Run is a run of blocks whose names begin with one prefix.
+// Run is a sequence of consecutive blocks that one export wrote, so that their names share
+// a prefix.
 type Run struct {
 	Generation Generation
 	Blocks     []engineapi.ExportedBlock
 }
 
 // Extend returns the manifest of an export that continues an earlier one of the same
-// context, so that only new blocks cross the link. Once it is committed, the earlier
-// manifest is freed, and none of its blocks.
+// context, so that only new blocks are sent over the link. Once the new manifest is
+// committed, the earlier manifest is freed, but none of its blocks.
 func (m Manifest) Extend(generation Generation, written []engineapi.ExportedBlock) Manifest {
 	out := m
 	out.Generation = generation
@@ -53,7 +54,7 @@
 	return out
 }
 
-// Runs returns all blocks in chain order, by the export that wrote them.
+// Runs returns all blocks in chain order, grouped by the export that wrote them.
 func (m Manifest) Runs() []Run {
 	var out []Run
 	rest := m.Blocks
@@ -71,26 +72,26 @@
 // Check returns ErrBadManifest unless the manifest belongs to the scope and its blocks
 // are leading blocks of the chain, each with a length and a digest.
 //
-// The failure: an engine answers an export with a gap or with blocks of another
-// context, or the earlier manifest is of another chain. Committed, they would be put
-// under a wrong prefix for every later caller. Why the guard holds: nothing is
-// committed without it, and a block's hash covers its whole prefix.
+// The failure it prevents: an engine responds to an export with a gap or with blocks of
+// another context, or the earlier manifest belongs to another chain. If committed, these
+// blocks would be stored under a wrong prefix for every later caller. Why it works: no
+// manifest is committed without this check, and a block's hash covers its complete prefix.
 func (m Manifest) Check(scope block.Scope, chain []block.Hash) error {
 	if m.Scope() != scope {
-		return errors.Wrap(ErrBadManifest, "other scope")
+		return errors.Wrap(ErrBadManifest, "manifest belongs to another scope")
 	}
 	if len(m.Blocks) == 0 || len(m.Blocks) > len(chain) {
 		return errors.Wrapf(ErrBadManifest, "%d blocks for a chain of %d", len(m.Blocks), len(chain))
 	}
 	for i, b := range m.Blocks {
 		if b.Hash != chain[i] {
-			return errors.Wrapf(ErrBadManifest, "block %d is not the context's", i)
+			return errors.Wrapf(ErrBadManifest, "block %d does not belong to the context", i)
 		}
 	}
 	return m.checkBlocks()
 }
 
-// checkBlocks refuses blocks whose content could not be checked when it is read.
+// checkBlocks refuses blocks whose content cannot be verified on reading.
 func (m Manifest) checkBlocks() error {
 	for i, b := range m.Blocks {
 		if b.Length <= 0 || b.Digest == "" {
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// Scope returns what the context belongs to.
+// Scope returns the scope of the context.
 func (m Manifest) Scope() block.Scope {
 	return block.Scope{Org: m.Org, Model: m.Model, Version: m.Version}
 }
@@ -128,7 +129,7 @@
 	return names
 }
 
-// Bytes returns the length of all blocks.
+// Bytes returns the total length of all blocks.
 func (m Manifest) Bytes() int64 {
 	var n int64
 	for _, b := range m.Blocks {
@@ -137,53 +138,53 @@
 	return n
 }
 
-// envelope is the stored form: the manifest with a digest of its own, so that a check
-// does not rest on what the store VM says about it.
+// envelope is the stored form of a manifest. It holds a digest of its own, so that the
+// check on reading does not depend on the digest that the store VM reports.
 type envelope struct {
 	Manifest json.RawMessage `json:"manifest"`
 	Digest   string          `json:"digest"`
 }
 
-// PutManifest commits an export. The caller has seen every block's write succeed.
+// PutManifest commits an export. Every block must have been written successfully before.
 func (c *Client) PutManifest(ctx context.Context, m Manifest) error {
 	if len(m.Blocks) == 0 {
-		return errors.Wrap(ErrBadManifest, "no blocks")
+		return errors.Wrap(ErrBadManifest, "manifest has no blocks")
 	}
 	if err := m.checkBlocks(); err != nil {
 		return err
 	}
 	inner, err := json.Marshal(m)
 	if err != nil {
-		return errors.Wrap(err, "store: manifest")
+		return errors.Wrap(err, "store: encode manifest")
 	}
 	content, err := json.Marshal(envelope{Manifest: inner, Digest: digestOf(inner)})
 	if err != nil {
-		return errors.Wrap(err, "store: manifest")
+		return errors.Wrap(err, "store: encode manifest")
 	}
 	return c.put(ctx, m.Name(), content)
 }
 
-// GetManifest reads the manifest of an export. One that is absent, freed, torn, or of
-// another scope, generation or context is a *MissError.
+// GetManifest reads the manifest of an export. It returns a *MissError if the manifest is
+// absent, freed, corrupt, or belongs to another scope, generation or context.
 func (c *Client) GetManifest(ctx context.Context, scope block.Scope, generation Generation, tail block.Hash) (Manifest, error) {
 	name := ManifestName(scope, generation, tail)
 	content, _, err := c.get(ctx, name)
-	return openManifest(name, content, err)
+	return decodeManifest(name, content, err)
 }
 
-// PeekManifest is GetManifest without counting as a use of the export.
+// PeekManifest is like GetManifest, but does not count as a use of the export.
 func (c *Client) PeekManifest(ctx context.Context, scope block.Scope, generation Generation, tail block.Hash) (Manifest, error) {
 	name := ManifestName(scope, generation, tail)
-	a, err := c.do(ctx, call{method: http.MethodGet, path: objectPath(name) + "?peek=1", name: name})
-	return openManifest(name, a.content, err)
+	resp, err := c.do(ctx, apiCall{method: http.MethodGet, path: objectPath(name) + "?peek=1", name: name})
+	return decodeManifest(name, resp.content, err)
 }
 
-// openManifest checks what was read under a name.
-func openManifest(name string, content []byte, err error) (Manifest, error) {
+// decodeManifest decodes and checks the content that was read under a name.
+func decodeManifest(name string, content []byte, err error) (Manifest, error) {
 	if err != nil {
 		return Manifest{}, err
 	}
-	m, ok := openEnvelope(content)
+	m, ok := decodeEnvelope(content)
 	if !ok {
 		return Manifest{}, &MissError{Name: name, Reason: MissCorrupt}
 	}
@@ -193,7 +194,7 @@
 	return m, nil
 }
 
-func openEnvelope(content []byte) (Manifest, bool) {
+func decodeEnvelope(content []byte) (Manifest, bool) {
 	var e envelope
 	if json.Unmarshal(content, &e) != nil || digestOf(e.Manifest) != e.Digest {
 		return Manifest{}, false
@@ -202,8 +203,8 @@
 	return m, json.Unmarshal(e.Manifest, &m) == nil && m.checkBlocks() == nil
 }
 
-// nameOf returns a block's name, which carries the generation that wrote it.
-func (m Manifest) nameOf(b engineapi.ExportedBlock) string {
+// blockName returns a block's name, which contains the generation that wrote it.
+func (m Manifest) blockName(b engineapi.ExportedBlock) string {
 	for _, r := range m.Runs() {
 		if slices.Contains(r.Blocks, b) {
 			return BlockName(m.Scope(), r.Generation, b.Hash)
@@ -212,10 +213,10 @@
 	return BlockName(m.Scope(), m.Generation, b.Hash)
 }
 
-// GetBlock reads one block's content. One that is absent, freed, or does not have the
-// manifest's length and digest is a *MissError.
+// GetBlock reads one block's content. It returns a *MissError if the block is absent, freed,
+// or does not have the length and digest that the manifest lists.
 func (c *Client) GetBlock(ctx context.Context, m Manifest, b engineapi.ExportedBlock) ([]byte, error) {
-	name := m.nameOf(b)
+	name := m.blockName(b)
 	content, length, err := c.get(ctx, name)
 	if err != nil {
 		return nil, err
@@ -226,21 +227,20 @@
 	return content, nil
 }
 
-// UnreferencedBlocks returns the names of the blocks that none of kept lists.
+// UnreferencedBlocks returns the names of the blocks that no manifest in kept lists.
 func (m Manifest) UnreferencedBlocks(kept ...Manifest) []string {
-	stays := map[string]bool{}
-	for _, k := range kept {
-		for _, name := range k.BlockNames() {
-			stays[name] = true
+	referenced := map[string]bool{}
+	for _, other := range kept {
+		for _, name := range other.BlockNames() {
+			referenced[name] = true
 		}
 	}
-	return slices.DeleteFunc(m.BlockNames(), func(name string) bool { return stays[name] })
+	return slices.DeleteFunc(m.BlockNames(), func(name string) bool { return referenced[name] })
 }
 
-// DeleteExport frees an export: the manifest first, so that no new reader finds its
-// blocks, then the blocks that the manifests in kept do not list. What is gone already
-// is passed over; a pinned object stops it with ErrPinned, and a repeat goes on from
-// there.
+// DeleteExport frees an export: first the manifest, so that no new reader finds its blocks,
+// then the blocks that no manifest in kept lists. It skips objects that are already freed.
+// At a pinned object it stops with ErrPinned, and a repeated call continues from there.
 func (c *Client) DeleteExport(ctx context.Context, m Manifest, kept ...Manifest) error {
 	for _, name := range append([]string{m.Name()}, m.UnreferencedBlocks(kept...)...) {
 		if err := c.Delete(ctx, name); err != nil && !errors.Is(err, ErrMiss) {
--- a/internal/store/manifest_test.go
+++ b/internal/store/manifest_test.go
@@ -30,19 +30,20 @@
 	return m.Extend(generation, exported(hashes))
 }
 
-// A context is freed and exported again while a caller still holds the old manifest.
-// With names made of the content's hash alone, its names lead to content of the new
-// export that is half written, and the caller reads it as its own. Ours carry the
-// generation: the old names read as a miss, and the store VM refuses them for ever.
-func TestFreedBlockUnderAManifest(t *testing.T) {
+// Guards against a caller that reads partially written content. A context is freed and
+// exported again while the caller still holds the old manifest. If names consisted of the
+// content's hash alone, the old names would refer to content of the new, incomplete
+// export. Since names contain the generation, the old names are misses, and the store VM
+// refuses them permanently.
+func TestFreedBlockOfHeldManifestIsAMiss(t *testing.T) {
 	naive := map[string]string{}
 	hash := chain(conche, 1)[0]
-	held := hash.String() // a reader took this name from the manifest
+	held := hash.String() // a reader has this name from the manifest
 	naive[held] = "old"
 	delete(naive, held)
 	naive[hash.String()] = "half of new"
 	if naive[held] != "half of new" {
-		t.Fatal("the naive names were expected to give the reader another export's content")
+		t.Fatal("the naive names were expected to return another export's content")
 	}
 
 	ctx := testContext(t)
@@ -69,7 +70,7 @@
 	}
 }
 
-func TestManifestIsOfOneContext(t *testing.T) {
+func TestManifestBelongsToOneContext(t *testing.T) {
 	hashes := chain(conche, 6)
 	first := manifestOf("g1", hashes[:4])
 	second := first.Extend("g2", exported(hashes[4:]))
@@ -103,6 +104,6 @@
 	}
 	_, client := start(t, standin.Options{MemoryBytes: 1 << 20}, 0)
 	if err := client.PutManifest(testContext(t), noDigest); !errors.Is(err, store.ErrBadManifest) {
-		t.Fatalf("committed blocks that no reader can check: %v", err)
+		t.Fatalf("committed blocks that no reader can verify: %v", err)
 	}
 }
--- a/internal/store/name.go
+++ b/internal/store/name.go
@@ -7,13 +7,14 @@
 	"github.com/bluebellscale/bluebellscale/internal/block"
 )
 
-// Generation tells apart two writes of the same context. A writer takes a new one for
-// each export and never uses it again, so that a name always stands for one content.
+// Generation distinguishes two writes of the same context. A writer uses a new generation
+// for each export and never reuses it, so that a name always refers to one content.
 type Generation string
 
-// Prefix returns the start of all names of one export: organisation, model, weight
-// version and generation. Engines add the block's hash to it. Each part is escaped
-// and has a tag, so that no two scopes share a prefix and no part is empty or a dot.
+// Prefix returns the common prefix of the names of one export, which consists of
+// organisation, model, weight version and generation. Engines append the block's hash.
+// Each component is escaped and tagged, so that no two scopes share a prefix and no
+// component is empty or a dot.
 func Prefix(scope block.Scope, generation Generation) string {
 	var b strings.Builder
 	for _, part := range []struct{ tag, value string }{
@@ -29,10 +30,10 @@
 	return b.String()
 }
 
-// ManifestMark is what names of manifests contain and names of blocks do not.
+// ManifestMark is a text that the names of manifests contain and those of blocks do not.
 const ManifestMark = "/manifest-"
 
-// GenerationsPrefix returns the start of the names of all exports whose generation
+// GenerationsPrefix returns the common prefix of the names of all exports whose generation
 // begins with start.
 func GenerationsPrefix(scope block.Scope, start string) string {
 	return strings.TrimSuffix(Prefix(scope, Generation(start)), "/")
@@ -43,8 +44,8 @@
 	return Prefix(scope, generation) + h.String()
 }
 
-// ManifestName returns the name of an export's manifest. Tail is the hash of the last
-// block, which covers the whole context.
+// ManifestName returns the name of an export's manifest. The tail is the hash of the last
+// block, which covers the complete context.
 func ManifestName(scope block.Scope, generation Generation, tail block.Hash) string {
 	return Prefix(scope, generation) + "manifest-" + tail.String()
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -48,7 +48,7 @@
 	return o.Switches, client
 }
 
-// exportContext has an engine compute and export a context of some blocks.
+// exportContext makes an engine compute and export a context of the given number of blocks.
 func exportContext(t *testing.T, client *store.Client, blocks int, generation store.Generation) store.Manifest {
 	t.Helper()
 	ctx := testContext(t)
@@ -99,9 +99,9 @@
 	}
 }
 
-// A returning caller gets an answer from somebody's garbage: a block or a manifest is
-// read while half of it is there, or after it was freed and its room used again.
-func TestTornAndFreedContentIsAMiss(t *testing.T) {
+// Guards against a caller whose answer is computed from corrupt content: a block or a
+// manifest is read while it is incomplete, or after it was freed and its space reused.
+func TestCorruptAndFreedContentIsAMiss(t *testing.T) {
 	ctx := testContext(t)
 	switches, client := start(t, standin.Options{MemoryBytes: 1 << 20, DiskBytes: 1 << 20}, 0)
 	m := exportContext(t, client, 4, "g1")
@@ -154,35 +154,35 @@
 	}
 }
 
-// A store VM fills up for good although little of it is in use. An export that meets
-// no more room half way leaves blocks behind that its answer does not list, so that
-// nobody ever frees them.
+// Guards against a store VM that fills up permanently although little of it is in use. An
+// export that runs out of space midway must not leave blocks that its response does not
+// list, since no daemon would ever free them.
 func TestFullStoreRefusesAndLeaksNothing(t *testing.T) {
 	ctx := testContext(t)
-	room := standin.Options{MemoryBytes: 3 * block.TokensPerBlock}
-	_, client := start(t, room, 0)
+	options := standin.Options{MemoryBytes: 3 * block.TokensPerBlock}
+	_, client := start(t, options, 0)
 	partial := exportContext(t, client, 6, "g1")
 	status, err := client.Status(ctx)
 	if err != nil || len(partial.Blocks) > 3 || status.MemoryUsed != partial.Bytes() {
 		t.Fatalf("listed %d blocks, status %+v: %v", len(partial.Blocks), status, err)
 	}
 
-	_, client = start(t, room, 0)
-	whole := exportContext(t, client, 3, "g1")
-	if len(whole.Blocks) != 3 {
-		t.Fatalf("exported %d blocks into room for 3", len(whole.Blocks))
+	_, client = start(t, options, 0)
+	complete := exportContext(t, client, 3, "g1")
+	if len(complete.Blocks) != 3 {
+		t.Fatalf("exported %d blocks into space for 3", len(complete.Blocks))
 	}
-	if err := client.PutManifest(ctx, whole); !errors.Is(err, store.ErrFull) {
+	if err := client.PutManifest(ctx, complete); !errors.Is(err, store.ErrFull) {
 		t.Fatalf("manifest into a full store: %v", err)
 	}
-	if err := client.Tier(ctx, whole.BlockNames(), storeapi.TierDisk); !errors.Is(err, store.ErrFull) {
+	if err := client.Tier(ctx, complete.BlockNames(), storeapi.TierDisk); !errors.Is(err, store.ErrFull) {
 		t.Fatalf("demotion without a disk: %v", err)
 	}
 }
 
-// Contexts stop coming back from a healthy store VM. Its pooled connections went
-// silent, and each call gets one of them and runs out of time.
-func TestSilentConnectionsAreDropped(t *testing.T) {
+// Guards against a healthy store VM whose contexts cannot be read: its pooled connections
+// no longer deliver data, and each call that gets one of them times out.
+func TestStalledConnectionsAreReplaced(t *testing.T) {
 	ctx := testContext(t)
 	switches, client := start(t, standin.Options{MemoryBytes: 1}, 500*time.Millisecond)
 	if _, err := client.Status(ctx); err != nil {
@@ -203,8 +203,8 @@
 	}
 }
 
-// Two scopes or generations never share a name, whatever their parts hold.
-func TestNamesAreApart(t *testing.T) {
+// Two scopes or generations never share a name, whatever characters they contain.
+func TestNamesAreDistinct(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := rapid.StringOfN(rapid.RuneFrom([]rune("a/.=%-")), 0, 4, -1)
 		draw := func(name string) (block.Scope, store.Generation) {
--- a/internal/storeapi/storeapi.go
+++ b/internal/storeapi/storeapi.go
@@ -1,16 +1,16 @@
-// Package storeapi holds the messages of a store VM's HTTP interface. A store VM
-// keeps named immutable objects in memory or on disk behind a limited link.
+// Package storeapi defines the messages of a store VM's HTTP interface. A store VM holds
+// named immutable objects in memory or on disk, behind a link of limited bandwidth.
 //
 //	PUT    /v1/objects/{name}   body; header X-Digest; X-Simulated-Length paces the link
 //	GET    /v1/objects/{name}   body with X-Digest; ?peek=1 does not count as a use
 //	DELETE /v1/objects/{name}   409 while pinned
 //	POST   /v1/tier             TierRequest
 //	POST   /v1/pin              PinRequest
-//	GET    /v1/list?prefix=P&contains=S&limit=N   ListResponse, the longest unused first
+//	GET    /v1/list?prefix=P&contains=S&limit=N   ListResponse, least recently used first
 //	GET    /v1/status           Status
 //
-// A name, once deleted, is refused for ever (410 Gone), so that no reader can meet
-// other content under a name it knows.
+// After an object is deleted, its name is refused permanently (410 Gone), so that a reader
+// never gets other content under a name that it holds.
 package storeapi
 
 // Paths of the interface.
@@ -26,11 +26,11 @@
 const (
 	// HeaderDigest carries the SHA-256 of the content in hexadecimal.
 	HeaderDigest = "X-Digest"
-	// HeaderLength carries the length in bytes that the link is charged for.
+	// HeaderLength carries the length in bytes that counts against the link's bandwidth.
 	HeaderLength = "X-Simulated-Length"
 )
 
-// Tier is where an object lies in a store VM.
+// Tier is the medium that holds an object in a store VM.
 type Tier string
 
 const (
@@ -46,25 +46,25 @@
 	Tier  Tier     `json:"tier"`
 }
 
-// PinRequest keeps objects from being freed for a while.
+// PinRequest protects objects from being freed for the given time.
 type PinRequest struct {
 	Names     []string `json:"names"`
 	TTLMillis int64    `json:"ttl_ms"`
 }
 
-// ListResponse lists objects, the longest unused first.
+// ListResponse lists objects, the least recently used first.
 type ListResponse struct {
 	Objects []ObjectInfo `json:"objects"`
 }
 
-// ObjectInfo is one object of a list.
+// ObjectInfo describes one object of a list.
 type ObjectInfo struct {
 	Name       string `json:"name"`
 	Tier       Tier   `json:"tier"`
 	IdleMillis int64  `json:"idle_ms"` // since the last read or write
 }
 
-// Status reports room and link use.
+// Status reports capacity and link use.
 type Status struct {
 	MemoryUsed      int64 `json:"memory_used"` // bytes
 	MemoryTotal     int64 `json:"memory_total"`
