--- a/internal/planner/free.go
+++ b/internal/planner/free.go
@@ -35,7 +35,7 @@
 // are no longer listed and would fill the store VM, so their deletion is retried until the
 // pins are released.
 func (p *Planner) deleteExport(ctx context.Context, client *store.Client, m store.Manifest, retained ...store.Manifest) error {
-	if len(m.Garbage(retained...)) > 0 {
+	if len(m.UnreferencedBlocks(retained...)) > 0 {
 		others, err := p.exportsSharingBlocks(ctx, client, m)
 		if err != nil {
 			return err
@@ -52,7 +52,7 @@
 // exportsSharingBlocks returns the other exports that list some of the blocks of m.
 func (p *Planner) exportsSharingBlocks(ctx context.Context, client *store.Client, m store.Manifest) ([]store.Manifest, error) {
 	head, _, _ := strings.Cut(string(m.Generation), ".")
-	listed, err := client.List(ctx, store.PrefixOfGenerations(m.Scope(), head+"."), store.ManifestMark, maxListed)
+	listed, err := client.List(ctx, store.GenerationsPrefix(m.Scope(), head+"."), store.ManifestMark, maxListed)
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 		if l.Name == m.Name() {
 			continue
 		}
-		if other, ok := p.readManifest(ctx, client, l.Name); ok && len(m.Garbage(other)) < len(m.Blocks) {
+		if other, ok := p.readManifest(ctx, client, l.Name); ok && len(m.UnreferencedBlocks(other)) < len(m.Blocks) {
 			out = append(out, other)
 		}
 	}
--- a/internal/planner/recover.go
+++ b/internal/planner/recover.go
@@ -99,7 +99,7 @@
 	ctx context.Context, s *table.Store, c gateway.Context, mark string, positions map[block.Hash]int,
 ) (best foundExport, complete bool, err error) {
 	client := p.stores.client(s.ID, s.Address)
-	prefix := store.PrefixOfGenerations(c.Scope, generationPrefix(c.Chain))
+	prefix := store.GenerationsPrefix(c.Scope, generationPrefix(c.Chain))
 	listed, err := client.List(ctx, prefix, mark, maxListed)
 	if err != nil {
 		return foundExport{}, false, err
@@ -116,7 +116,7 @@
 	return best, len(listed) < maxListed, nil
 }
 
-func (p *Planner) newFoundExport(id request.StoreID, model request.Model, l storeapi.Listed, blocks int) foundExport {
+func (p *Planner) newFoundExport(id request.StoreID, model request.Model, l storeapi.ObjectInfo, blocks int) foundExport {
 	return foundExport{
 		copy: contextdir.Copy{
 			Manifest: l.Name,
--- a/internal/planner/recover_test.go
+++ b/internal/planner/recover_test.go
@@ -33,7 +33,7 @@
 			env.commitManifest(previous, contextOf("temper", wanted+text("answer", 3)))
 			c := contextOf(testOrg, wanted+text("answer", 3)+text("question", 2))
 
-			truncated, err := env.client.List(env.ctx, store.PrefixOfGenerations(c.Scope, generationPrefix(c.Chain)), store.ManifestMark, maxListed)
+			truncated, err := env.client.List(env.ctx, store.GenerationsPrefix(c.Scope, generationPrefix(c.Chain)), store.ManifestMark, maxListed)
 			env.check(err)
 			for _, l := range truncated {
 				if l.Name == later.Name() || l.Name == earlier.Name() {
