--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -173,8 +173,8 @@
 		Self:       request.DaemonID(c.Daemon.ID),
 		Address:    d.PeerAddress(),
 		Partitions: c.Journal.Partitions,
-		Standby:    journal.Standby{On: d.onStandby, Likely: d.likelyHolder},
-		Keep:       c.Journal.Keep,
+		Standby:    journal.Standby{Active: d.onStandby, LikelyHolder: d.likelyHolder},
+		Retention:  c.Journal.Keep,
 		Logger:     d.log,
 		Metrics:    d.metrics,
 	})
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -130,7 +130,7 @@
 func (m fakeMembers) Place(string) *peer.Member                       { return m.home }
 func (m fakeMembers) Rank(string, int) []*peer.Member                 { return []*peer.Member{m.self} }
 func (w *world) Partition(request.OrgID, string) int                  { return 0 }
-func (w *world) Misplaced(int)                                        {}
+func (w *world) ReportNotHolder(int)                                  {}
 func (w *world) Done(request.OrgID, int64)                            { w.give("slice") }
 func (w *world) Release(Grant, Release)                               { w.give("grant") }
 func (w *world) End(request.ID)                                       { w.give("flight") }
@@ -188,8 +188,8 @@
 func (w *world) Finish(context.Context, *journal.Ticket, journal.Result) error {
 	return w.end("finish")
 }
-func (w *world) Abort(context.Context, *journal.Ticket) error { return w.end("abort") }
-func (w *world) Doubt(context.Context, *journal.Ticket) error { return w.end("doubt") }
+func (w *world) Abort(context.Context, *journal.Ticket) error       { return w.end("abort") }
+func (w *world) MarkInDoubt(context.Context, *journal.Ticket) error { return w.end("doubt") }
 
 func (w *world) Gate(context.Context, quarantine.Fingerprint) quarantine.Decision {
 	w.step("gate", "")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -59,12 +59,12 @@
 type Journal interface {
 	Partition(org request.OrgID, key string) int
 	Holder(ctx context.Context, partition int) (journal.Holder, error)
-	// Misplaced is told that the daemon that Holder named refused a call.
-	Misplaced(partition int)
+	// ReportNotHolder reports that the daemon that Holder returned refused a call as not the holder.
+	ReportNotHolder(partition int)
 	Begin(ctx context.Context, call journal.Call) (*journal.Ticket, *journal.Result, error)
 	Finish(ctx context.Context, t *journal.Ticket, r journal.Result) error
 	Abort(ctx context.Context, t *journal.Ticket) error
-	Doubt(ctx context.Context, t *journal.Ticket) error
+	MarkInDoubt(ctx context.Context, t *journal.Ticket) error
 }
 
 // Choice is one target that a request may go to, best first.
--- a/internal/gateway/hop.go
+++ b/internal/gateway/hop.go
@@ -273,7 +273,7 @@
 		return
 	}
 	if refusedAs(request.CodeNotHolder, answer.StatusCode, body) {
-		g.opts.Journal.Misplaced(j.partition)
+		g.opts.Journal.ReportNotHolder(j.partition)
 	}
 	for _, name := range []string{"Content-Type", "Retry-After", headerReplayed} {
 		if v := answer.Header.Get(name); v != "" {
--- a/internal/gateway/settle.go
+++ b/internal/gateway/settle.go
@@ -32,7 +32,7 @@
 // way may have run: freeing its key would let the next try run it twice.
 func (g *Gateway) leftOver(j *Job) func(context.Context, *journal.Ticket) error {
 	if j.sent {
-		return g.opts.Journal.Doubt
+		return g.opts.Journal.MarkInDoubt
 	}
 	return g.opts.Journal.Abort
 }
--- a/internal/journal/call.go
+++ b/internal/journal/call.go
@@ -27,7 +27,7 @@
 	Body        []byte // kept up to MaxBody bytes
 }
 
-// Ticket allows one dispatch of one call. Exactly one of Finish, Abort and Doubt
+// Ticket allows one dispatch of one call. Exactly one of Finish, Abort and MarkInDoubt
 // must follow.
 type Ticket struct {
 	worker  *worker
@@ -35,8 +35,8 @@
 	attempt attempt
 }
 
-// Pending is a Begin that waits for its intent to be written.
-type Pending struct {
+// PendingTicket is a Begin that waits for its intent to be written.
+type PendingTicket struct {
 	worker *worker
 	waiter waiter
 	id     keyID
@@ -48,7 +48,7 @@
 // dispatched by this try. On ErrNotHolder ask Holder and send the call there, once.
 // Ask Begin first: a daemon that lost its lease in an outage still answers results.
 func (j *Journal) Begin(ctx context.Context, c Call) (*Ticket, *Result, error) {
-	p, result, err := j.Start(c)
+	p, result, err := j.StartBegin(c)
 	if err != nil || result != nil {
 		return nil, result, err
 	}
@@ -62,13 +62,13 @@
 	}
 }
 
-// Start is Begin without the wait. It serves drivers that step the journal themselves.
-func (j *Journal) Start(c Call) (*Pending, *Result, error) {
+// StartBegin is Begin without the wait. It serves drivers that step the journal themselves.
+func (j *Journal) StartBegin(c Call) (*PendingTicket, *Result, error) {
 	if j.isStopping() {
 		return nil, nil, ErrNotHolder
 	}
 	now := j.opts.Now()
-	if !c.FirstSent.IsZero() && now.Sub(c.FirstSent) > j.opts.Keep {
+	if !c.FirstSent.IsZero() && now.Sub(c.FirstSent) > j.opts.Retention {
 		return nil, nil, ErrKeyTooOld
 	}
 	w := j.workers[j.Partition(c.Org, c.Key)]
@@ -102,15 +102,15 @@
 
 func (w *worker) validLocked() bool { return w.lease != nil && w.lease.Valid() }
 
-func (w *worker) expectLocked(id keyID) *Pending {
+func (w *worker) expectLocked(id keyID) *PendingTicket {
 	w.nextWaiter++
-	p := &Pending{worker: w, waiter: w.nextWaiter, id: id, done: make(chan reply, 1)}
+	p := &PendingTicket{worker: w, waiter: w.nextWaiter, id: id, done: make(chan reply, 1)}
 	w.waiting[p.waiter] = p.done
 	return p
 }
 
 // Poll returns the ticket or the error once the wait is over; ok is false before.
-func (p *Pending) Poll() (t *Ticket, ok bool, err error) {
+func (p *PendingTicket) Poll() (t *Ticket, ok bool, err error) {
 	select {
 	case r := <-p.done:
 		t, err = p.ticket(r)
@@ -120,7 +120,7 @@
 	}
 }
 
-func (p *Pending) ticket(r reply) (*Ticket, error) {
+func (p *PendingTicket) ticket(r reply) (*Ticket, error) {
 	if r.err != nil {
 		return nil, r.err
 	}
@@ -128,7 +128,7 @@
 }
 
 // Cancel gives the wait up. No ticket was handed out, so the key is freed.
-func (p *Pending) Cancel() {
+func (p *PendingTicket) Cancel() {
 	w := p.worker
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -152,7 +152,7 @@
 }
 
 // StartFinish is Finish without the wait.
-func (j *Journal) StartFinish(t *Ticket, r Result) (*Saving, error) {
+func (j *Journal) StartFinish(t *Ticket, r Result) (*PendingOutcome, error) {
 	return t.worker.conclude(func(w waiter) (bool, error) { return t.worker.core.finish(j.opts.Now(), w, t, r) })
 }
 
@@ -162,24 +162,24 @@
 	return s.wait(ctx, err)
 }
 
-// Doubt gives up a ticket whose outcome is unknown: its key stays in doubt. Nothing
+// MarkInDoubt gives up a ticket whose outcome is unknown: its key stays in doubt. Nothing
 // needs to be written, since the intent already is.
-func (j *Journal) Doubt(_ context.Context, t *Ticket) error {
+func (j *Journal) MarkInDoubt(_ context.Context, t *Ticket) error {
 	t.worker.mu.Lock()
 	defer t.worker.mu.Unlock()
 	t.worker.core.doubt(t)
 	return nil
 }
 
-// Saving is an outcome that waits to be written.
-type Saving struct {
+// PendingOutcome is an outcome that waits to be written.
+type PendingOutcome struct {
 	worker *worker
 	waiter waiter
 	done   chan reply
 }
 
 // conclude enters the outcome of a ticket.
-func (w *worker) conclude(enter func(waiter) (waiting bool, err error)) (*Saving, error) {
+func (w *worker) conclude(enter func(waiter) (waiting bool, err error)) (*PendingOutcome, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p := w.expectLocked("")
@@ -189,11 +189,11 @@
 		return nil, err
 	}
 	w.signal()
-	return &Saving{worker: w, waiter: p.waiter, done: p.done}, nil
+	return &PendingOutcome{worker: w, waiter: p.waiter, done: p.done}, nil
 }
 
 // Poll reports whether the wait is over, and with which error.
-func (s *Saving) Poll() (ok bool, err error) {
+func (s *PendingOutcome) Poll() (ok bool, err error) {
 	select {
 	case r := <-s.done:
 		return true, r.err
@@ -202,7 +202,7 @@
 	}
 }
 
-func (s *Saving) wait(ctx context.Context, err error) error {
+func (s *PendingOutcome) wait(ctx context.Context, err error) error {
 	if s == nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 	}
 }
 
-func (s *Saving) cancel() {
+func (s *PendingOutcome) cancel() {
 	s.worker.mu.Lock()
 	defer s.worker.mu.Unlock()
 	delete(s.worker.waiting, s.waiter)
--- a/internal/journal/doc.go
+++ b/internal/journal/doc.go
@@ -26,10 +26,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of Begin, Finish, Abort, Doubt and Holder. Each tells whether the call ran.
+// Errors of Begin, Finish, Abort, MarkInDoubt and Holder. Each tells whether the call ran.
 var (
 	// ErrNotHolder reports that another daemon holds the key's partition, or none
-	// does. From Begin: did not run. From Finish, Abort and Doubt: the outcome could
+	// does. From Begin: did not run. From Finish, Abort and MarkInDoubt: the outcome could
 	// not be written, and others see the key as in doubt.
 	ErrNotHolder = errors.New("journal: partition not held here")
 	// ErrInProgress reports that the key runs now: in doubt until it ends. This try
@@ -42,17 +42,17 @@
 	// ErrResultNotKept reports that the key ran and its result is no longer kept.
 	ErrResultNotKept = errors.New("journal: ran, result not kept")
 	// ErrUnavailable reports that the intent or the outcome could not be written in
-	// time. From Begin: did not run. From Finish, Abort and Doubt: it is written later
+	// time. From Begin: did not run. From Finish, Abort and MarkInDoubt: it is written later
 	// if this process lives; else the key is in doubt.
 	ErrUnavailable = errors.New("journal: unavailable")
 	// ErrKeyTooOld reports a key first sent longer ago than keys are kept: in doubt.
 	ErrKeyTooOld = errors.New("journal: key older than keys are kept")
 	// ErrNoHolder reports a partition that nobody holds at the moment: did not run.
 	ErrNoHolder = errors.New("journal: partition has no holder")
-	// ErrPartitions reports that the service's journal has another number of
+	// ErrPartitionCount reports that the service's journal has another number of
 	// partitions than the settings. Keys would be looked for in the wrong place, and
 	// could run twice.
-	ErrPartitions = errors.New("journal: number of partitions differs from the settings")
+	ErrPartitionCount = errors.New("journal: number of partitions differs from the settings")
 )
 
 // FullError reports a partition without room for new keys: did not run. It matches
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -57,7 +57,7 @@
 	Self       request.DaemonID
 	Address    string        // peer address of this daemon
 	Partitions int           // the same for all daemons, for good; zero: 16
-	Keep       time.Duration // for which a key is known after its result, or its try if in doubt; zero: 24 h
+	Retention  time.Duration // for which a key is known after its result, or its try if in doubt; zero: 24 h
 	Standby    Standby       // zero: this daemon always takes part
 	Logger     hclog.Logger
 	Metrics    tally.Scope
@@ -95,8 +95,8 @@
 	if opts.Partitions <= 0 {
 		opts.Partitions = defaultPartitions
 	}
-	if opts.Keep <= 0 {
-		opts.Keep = defaultKeep
+	if opts.Retention <= 0 {
+		opts.Retention = defaultKeep
 	}
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -109,7 +109,7 @@
 	}
 	j := &Journal{
 		opts:      opts,
-		limits:    defaultLimits(opts.Keep),
+		limits:    defaultLimits(opts.Retention),
 		logger:    opts.Logger.Named("journal"),
 		metrics:   opts.Metrics.SubScope("journal"),
 		preferred: func(int) bool { return true },
@@ -157,7 +157,7 @@
 	defer wg.Wait()
 	for {
 		err := j.timedScan(ctx)
-		if errors.Is(err, ErrPartitions) {
+		if errors.Is(err, ErrPartitionCount) {
 			j.logger.Error("Journal not run", "error", err)
 			<-ctx.Done()
 			return err
@@ -243,7 +243,7 @@
 	case err != nil:
 		return err
 	case string(e.Value) != want:
-		return errors.Wrapf(ErrPartitions, "the service has %s, the settings %s", e.Value, want)
+		return errors.Wrapf(ErrPartitionCount, "the service has %s, the settings %s", e.Value, want)
 	}
 	return nil
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Doubt(ctx, doubted); err != nil {
+	if err := a.MarkInDoubt(ctx, doubted); err != nil {
 		t.Error(err)
 	}
 	aborted, _, err := a.begin(ctx, call("aborted"))
@@ -151,8 +151,8 @@
 	}
 	leases := lease.NewManager(lease.Options{KV: fake.Client("b"), Self: "b"})
 	b := journal.New(journal.Options{KV: fake.Client("b"), Leases: leases, Self: "b", Partitions: 3})
-	if err := b.Scan(ctx); !errors.Is(err, journal.ErrPartitions) {
-		t.Errorf("got %v, want ErrPartitions", err)
+	if err := b.Scan(ctx); !errors.Is(err, journal.ErrPartitionCount) {
+		t.Errorf("got %v, want ErrPartitionCount", err)
 	}
 }
 
@@ -243,9 +243,9 @@
 	j.Step(ctx) // load
 	j.Step(ctx) // claim
 	before := fake.Counts().Writes
-	var pending []*journal.Pending
+	var pending []*journal.PendingTicket
 	for i := range 200 {
-		p, _, err := j.Start(call(fmt.Sprint(i)))
+		p, _, err := j.StartBegin(call(fmt.Sprint(i)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/journal/standby.go
+++ b/internal/journal/standby.go
@@ -20,15 +20,15 @@
 // fleet. A daemon on standby asks the service nothing and sends a key's call to the
 // daemon that should hold its partition.
 type Standby struct {
-	// On tells whether this daemon is on standby now.
-	On func() bool
-	// Likely returns the daemon that should hold a partition. A wrong one refuses the
+	// Active tells whether this daemon is on standby now.
+	Active func() bool
+	// LikelyHolder returns the daemon that should hold a partition. A wrong one refuses the
 	// call, and the service is asked from then on.
-	Likely func(partition int) (Holder, bool)
+	LikelyHolder func(partition int) (Holder, bool)
 }
 
 // onStandby tells whether this daemon may leave the service alone.
-func (j *Journal) onStandby() bool { return j.opts.Standby.On != nil && j.opts.Standby.On() }
+func (j *Journal) onStandby() bool { return j.opts.Standby.Active != nil && j.opts.Standby.Active() }
 
 func (j *Journal) holdsAny() bool {
 	for _, w := range j.workers {
@@ -44,13 +44,13 @@
 	if !j.onStandby() || j.opts.Now().Before(w.askedUntil()) {
 		return Holder{}, false
 	}
-	return j.opts.Standby.Likely(w.index)
+	return j.opts.Standby.LikelyHolder(w.index)
 }
 
-// Misplaced is told that the daemon named by Holder does not hold the partition. A
+// ReportNotHolder is told that the daemon named by Holder does not hold the partition. A
 // daemon that should hold it but does not reach the service stays the likely one, while
 // another has taken its place.
-func (j *Journal) Misplaced(partition int) {
+func (j *Journal) ReportNotHolder(partition int) {
 	w := j.workers[partition]
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/journal/standby_test.go
+++ b/internal/journal/standby_test.go
@@ -29,8 +29,8 @@
 		Partitions: 4,
 		Now:        clock,
 		Standby: journal.Standby{
-			On:     func() bool { return true },
-			Likely: func(int) (journal.Holder, bool) { return journal.Holder{ID: "cut-off"}, true },
+			Active:       func() bool { return true },
+			LikelyHolder: func(int) (journal.Holder, bool) { return journal.Holder{ID: "cut-off"}, true },
 		},
 	})
 	naive := newStepped(fake, clock, "naive")
@@ -49,7 +49,7 @@
 	if h, err := standby.Holder(ctx, 1); err != nil || h.ID != "cut-off" {
 		t.Fatalf("likely holder: %+v, %v", h, err)
 	}
-	standby.Misplaced(1)
+	standby.ReportNotHolder(1)
 	if h, err := standby.Holder(ctx, 1); err != nil || h.ID != "holder" {
 		t.Fatalf("after a refused call: %+v, %v", h, err)
 	}
--- a/internal/schedules/daemon.go
+++ b/internal/schedules/daemon.go
@@ -55,7 +55,7 @@
 func (r *realOnce) Step(ctx context.Context) { r.journal.Step(ctx) }
 
 func (r *realOnce) Start(key string) (starting, *journal.Result, error) {
-	p, result, err := r.journal.Start(journal.Call{Org: organisation, Service: "cards", Key: key})
+	p, result, err := r.journal.StartBegin(journal.Call{Org: organisation, Service: "cards", Key: key})
 	if p == nil {
 		return nil, result, err
 	}
@@ -75,7 +75,7 @@
 }
 
 func (r *realOnce) Doubt(ctx context.Context, ticket any) {
-	_ = r.journal.Doubt(ctx, ticket.(*journal.Ticket))
+	_ = r.journal.MarkInDoubt(ctx, ticket.(*journal.Ticket))
 }
 
 func (r *realOnce) Shutdown(ctx context.Context) {
@@ -83,10 +83,10 @@
 	_ = r.leases.Close(ctx)
 }
 
-type realStarting struct{ *journal.Pending }
+type realStarting struct{ *journal.PendingTicket }
 
 func (s realStarting) Poll() (any, bool, error) {
-	t, ok, err := s.Pending.Poll()
+	t, ok, err := s.PendingTicket.Poll()
 	if t == nil {
 		return nil, ok, err
 	}
