--- a/internal/journal/call.go
+++ b/internal/journal/call.go
@@ -13,40 +13,42 @@
 type Call struct {
 	Org     request.OrgID
 	Service string
-	Key     string   // chosen by the caller, the same for each try
-	Digest  [32]byte // of the body: the same key must stand for the same call
-	// FirstSent is when the caller first sent the key, if it tells. It lets a key be
-	// refused that is too old to be known; without it such a key would look new.
+	Key     string   // chosen by the caller, the same for each attempt
+	Digest  [32]byte // of the body; a key must always identify the same call
+	// FirstSent is the time at which the caller first sent the key, if the caller states
+	// it. With it the journal refuses a key that is older than the retention period;
+	// without it such a key looks new.
 	FirstSent time.Time
 }
 
-// Result is the answer of a call that ran.
+// Result is the response of a call that ran.
 type Result struct {
 	Status      int
 	ContentType string
 	Body        []byte // kept up to MaxBody bytes
 }
 
-// Ticket allows one dispatch of one call. Exactly one of Finish, Abort and MarkInDoubt
-// must follow.
+// Ticket permits one dispatch of one call. The owner must conclude it with exactly one of
+// Finish, Abort and MarkInDoubt.
 type Ticket struct {
 	worker  *worker
 	id      keyID
 	attempt attempt
 }
 
-// PendingTicket is a Begin that waits for its intent to be written.
+// PendingTicket is a Begin whose intent is not yet written.
 type PendingTicket struct {
 	worker *worker
-	waiter waiter
+	waiter waiterID
 	id     keyID
 	done   chan reply
 }
 
-// Begin asks for leave to run a call. It returns a ticket once the intent is durable,
-// or the stored result of an earlier try, or an error; with an error the call was not
-// dispatched by this try. On ErrNotHolder ask Holder and send the call there, once.
-// Ask Begin first: a daemon that lost its lease in an outage still answers results.
+// Begin requests a ticket to run a call. It returns a ticket once the intent is durable,
+// or the stored result of an earlier attempt, or an error. An error means that this
+// attempt did not dispatch the call. On ErrNotHolder, call Holder and forward the call
+// there once. Call Begin before Holder, because a daemon that lost its lease in an outage
+// still answers results.
 func (j *Journal) Begin(ctx context.Context, c Call) (*Ticket, *Result, error) {
 	p, result, err := j.StartBegin(c)
 	if err != nil || result != nil {
@@ -62,7 +64,7 @@
 	}
 }
 
-// StartBegin is Begin without the wait. It serves drivers that step the journal themselves.
+// StartBegin is Begin without the wait, for drivers that call Step.
 func (j *Journal) StartBegin(c Call) (*PendingTicket, *Result, error) {
 	if j.isStopping() {
 		return nil, nil, ErrNotHolder
@@ -75,12 +77,12 @@
 	id := newKeyID(c.Org, c.Key)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.expectLocked(id)
-	result, waiting, err := w.core.begin(now, w.validLocked(), p.waiter, ask{org: newOrgID(c.Org), id: id, digest: newDigest(c)})
+	p := w.addWaiterLocked(id)
+	result, waiting, err := w.core.begin(now, w.leaseValidLocked(), p.waiter, beginRequest{org: newOrgID(c.Org), id: id, digest: newDigest(c)})
 	if !waiting {
-		delete(w.waiting, p.waiter)
-		if w.validLocked() && errors.Is(err, ErrNotHolder) {
-			err = ErrUnavailable // held, but not read yet
+		delete(w.waiters, p.waiter)
+		if w.leaseValidLocked() && errors.Is(err, ErrNotHolder) {
+			err = ErrUnavailable // the lease is held, but the partition is not loaded yet
 		}
 		j.countAnswer(err)
 		return nil, result, err
@@ -100,16 +102,16 @@
 	}
 }
 
-func (w *worker) validLocked() bool { return w.lease != nil && w.lease.Valid() }
+func (w *worker) leaseValidLocked() bool { return w.lease != nil && w.lease.Valid() }
 
-func (w *worker) expectLocked(id keyID) *PendingTicket {
+func (w *worker) addWaiterLocked(id keyID) *PendingTicket {
 	w.nextWaiter++
 	p := &PendingTicket{worker: w, waiter: w.nextWaiter, id: id, done: make(chan reply, 1)}
-	w.waiting[p.waiter] = p.done
+	w.waiters[p.waiter] = p.done
 	return p
 }
 
-// Poll returns the ticket or the error once the wait is over; ok is false before.
+// Poll returns the ticket or the error once the wait has ended; until then ok is false.
 func (p *PendingTicket) Poll() (t *Ticket, ok bool, err error) {
 	select {
 	case r := <-p.done:
@@ -127,12 +129,12 @@
 	return &Ticket{worker: p.worker, id: p.id, attempt: r.attempt}, nil
 }
 
-// Cancel gives the wait up. No ticket was handed out, so the key is freed.
+// Cancel ends the wait and frees the key, because no ticket was returned for it.
 func (p *PendingTicket) Cancel() {
 	w := p.worker
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.waiting, p.waiter)
+	delete(w.waiters, p.waiter)
 	if w.core.cancel(p.waiter) {
 		w.signal()
 		return
@@ -143,9 +145,9 @@
 	}
 }
 
-// Finish stores the result of a call that ran. The caller may be answered whatever
-// Finish returns, and before it does: an error tells only what others will see of the
-// key if this process dies.
+// Finish stores the result of a call that ran. The response to the caller needs neither
+// wait for Finish nor depend on its error: the error only states how other daemons see
+// the key if this process dies.
 func (j *Journal) Finish(ctx context.Context, t *Ticket, r Result) error {
 	s, err := j.StartFinish(t, r)
 	return s.wait(ctx, err)
@@ -153,46 +155,46 @@
 
 // StartFinish is Finish without the wait.
 func (j *Journal) StartFinish(t *Ticket, r Result) (*PendingOutcome, error) {
-	return t.worker.conclude(func(w waiter) (bool, error) { return t.worker.core.finish(j.opts.Now(), w, t, r) })
+	return t.worker.conclude(func(w waiterID) (bool, error) { return t.worker.core.finish(j.opts.Now(), w, t, r) })
 }
 
-// Abort frees the key of a call that surely did not run.
+// Abort frees the key of a call that certainly did not run.
 func (j *Journal) Abort(ctx context.Context, t *Ticket) error {
-	s, err := t.worker.conclude(func(w waiter) (bool, error) { return t.worker.core.abort(w, t) })
+	s, err := t.worker.conclude(func(w waiterID) (bool, error) { return t.worker.core.abort(w, t) })
 	return s.wait(ctx, err)
 }
 
-// MarkInDoubt gives up a ticket whose outcome is unknown: its key stays in doubt. Nothing
-// needs to be written, since the intent already is.
+// MarkInDoubt concludes a ticket whose outcome is unknown: its key stays in doubt. It
+// writes nothing, because the intent is already durable.
 func (j *Journal) MarkInDoubt(_ context.Context, t *Ticket) error {
 	t.worker.mu.Lock()
 	defer t.worker.mu.Unlock()
-	t.worker.core.doubt(t)
+	t.worker.core.markInDoubt(t)
 	return nil
 }
 
-// PendingOutcome is an outcome that waits to be written.
+// PendingOutcome is the outcome of a ticket that is not yet written.
 type PendingOutcome struct {
 	worker *worker
-	waiter waiter
+	waiter waiterID
 	done   chan reply
 }
 
-// conclude enters the outcome of a ticket.
-func (w *worker) conclude(enter func(waiter) (waiting bool, err error)) (*PendingOutcome, error) {
+// conclude passes the outcome of a ticket to the partition through record.
+func (w *worker) conclude(record func(waiterID) (waiting bool, err error)) (*PendingOutcome, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.expectLocked("")
-	waiting, err := enter(p.waiter)
+	p := w.addWaiterLocked("")
+	waiting, err := record(p.waiter)
 	if !waiting {
-		delete(w.waiting, p.waiter)
+		delete(w.waiters, p.waiter)
 		return nil, err
 	}
 	w.signal()
 	return &PendingOutcome{worker: w, waiter: p.waiter, done: p.done}, nil
 }
 
-// Poll reports whether the wait is over, and with which error.
+// Poll reports whether the wait has ended, and its error.
 func (s *PendingOutcome) Poll() (ok bool, err error) {
 	select {
 	case r := <-s.done:
@@ -218,6 +220,6 @@
 func (s *PendingOutcome) cancel() {
 	s.worker.mu.Lock()
 	defer s.worker.mu.Unlock()
-	delete(s.worker.waiting, s.waiter)
+	delete(s.worker.waiters, s.waiter)
 	s.worker.core.cancel(s.waiter)
 }
--- a/internal/journal/commit.go
+++ b/internal/journal/commit.go
@@ -7,26 +7,26 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// write is the one write of a partition that is under way: the head, or a page.
+// write is a write of the head or of a page. A partition has at most one in flight.
 type write struct {
 	key    string
 	expect platform.Revision
 	value  []byte
 
-	page     *seal         // nil: the head
-	commit   uint64        // of the head
-	waits    []pendingWait // answered by this write
-	settled  []attempt     // outcomes that this write makes durable
-	retiring int           // retired pages that this write no longer names
+	seal         *sealPlan       // nil for a write of the head
+	commit       uint64          // commit number of the head
+	waiters      []pendingWaiter // receive a reply once this write is confirmed
+	outcomes     []attempt       // become durable with this write
+	retiredCount int             // number of retired pages that this head no longer refers to
 }
 
-// nextWrite starts the next write if one is due and none is under way. It is a group
-// commit: the head carries everything that waits.
+// nextWrite starts the next write if one is due and none is in flight. A head write is a
+// group commit of all pending entries.
 func (p *partition) nextWrite(index int, now time.Time) *write {
 	if !p.loaded || p.inFlight != nil {
 		return nil
 	}
-	p.sweep(now)
+	p.expireKeys(now)
 	if s := p.planSeal(); s != nil {
 		p.inFlight = p.pageWrite(index, s)
 		return p.inFlight
@@ -49,85 +49,86 @@
 		h.Pages = append(h.Pages, page.ref)
 	}
 	w := &write{
-		key:      headKey(index),
-		expect:   p.revision,
-		value:    encode(h),
-		commit:   p.commit,
-		waits:    p.pending,
-		retiring: len(p.retired),
+		key:          headKey(index),
+		expect:       p.revision,
+		value:        encode(h),
+		commit:       p.commit,
+		waiters:      p.pending,
+		retiredCount: len(p.retiredPages),
 	}
 	for a := range p.outcomes {
-		w.settled = append(w.settled, a)
+		w.outcomes = append(w.outcomes, a)
 	}
 	p.pending, p.dirty = nil, false
 	return w
 }
 
-func (p *partition) pageWrite(index int, s *seal) *write {
+func (p *partition) pageWrite(index int, s *sealPlan) *write {
 	p.nextPage++
 	s.page.ref.Name = fmt.Sprintf("%d-%d", p.epoch, p.nextPage)
 	return &write{
 		key:   pageKey(index, s.page.ref.Name),
 		value: encode(page{Entries: s.page.entries}),
-		page:  s,
+		seal:  s,
 	}
 }
 
-// wrote notes that the write under way took effect. Only here do tickets come to be:
-// an intent that is not known to be written must never lead to a dispatch.
-func (p *partition) wrote(revision platform.Revision) []reply {
+// confirmWrite records that the write in flight took effect. Tickets are issued only here:
+// an intent whose write is not confirmed must never lead to a dispatch.
+func (p *partition) confirmWrite(revision platform.Revision) []reply {
 	w := p.inFlight
 	p.inFlight = nil
-	if w.page != nil {
-		w.page.page.revision = revision
-		p.adopt(w.page)
+	if w.seal != nil {
+		w.seal.page.revision = revision
+		p.installPage(w.seal)
 		return nil
 	}
-	p.revision, p.claimed = revision, true
-	p.obsolete = append(p.obsolete, p.retired[:w.retiring]...)
-	p.retired = p.retired[w.retiring:]
-	for _, a := range w.settled {
+	p.revision, p.epochClaimed = revision, true
+	p.obsoletePages = append(p.obsoletePages, p.retiredPages[:w.retiredCount]...)
+	p.retiredPages = p.retiredPages[w.retiredCount:]
+	for _, a := range w.outcomes {
 		delete(p.outcomes, a)
 	}
-	out := make([]reply, 0, len(w.waits))
-	for _, wait := range w.waits {
+	out := make([]reply, 0, len(w.waiters))
+	for _, wait := range w.waiters {
 		if wait.begin {
-			p.live[wait.attempt] = true
+			p.openTickets[wait.attempt] = true
 		}
 		out = append(out, reply{waiter: wait.waiter, attempt: wait.attempt})
 	}
 	return out
 }
 
-// retry gives up the write under way, which did not take effect so far. Should it
-// still do so later, the next write conflicts with it and adopts its revision. A page
-// gets a new name, since its old one may yet be written with what it held then.
-func (p *partition) retry() {
+// retryWrite abandons the write in flight, which has not taken effect so far. If it takes
+// effect later, the next write conflicts with it and adopts its revision. A page gets a
+// new name, because the abandoned write may still store old content under the old name.
+func (p *partition) retryWrite() {
 	w := p.inFlight
 	p.inFlight = nil
-	p.pending = append(w.waits, p.pending...)
+	p.pending = append(w.waiters, p.pending...)
 	p.dirty = true
 }
 
-// verdict is what the current head tells of the write under way.
-type verdict int
+// writeStatus is the state of the write in flight according to the current head.
+type writeStatus int
 
 const (
-	verdictWrote verdict = iota // it took effect
-	verdictRetry                // it did not; the head is still ours to write
-	verdictLost                 // another holder wrote the head
+	writeApplied    writeStatus = iota // the write took effect
+	writeNotApplied                    // the write did not take effect; this holder can still write the head
+	writeSuperseded                    // another holder wrote the head
 )
 
-// judge decides on a head write whose outcome is unknown, or that met a conflict.
-func (p *partition) judge(h head, revision platform.Revision) verdict {
+// resolveWrite determines the status of a head write whose outcome is unknown or that met
+// a conflict.
+func (p *partition) resolveWrite(h head, revision platform.Revision) writeStatus {
 	switch {
 	case h.Epoch == p.epoch && h.Holder == p.self && h.Commit == p.inFlight.commit:
-		return verdictWrote
+		return writeApplied
 	case h.Epoch == p.epoch && h.Holder == p.self:
-		p.revision = revision // an earlier write of ours that landed late
-		return verdictRetry
+		p.revision = revision // an earlier write of this holder took effect late
+		return writeNotApplied
 	case revision == p.revision:
-		return verdictRetry
+		return writeNotApplied
 	}
-	return verdictLost
+	return writeSuperseded
 }
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -4,32 +4,32 @@
 	"time"
 )
 
-// seal is a plan to write a page that takes results out of the head, or that stands
-// for the pages from (inclusive) to until (exclusive).
-type seal struct {
-	page        heldPage
+// sealPlan is a plan to write a page that replaces the pages from (inclusive) to until
+// (exclusive) and may take over results from the head.
+type sealPlan struct {
+	page        loadedPage
 	from, until int
 }
 
-// planSeal keeps the head small, because every write sends all of it. Results move
-// from the head into the last page while it has room, then into a new one. When there
-// are too many pages, two old ones are merged without their results: their keys are
-// kept, and a repeat is told that the result is not.
-func (p *partition) planSeal() *seal {
-	if !p.claimed || p.doneBytes() < p.limits.seal {
+// planSeal keeps the head small, because every write sends the complete head. Results move
+// from the head into the last page while that page has space, then into a new page. Once
+// the partition has maxPages pages, two old pages are merged without their results: their
+// keys stay known, and a repeat returns ErrResultNotKept.
+func (p *partition) planSeal() *sealPlan {
+	if !p.epochClaimed || p.resultBytes() < p.limits.sealThreshold {
 		return nil
 	}
 	n := len(p.pages)
-	if n > 0 && p.pages[n-1].ref.Bytes+p.limits.seal <= p.limits.page {
-		return p.sealDone(n-1, n)
+	if n > 0 && p.pages[n-1].ref.Bytes+p.limits.sealThreshold <= p.limits.maxPageBytes {
+		return p.planResultPage(n-1, n)
 	}
-	if n < p.limits.pages {
-		return p.sealDone(n, n)
+	if n < p.limits.maxPages {
+		return p.planResultPage(n, n)
 	}
-	return p.mergeStripped()
+	return p.planMerge()
 }
 
-func (p *partition) doneBytes() int {
+func (p *partition) resultBytes() int {
 	total := 0
 	for _, e := range p.headEntries {
 		if e.Done {
@@ -39,9 +39,10 @@
 	return total
 }
 
-// sealDone plans a page of the pages [from, until) and the head's oldest results.
-func (p *partition) sealDone(from, until int) *seal {
-	s := &seal{from: from, until: until}
+// planResultPage plans a page with the entries of the pages [from, until) and the oldest
+// results of the head.
+func (p *partition) planResultPage(from, until int) *sealPlan {
+	s := &sealPlan{from: from, until: until}
 	for _, old := range p.pages[from:until] {
 		s.page.entries = append(s.page.entries, old.entries...)
 	}
@@ -54,40 +55,40 @@
 	sortEntries(done)
 	size := sizeOf(s.page.entries)
 	for _, e := range done {
-		if size += e.size(); size > p.limits.page {
+		if size += e.size(); size > p.limits.maxPageBytes {
 			break
 		}
 		s.page.entries = append(s.page.entries, e)
 	}
-	s.page.describe()
+	s.page.updateRef()
 	return s
 }
 
-// mergeStripped plans the merge of the two oldest neighbouring pages that fit into
-// one without results. It returns nil if there are none: the partition is full.
-func (p *partition) mergeStripped() *seal {
+// planMerge plans the merge of the two oldest adjacent pages that fit into one page
+// without results. It returns nil if there are none: the partition is full.
+func (p *partition) planMerge() *sealPlan {
 	for i := 0; i+1 < len(p.pages); i++ {
 		count := len(p.pages[i].entries) + len(p.pages[i+1].entries)
-		if count*entryOverhead > p.limits.page {
+		if count*entryOverhead > p.limits.maxPageBytes {
 			continue
 		}
-		s := &seal{from: i, until: i + 2}
+		s := &sealPlan{from: i, until: i + 2}
 		for _, old := range p.pages[i : i+2] {
 			s.page.entries = append(s.page.entries, old.entries...)
 		}
 		for j := range s.page.entries {
 			s.page.entries[j].dropResult()
 		}
-		s.page.describe()
+		s.page.updateRef()
 		return s
 	}
 	return nil
 }
 
-func (h *heldPage) describe() {
-	h.ref.Bytes = sizeOf(h.entries)
-	for _, e := range h.entries {
-		h.ref.Newest = max(h.ref.Newest, e.At)
+func (p *loadedPage) updateRef() {
+	p.ref.Bytes = sizeOf(p.entries)
+	for _, e := range p.entries {
+		p.ref.Newest = max(p.ref.Newest, e.At)
 	}
 }
 
@@ -99,49 +100,49 @@
 	return total
 }
 
-// adopt takes a written page into use; the next head names it. Until that head is
-// written, the pages that it stands for must stay, for they are what a new holder
-// would read.
-func (p *partition) adopt(s *seal) {
+// installPage adds a written page to the partition; the next head refers to it. The pages
+// that it replaces must stay until that head is written, because a new holder would
+// still read them.
+func (p *partition) installPage(s *sealPlan) {
 	for i := range s.page.entries {
 		e := &s.page.entries[i]
 		if inHead := p.headEntries[e.ID]; inHead != nil && inHead.Attempt == e.Attempt {
-			p.remove(inHead)
+			p.removeEntry(inHead)
 		}
 	}
-	p.retired = append(p.retired, p.pages[s.from:s.until]...)
-	pages := append([]heldPage{}, p.pages[:s.from]...)
+	p.retiredPages = append(p.retiredPages, p.pages[s.from:s.until]...)
+	pages := append([]loadedPage{}, p.pages[:s.from]...)
 	pages = append(pages, s.page)
 	p.pages = append(pages, p.pages[s.until:]...)
-	p.index(&s.page)
-	p.recount()
+	p.indexPage(&s.page)
+	p.recountOrgKeys()
 	p.dirty = true
 }
 
-// sweep drops keys that need no longer be kept. The record drops them with the next
-// write that is due for another cause.
-func (p *partition) sweep(now time.Time) {
+// expireKeys removes keys whose retention ended. Expiry alone causes no write: the stored
+// record loses these keys with the next write that is due for another reason.
+func (p *partition) expireKeys(now time.Time) {
 	for _, e := range p.headEntries {
 		if p.expired(e, now) {
-			p.remove(e)
+			p.removeEntry(e)
 		}
 	}
 	kept := p.pages[:0:0]
 	for _, page := range p.pages {
-		if now.Sub(time.UnixMilli(page.ref.Newest)) <= p.limits.keep+p.limits.skew {
+		if now.Sub(time.UnixMilli(page.ref.Newest)) <= p.limits.retention+p.limits.maxClockSkew {
 			kept = append(kept, page)
 			continue
 		}
-		p.unindex(page)
-		p.retired = append(p.retired, page)
+		p.unindexPage(page)
+		p.retiredPages = append(p.retiredPages, page)
 	}
 	if len(kept) < len(p.pages) {
 		p.pages = kept
-		p.recount()
+		p.recountOrgKeys()
 	}
 }
 
-func (p *partition) unindex(page heldPage) {
+func (p *partition) unindexPage(page loadedPage) {
 	for i := range page.entries {
 		e := &page.entries[i]
 		if known := p.paged[e.ID]; known != nil && known.Attempt == e.Attempt {
@@ -150,42 +151,43 @@
 	}
 }
 
-// minRetryAfter is told when room can come soon: calls under way end, or results move
-// into pages.
+// minRetryAfter is returned when capacity may become free soon, because calls in progress
+// end or results move into pages.
 const minRetryAfter = time.Second
 
-// room refuses a new key rather than forget an old one. An organisation may have at
-// most as many keys as are still free for all: one that sends very many gets half of
-// the partition, two get a third each, and there is always room for the others.
-func (p *partition) room(now time.Time, org orgID) error {
-	fits := p.headBytes+entryOverhead <= p.limits.head
+// checkCapacity refuses a new key if the partition is full, because dropping an old key
+// could run its call again. An organisation may have at most as many keys as are still
+// free in the partition: one busy organisation gets half of the partition, two get a
+// third each, and capacity for other organisations always remains.
+func (p *partition) checkCapacity(now time.Time, org orgID) error {
+	fits := p.headBytes+entryOverhead <= p.limits.maxHeadBytes
 	free := p.capacity() - len(p.headEntries) - len(p.paged)
-	if fits && p.keysOf[org] < max(free, 1) {
+	if fits && p.keysByOrg[org] < max(free, 1) {
 		return nil
 	}
-	return &FullError{RetryAfter: p.untilRoom(now)}
+	return &FullError{RetryAfter: p.timeUntilCapacity(now)}
 }
 
-// capacity is the number of keys that are known for sure, without their results.
+// capacity is the number of keys without results that the partition can always store.
 func (p *partition) capacity() int {
-	return (p.limits.pages*p.limits.page + p.limits.head) / entryOverhead
+	return (p.limits.maxPages*p.limits.maxPageBytes + p.limits.maxHeadBytes) / entryOverhead
 }
 
-// recount counts the keys of each organisation anew, after pages changed.
-func (p *partition) recount() {
-	clear(p.keysOf)
+// recountOrgKeys recounts the keys of each organisation after the pages changed.
+func (p *partition) recountOrgKeys() {
+	clear(p.keysByOrg)
 	for _, e := range p.headEntries {
-		p.keysOf[e.Org]++
+		p.keysByOrg[e.Org]++
 	}
 	for _, e := range p.paged {
-		p.keysOf[e.Org]++
+		p.keysByOrg[e.Org]++
 	}
 }
 
-func (p *partition) untilRoom(now time.Time) time.Duration {
-	underWay := len(p.live) > 0 || len(p.pending) > 0 || p.inFlight != nil
-	canSeal := len(p.pages) < p.limits.pages && p.doneBytes() >= p.limits.seal
-	if underWay || canSeal {
+func (p *partition) timeUntilCapacity(now time.Time) time.Duration {
+	callsActive := len(p.openTickets) > 0 || len(p.pending) > 0 || p.inFlight != nil
+	canSeal := len(p.pages) < p.limits.maxPages && p.resultBytes() >= p.limits.sealThreshold
+	if callsActive || canSeal {
 		return minRetryAfter
 	}
 	oldest := now.UnixMilli()
@@ -195,14 +197,14 @@
 	for _, page := range p.pages {
 		oldest = min(oldest, page.ref.Newest)
 	}
-	until := time.UnixMilli(oldest).Add(p.limits.keep + p.limits.skew).Sub(now)
+	until := time.UnixMilli(oldest).Add(p.limits.retention + p.limits.maxClockSkew).Sub(now)
 	return max(until, minRetryAfter)
 }
 
-// takeObsolete returns the pages to delete. One whose deletion fails is found as an
-// orphan when the partition is next loaded.
-func (p *partition) takeObsolete() []heldPage {
-	out := p.obsolete
-	p.obsolete = nil
+// takeObsoletePages returns the pages to delete and clears the list. A page whose deletion
+// fails is found as an orphan when the partition is loaded again.
+func (p *partition) takeObsoletePages() []loadedPage {
+	out := p.obsoletePages
+	p.obsoletePages = nil
 	return out
 }
--- a/internal/journal/doc.go
+++ b/internal/journal/doc.go
@@ -1,23 +1,23 @@
-// Package journal sees to it that a call that may not be repeated runs at most once.
+// Package journal ensures that a call that is not idempotent runs at most once.
 //
-// Keys are spread over partitions. A partition's state is a record in the platform's
-// key-value service, its head, with pages for older results. The holder of the
-// partition's lease writes the intent to run a key by compare-and-swap before the
-// call is dispatched, and the result after it; one write serves all the keys that
-// wait for one. A new holder writes the head under its higher epoch, which makes
-// every later write of the former one fail. A key with an intent and no result whose
-// ticket is not in the holder's hands is in doubt for as long as it is kept: it may
-// have run, so it never runs again.
+// Keys are hashed to partitions. The state of a partition is stored in the platform's
+// key-value (KV) service: a record called the head, and pages for older results. The
+// daemon that holds the partition's lease writes the intent to run a key by
+// compare-and-swap before the call is dispatched, and the result after the call ended.
+// Writes are group commits: one write contains every key that waits at that time. A new
+// holder writes the head under its higher epoch, which makes every later write of the
+// previous holder fail. A key with an intent, no result and no ticket open at the holder
+// is in doubt until its retention ends: the call may have run and never runs again.
 //
-// Safety rests on the compare-and-swap of the head alone: no ticket is given before
-// the write that holds its intent is known to have taken effect. Leases only keep
-// two daemons from taking turns at the head.
+// Safety depends on the compare-and-swap of the head alone: the holder issues a ticket
+// only after the write that contains its intent is confirmed. Leases only prevent two
+// daemons from overwriting the head in turns.
 //
-// In an outage of the service new keys are refused as not run, since no intent can
-// be written; results already known are still answered. docs/design/journal.md
-// weighs this against going on in memory.
+// During an outage of the KV service the journal refuses new keys as not run, because no
+// intent can be written, and still answers results that it knows.
+// docs/design/journal.md compares this with continuing in memory.
 //
-// The type partition is the pure core; the shell around it does the calls.
+// The type partition contains the logic without I/O; the type worker does its I/O.
 package journal
 
 import (
@@ -26,39 +26,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of Begin, Finish, Abort, MarkInDoubt and Holder. Each tells whether the call ran.
+// Errors of Begin, Finish, Abort, MarkInDoubt and Holder. Each states whether the call ran.
 var (
-	// ErrNotHolder reports that another daemon holds the key's partition, or none
-	// does. From Begin: did not run. From Finish, Abort and MarkInDoubt: the outcome could
-	// not be written, and others see the key as in doubt.
+	// ErrNotHolder reports that another daemon or no daemon holds the key's partition.
+	// From Begin: the call did not run. From Finish, Abort and MarkInDoubt: the outcome
+	// could not be written, and the key is in doubt for other daemons.
 	ErrNotHolder = errors.New("journal: partition not held here")
-	// ErrInProgress reports that the key runs now: in doubt until it ends. This try
-	// did not run.
+	// ErrInProgress reports that another attempt of the key is running; the key is in
+	// doubt until that attempt ends. This attempt did not run.
 	ErrInProgress = errors.New("journal: key in progress")
-	// ErrInDoubt reports that the key may have run. This try did not run, and none will.
+	// ErrInDoubt reports that the key may have run. This attempt did not run, and no later
+	// attempt will.
 	ErrInDoubt = errors.New("journal: key in doubt")
-	// ErrKeyReused reports a key that stands for another call. This call did not run.
+	// ErrKeyReused reports a key that was used for a different call. This call did not run.
 	ErrKeyReused = errors.New("journal: key used for another call")
-	// ErrResultNotKept reports that the key ran and its result is no longer kept.
-	ErrResultNotKept = errors.New("journal: ran, result not kept")
+	// ErrResultNotKept reports that the call ran and its result is no longer kept.
+	ErrResultNotKept = errors.New("journal: call ran, result not kept")
 	// ErrUnavailable reports that the intent or the outcome could not be written in
-	// time. From Begin: did not run. From Finish, Abort and MarkInDoubt: it is written later
-	// if this process lives; else the key is in doubt.
+	// time. From Begin: the call did not run. From Finish, Abort and MarkInDoubt: the
+	// outcome is written later unless this process ends first; then the key is in doubt.
 	ErrUnavailable = errors.New("journal: unavailable")
-	// ErrKeyTooOld reports a key first sent longer ago than keys are kept: in doubt.
-	ErrKeyTooOld = errors.New("journal: key older than keys are kept")
-	// ErrNoHolder reports a partition that nobody holds at the moment: did not run.
+	// ErrKeyTooOld reports a key first sent longer ago than the retention period: it is in doubt.
+	ErrKeyTooOld = errors.New("journal: key older than the retention period")
+	// ErrNoHolder reports a partition that no daemon holds now: the call did not run.
 	ErrNoHolder = errors.New("journal: partition has no holder")
-	// ErrPartitionCount reports that the service's journal has another number of
-	// partitions than the settings. Keys would be looked for in the wrong place, and
-	// could run twice.
+	// ErrPartitionCount reports that the number of partitions in the KV service differs
+	// from the settings. This daemon would look up keys in the wrong partition, and
+	// calls could run twice.
 	ErrPartitionCount = errors.New("journal: number of partitions differs from the settings")
 )
 
-// FullError reports a partition without room for new keys: did not run. It matches
-// ErrUnavailable.
+// FullError reports a partition without capacity for new keys: the call did not run. It
+// matches ErrUnavailable.
 type FullError struct {
-	RetryAfter time.Duration // until the oldest keys need no longer be kept
+	RetryAfter time.Duration // until the retention of the oldest keys ends
 }
 
 // Error implements the error interface.
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -18,47 +18,48 @@
 	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
-// MaxBody is the largest result body that is kept, in bytes. The repeat of a call
-// with a larger one is told ErrResultNotKept.
+// MaxBody is the size of the largest result body that is kept, in bytes. The repeat of a
+// call with a larger body returns ErrResultNotKept.
 const MaxBody = 8 << 10
 
 const (
 	defaultPartitions = 16
-	defaultKeep       = 24 * time.Hour
+	defaultRetention  = 24 * time.Hour
 
-	// commitInterval is the mean time between two writes of a busy partition: it bounds
-	// the write rate. After a quiet time commitBurst writes may follow at once.
+	// commitInterval is the mean time between two writes of a busy partition and bounds
+	// the write rate. After an idle period, commitBurst writes may follow immediately.
 	commitInterval = 100 * time.Millisecond
 	commitBurst    = 4
 	retryInterval  = 250 * time.Millisecond // after a failed step
-	idleInterval   = time.Second            // looks at the lease and old keys
+	idleInterval   = time.Second            // checks the lease and expires keys
 	stepTimeout    = 5 * time.Second
 	scanInterval   = 2 * time.Second
-	clockSkew      = 10 * time.Minute
+	maxClockSkew   = 10 * time.Minute
 
-	// A head is sent whole with every write, so results leave it early.
-	sealBytes   = 32 << 10
-	headBytes   = 640 << 10
-	pageBytes   = 512 << 10
-	maxPages    = 16
-	maxOutcomes = 10_000
+	// Every write sends the complete head. Results therefore move to pages early.
+	sealThreshold      = 32 << 10
+	maxHeadBytes       = 640 << 10
+	maxPageBytes       = 512 << 10
+	maxPages           = 16
+	maxUnsavedOutcomes = 10_000
 
 	leasePrefix = "journal/"
 	configKey   = "journal/config"
 )
 
-// A head is at most its entries, up to one result above the bound, and page names.
-var _ [kvapi.MaxValue - headBytes - MaxBody - maxPages*64 - platform.EnvelopeOverhead]struct{}
+// The largest head, which may exceed maxHeadBytes by one result and also contains the
+// page names, must fit into one value of the KV service.
+var _ [kvapi.MaxValue - maxHeadBytes - MaxBody - maxPages*64 - platform.EnvelopeOverhead]struct{}
 
-// Options of New.
+// Options configures New.
 type Options struct {
 	KV         platform.KV
 	Leases     *lease.Manager
 	Self       request.DaemonID
 	Address    string        // peer address of this daemon
-	Partitions int           // the same for all daemons, for good; zero: 16
-	Retention  time.Duration // for which a key is known after its result, or its try if in doubt; zero: 24 h
-	Standby    Standby       // zero: this daemon always takes part
+	Partitions int           // equal on all daemons and never changed; zero: 16
+	Retention  time.Duration // of a key after its result, or after its attempt if in doubt; zero: 24 h
+	Standby    Standby       // zero: this daemon is never on standby
 	Logger     hclog.Logger
 	Metrics    tally.Scope
 	Now        func() time.Time // nil: time.Now
@@ -71,7 +72,7 @@
 	Epoch   uint64
 }
 
-// Journal holds the partitions that fall to this daemon. It is safe for concurrent use.
+// Journal manages the partitions that this daemon holds. It is safe for concurrent use.
 type Journal struct {
 	opts    Options
 	limits  limits
@@ -79,24 +80,24 @@
 	metrics tally.Scope
 	workers []*worker
 
-	scanning sync.Mutex // serialises scans
+	scanMu sync.Mutex // serialises scans
 
-	mu        sync.Mutex
-	preferred func(partition int) bool
-	holders   map[string]lease.Holder // by lease name, as of scanned
-	scanned   time.Time
-	failed    time.Time // when a scan last failed
-	checked   bool      // the number of partitions is that of the service
-	stopping  bool
+	mu                sync.Mutex
+	preferred         func(partition int) bool
+	holders           map[string]lease.Holder // by lease name, as of lastScan
+	lastScan          time.Time
+	lastScanFailure   time.Time // time of the last failed scan
+	partitionsChecked bool      // the number of partitions equals that of the KV service
+	stopping          bool
 }
 
-// New returns a journal that holds nothing until Run.
+// New returns a journal that holds no partitions until Run.
 func New(opts Options) *Journal {
 	if opts.Partitions <= 0 {
 		opts.Partitions = defaultPartitions
 	}
 	if opts.Retention <= 0 {
-		opts.Retention = defaultKeep
+		opts.Retention = defaultRetention
 	}
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -123,14 +124,14 @@
 
 func defaultLimits(keep time.Duration) limits {
 	return limits{
-		keep:     keep,
-		head:     headBytes,
-		seal:     sealBytes,
-		page:     pageBytes,
-		pages:    maxPages,
-		maxBody:  MaxBody,
-		skew:     clockSkew,
-		outcomes: maxOutcomes,
+		retention:          keep,
+		maxHeadBytes:       maxHeadBytes,
+		sealThreshold:      sealThreshold,
+		maxPageBytes:       maxPageBytes,
+		maxPages:           maxPages,
+		maxBody:            MaxBody,
+		maxClockSkew:       maxClockSkew,
+		maxUnsavedOutcomes: maxUnsavedOutcomes,
 	}
 }
 
@@ -139,16 +140,16 @@
 	return int(xxhash.Sum64String(string(org)+"\x00"+key) % uint64(j.opts.Partitions))
 }
 
-// SetPreferred tells which partitions this daemon should hold. It is a soft place:
-// two daemons that disagree cost a change of holder, nothing else.
+// SetPreferred sets which partitions this daemon should hold. The preference does not
+// affect safety: if two daemons disagree, a partition only changes its holder.
 func (j *Journal) SetPreferred(preferred func(partition int) bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.preferred = preferred
 }
 
-// Run takes, keeps and yields partitions until ctx ends. The lease manager's Run must
-// go on beside it.
+// Run acquires, holds and yields partitions until ctx ends. The lease manager's Run must
+// run at the same time.
 func (j *Journal) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	for _, w := range j.workers {
@@ -156,9 +157,9 @@
 	}
 	defer wg.Wait()
 	for {
-		err := j.timedScan(ctx)
+		err := j.scanWithTimeout(ctx)
 		if errors.Is(err, ErrPartitionCount) {
-			j.logger.Error("Journal not run", "error", err)
+			j.logger.Error("Journal disabled: partition count check failed", "error", err)
 			<-ctx.Done()
 			return err
 		}
@@ -168,38 +169,38 @@
 	}
 }
 
-func (j *Journal) timedScan(ctx context.Context) error {
+func (j *Journal) scanWithTimeout(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	return j.Scan(ctx)
 }
 
-// Step does one round of the work of each partition. Run does it all the time;
-// drivers of virtual time call it themselves.
+// Step runs one step of each partition. Run steps the partitions itself; drivers of
+// virtual time call Step instead.
 func (j *Journal) Step(ctx context.Context) {
 	for _, w := range j.workers {
 		w.step(ctx)
 	}
 }
 
-// Shutdown writes what waits to be written and releases the partitions, so that
-// others take them at once. New keys are refused from now on. It waits for tickets to
-// be concluded until ctx ends; close the lease manager after it.
+// Shutdown refuses new keys, writes all pending entries and releases the partitions,
+// which other daemons can then acquire immediately. It waits until all tickets are
+// concluded or ctx ends. Close the lease manager after Shutdown.
 func (j *Journal) Shutdown(ctx context.Context) error {
 	j.mu.Lock()
 	j.stopping = true
 	j.mu.Unlock()
-	j.scanning.Lock()
-	defer j.scanning.Unlock()
+	j.scanMu.Lock()
+	defer j.scanMu.Unlock()
 	for _, w := range j.workers {
-		w.flush(ctx)
-		w.drop(ctx, "Partition released")
+		w.stepUntilIdle(ctx)
+		w.release(ctx, "Journal partition released")
 	}
 	return ctx.Err()
 }
 
-// flush steps the partition until it is idle or ctx ends.
-func (w *worker) flush(ctx context.Context) {
+// stepUntilIdle steps the partition until it is idle or ctx ends.
+func (w *worker) stepUntilIdle(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
 		done := w.lease == nil || !w.core.loaded || w.core.idle()
@@ -208,7 +209,7 @@
 			return
 		}
 		w.step(ctx)
-		_ = sleep.For(ctx, flushInterval) // the loop asks the context itself
+		_ = sleep.For(ctx, flushInterval) // the loop condition checks ctx
 	}
 }
 
@@ -222,7 +223,7 @@
 
 func (j *Journal) countWrite(w *write, err error) {
 	kind := "head"
-	if w.page != nil {
+	if w.seal != nil {
 		kind = "page"
 	}
 	j.metrics.Counter(kind + "_writes").Inc(1)
@@ -232,8 +233,9 @@
 	}
 }
 
-// checkPartitions makes the first daemon's number of partitions the one for good.
-func (j *Journal) checkPartitions(ctx context.Context) error {
+// checkPartitionCount compares the number of partitions with the KV service. The first
+// daemon stores its number, which is never changed afterwards.
+func (j *Journal) checkPartitionCount(ctx context.Context) error {
 	want := strconv.Itoa(j.opts.Partitions)
 	e, err := j.opts.KV.Get(ctx, configKey)
 	switch {
@@ -243,7 +245,7 @@
 	case err != nil:
 		return err
 	case string(e.Value) != want:
-		return errors.Wrapf(ErrPartitionCount, "the service has %s, the settings %s", e.Value, want)
+		return errors.Wrapf(ErrPartitionCount, "KV service has %s partitions, settings have %s", e.Value, want)
 	}
 	return nil
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -22,18 +22,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// running is one daemon's journal, run in real time over a fake service.
-type running struct {
+// runningJournal is the journal of one daemon, run in real time on a fake KV service.
+type runningJournal struct {
 	*journal.Journal
 	leases *lease.Manager
 	stop   func()
 }
 
-func runB(b *testing.B, fake *kv.Fake, id string, partitions int) *running {
-	return run(b, fake.Client(id), id, partitions)
+func startBenchJournal(b *testing.B, fake *kv.Fake, id string, partitions int) *runningJournal {
+	return startJournal(b, fake.Client(id), id, partitions)
 }
 
-func run(t testing.TB, service platform.KV, id string, partitions int) *running {
+func startJournal(t testing.TB, service platform.KV, id string, partitions int) *runningJournal {
 	leases := lease.NewManager(lease.Options{KV: service, Self: request.DaemonID(id), Address: id + ":1"})
 	j := journal.New(journal.Options{
 		KV: service, Leases: leases, Self: request.DaemonID(id), Address: id + ":1", Partitions: partitions,
@@ -44,7 +44,7 @@
 	wg.Go(func() { _ = j.Run(ctx) })
 	stop := sync.OnceFunc(func() { cancel(); wg.Wait() })
 	t.Cleanup(stop)
-	return &running{Journal: j, leases: leases, stop: stop}
+	return &runningJournal{Journal: j, leases: leases, stop: stop}
 }
 
 func testContext(t *testing.T) context.Context {
@@ -53,51 +53,52 @@
 	return ctx
 }
 
-// begin repeats a Begin until the partition has a holder that answers.
-func (r *running) begin(ctx context.Context, c journal.Call) (*journal.Ticket, *journal.Result, error) {
+// begin retries Begin until the daemon holds the partition.
+func (r *runningJournal) begin(ctx context.Context, c journal.Call) (*journal.Ticket, *journal.Result, error) {
 	for {
 		ticket, result, err := r.Begin(ctx, c)
 		if ctx.Err() != nil || !(errors.Is(err, journal.ErrNotHolder) || errors.Is(err, journal.ErrUnavailable)) {
 			return ticket, result, err
 		}
-		time.Sleep(time.Millisecond) // until the daemon has taken the partition
+		time.Sleep(time.Millisecond) // until the daemon has acquired the partition
 	}
 }
 
-func call(key string) journal.Call { return journal.Call{Org: "atlas", Service: "cards", Key: key} }
+func newCall(key string) journal.Call { return journal.Call{Org: "atlas", Service: "cards", Key: key} }
 
-// Story: a crew asks for a batch card; it is made, repeated, repeated after a planned
-// stop of the daemon, and asked for under the same key with other content.
-func TestOneCardOverPlannedStop(t *testing.T) {
+// After a planned stop of a daemon, its successor must answer each key as the first daemon
+// concluded it: a stored result, a result too large to keep, in doubt, or free again. A
+// key that is reused for a different call must be refused.
+func TestOutcomesSurvivePlannedStop(t *testing.T) {
 	ctx := testContext(t)
 	fake := kv.NewFake(nil)
-	a := run(t, fake.Client("a"), "a", 2)
-	ticket, _, err := a.begin(ctx, call("k"))
+	a := startJournal(t, fake.Client("a"), "a", 2)
+	ticket, _, err := a.begin(ctx, newCall("k"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := a.Begin(ctx, call("k")); !errors.Is(err, journal.ErrInProgress) {
-		t.Errorf("repeat while it runs: %v", err)
+	if _, _, err := a.Begin(ctx, newCall("k")); !errors.Is(err, journal.ErrInProgress) {
+		t.Errorf("repeat while the call runs: %v", err)
 	}
 	card := journal.Result{Status: 201, ContentType: "text/plain", Body: []byte("card 1")}
 	if err := a.Finish(ctx, ticket, card); err != nil {
 		t.Fatal(err)
 	}
-	doubted, _, err := a.begin(ctx, call("doubted"))
+	inDoubt, _, err := a.begin(ctx, newCall("doubted"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := a.MarkInDoubt(ctx, doubted); err != nil {
+	if err := a.MarkInDoubt(ctx, inDoubt); err != nil {
 		t.Error(err)
 	}
-	aborted, _, err := a.begin(ctx, call("aborted"))
+	aborted, _, err := a.begin(ctx, newCall("aborted"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := a.Abort(ctx, aborted); err != nil {
 		t.Error(err)
 	}
-	big, _, err := a.begin(ctx, call("big"))
+	big, _, err := a.begin(ctx, newCall("big"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,23 +108,23 @@
 	if err := a.Shutdown(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := a.Begin(ctx, call("new")); !errors.Is(err, journal.ErrNotHolder) {
+	if _, _, err := a.Begin(ctx, newCall("new")); !errors.Is(err, journal.ErrNotHolder) {
 		t.Errorf("new key after the stop: %v", err)
 	}
 
-	b := run(t, fake.Client("b"), "b", 2)
-	_, result, err := b.begin(ctx, call("k"))
+	b := startJournal(t, fake.Client("b"), "b", 2)
+	_, result, err := b.begin(ctx, newCall("k"))
 	if err != nil || result == nil || string(result.Body) != "card 1" || result.Status != 201 {
 		t.Errorf("repeat after the stop: %+v, %v", result, err)
 	}
-	other := call("k")
+	other := newCall("k")
 	other.Digest[0] = 1
 	for _, c := range []struct {
 		call journal.Call
 		want error
 	}{
-		{call("doubted"), journal.ErrInDoubt},
-		{call("big"), journal.ErrResultNotKept},
+		{newCall("doubted"), journal.ErrInDoubt},
+		{newCall("big"), journal.ErrResultNotKept},
 		{other, journal.ErrKeyReused},
 		{journal.Call{Key: "old", FirstSent: time.Now().Add(-25 * time.Hour)}, journal.ErrKeyTooOld},
 	} {
@@ -131,7 +132,7 @@
 			t.Errorf("%s: %v, want %v", c.call.Key, err, c.want)
 		}
 	}
-	if ticket, _, err := b.begin(ctx, call("aborted")); err != nil || ticket == nil {
+	if ticket, _, err := b.begin(ctx, newCall("aborted")); err != nil || ticket == nil {
 		t.Errorf("aborted key: %v, want a ticket", err)
 	}
 	h, err := a.Holder(ctx, a.Partition("atlas", "k"))
@@ -140,13 +141,13 @@
 	}
 }
 
-// Story: the settings of one daemon say another number of partitions. It would look
-// for keys in the wrong place and run them again, so it must not run at all.
-func TestPartitionsDiffer(t *testing.T) {
+// A daemon whose settings have a different number of partitions would look up keys in the
+// wrong partition and run calls again. Its journal must not run.
+func TestScanRejectsDifferentPartitionCount(t *testing.T) {
 	ctx := testContext(t)
 	fake := kv.NewFake(nil)
-	a := run(t, fake.Client("a"), "a", 2)
-	if _, _, err := a.begin(ctx, call("k")); err != nil {
+	a := startJournal(t, fake.Client("a"), "a", 2)
+	if _, _, err := a.begin(ctx, newCall("k")); err != nil {
 		t.Fatal(err)
 	}
 	leases := lease.NewManager(lease.Options{KV: fake.Client("b"), Self: "b"})
@@ -156,27 +157,27 @@
 	}
 }
 
-// stepped is a journal in virtual time.
-type stepped struct {
+// steppedJournal is a journal in virtual time.
+type steppedJournal struct {
 	*journal.Journal
 	leases *lease.Manager
 }
 
-func newStepped(fake *kv.Fake, now func() time.Time, id string) *stepped {
+func newSteppedJournal(fake *kv.Fake, now func() time.Time, id string) *steppedJournal {
 	leases := lease.NewManager(lease.Options{KV: fake.Client(id), Self: request.DaemonID(id), Now: now})
-	return &stepped{leases: leases, Journal: journal.New(journal.Options{
+	return &steppedJournal{leases: leases, Journal: journal.New(journal.Options{
 		KV: fake.Client(id), Leases: leases, Self: request.DaemonID(id), Partitions: 4, Now: now,
 	})}
 }
 
-func (s *stepped) round(ctx context.Context) {
+func (s *steppedJournal) round(ctx context.Context) {
 	_ = s.leases.Heartbeat(ctx)
 	_ = s.Scan(ctx)
 	s.Step(ctx)
 	s.Step(ctx)
 }
 
-func (s *stepped) holds() int {
+func (s *steppedJournal) heldPartitions() int {
 	n := 0
 	for _, p := range s.State().(journal.State).Partitions {
 		if p.Held {
@@ -186,15 +187,16 @@
 	return n
 }
 
-// Story: a second daemon comes and is preferred for half of the partitions; it gets
-// them. Then it is cut off from the service but not from its peers, which still prefer
-// it. The first one takes its half back, and does not yield it again every few seconds.
-func TestPreferenceMovesPartitions(t *testing.T) {
+// A second daemon joins and acquires the half of the partitions for which it is preferred.
+// Then a network partition separates it from the KV service but not from its peers, which
+// still prefer it. The first daemon must acquire that half again and must not yield it
+// every few seconds, because each yield leaves the partitions without holder.
+func TestPartitionsFollowPreference(t *testing.T) {
 	ctx := context.Background()
 	now := time.Unix(1_700_000_000, 0)
 	clock := func() time.Time { return now }
 	fake := kv.NewFake(clock)
-	a, b := newStepped(fake, clock, "a"), newStepped(fake, clock, "b")
+	a, b := newSteppedJournal(fake, clock, "a"), newSteppedJournal(fake, clock, "b")
 	round := func(n int) {
 		for range n {
 			now = now.Add(2 * time.Second)
@@ -203,35 +205,35 @@
 		}
 	}
 	a.round(ctx)
-	if a.holds() != 4 {
-		t.Fatalf("alone, a holds %d of 4", a.holds())
+	if a.heldPartitions() != 4 {
+		t.Fatalf("without other daemons, a holds %d of 4", a.heldPartitions())
 	}
 	a.SetPreferred(func(p int) bool { return p < 2 })
 	b.SetPreferred(func(p int) bool { return p >= 2 })
 	round(5)
-	if a.holds() != 2 || b.holds() != 2 {
-		t.Fatalf("a holds %d and b %d, want 2 and 2", a.holds(), b.holds())
+	if a.heldPartitions() != 2 || b.heldPartitions() != 2 {
+		t.Fatalf("a holds %d and b %d, want 2 and 2", a.heldPartitions(), b.heldPartitions())
 	}
 	fake.Cut("b", true)
-	round(10) // the session lapses, then three scans
+	round(10) // the session expires, then three scans follow
 	gaps := 0
 	for range 25 {
 		round(1)
-		if a.holds() != 4 {
+		if a.heldPartitions() != 4 {
 			gaps++
 		}
 	}
-	if b.holds() != 0 || gaps > 0 {
-		t.Errorf("b holds %d; a lacked partitions at %d of 25 scans", b.holds(), gaps)
+	if b.heldPartitions() != 0 || gaps > 0 {
+		t.Errorf("b holds %d; a lacked partitions at %d of 25 scans", b.heldPartitions(), gaps)
 	}
 	fake.Cut("b", false)
 	round(60)
-	if a.holds() != 2 || b.holds() != 2 {
-		t.Errorf("joined again: a holds %d and b %d, want 2 and 2", a.holds(), b.holds())
+	if a.heldPartitions() != 2 || b.heldPartitions() != 2 {
+		t.Errorf("after b reconnected: a holds %d and b %d, want 2 and 2", a.heldPartitions(), b.heldPartitions())
 	}
 }
 
-// Many callers at once share one write for their intents and one for their results.
+// The intents of many concurrent calls share one write, and so do their results.
 func TestGroupCommit(t *testing.T) {
 	ctx := testContext(t)
 	fake := kv.NewFake(nil)
@@ -245,7 +247,7 @@
 	before := fake.Counts().Writes
 	var pending []*journal.PendingTicket
 	for i := range 200 {
-		p, _, err := j.StartBegin(call(fmt.Sprint(i)))
+		p, _, err := j.StartBegin(newCall(fmt.Sprint(i)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -267,9 +269,9 @@
 	}
 }
 
-// Over the wire, with answers of writes lost all the time: each key gets one ticket,
-// and another daemon answers every result after a planned stop.
-func TestOverHTTP(t *testing.T) {
+// Responses of the KV service to writes are lost over HTTP. Each key must still receive a
+// ticket, and another daemon must answer every result after a planned stop.
+func TestLostWriteResponsesOverHTTP(t *testing.T) {
 	ctx := testContext(t)
 	server := kv.NewServer(kv.Options{})
 	srv := httptest.NewServer(server)
@@ -279,12 +281,12 @@
 		t.Cleanup(c.Close)
 		return c
 	}
-	a := run(t, client("a"), "a", 2)
+	a := startJournal(t, client("a"), "a", 2)
 	var wg sync.WaitGroup
 	for i := range 40 {
 		wg.Go(func() {
 			server.LoseWrites(1)
-			ticket, _, err := a.begin(ctx, call(fmt.Sprint(i)))
+			ticket, _, err := a.begin(ctx, newCall(fmt.Sprint(i)))
 			if err != nil {
 				t.Error(err)
 				return
@@ -301,17 +303,17 @@
 	if err := errors.CombineErrors(a.Shutdown(ctx), a.leases.Close(ctx)); err != nil {
 		t.Fatal(err)
 	}
-	b := run(t, client("b"), "b", 2)
+	b := startJournal(t, client("b"), "b", 2)
 	for i := range 40 {
-		_, result, err := b.begin(ctx, call(fmt.Sprint(i)))
+		_, result, err := b.begin(ctx, newCall(fmt.Sprint(i)))
 		if err != nil || result == nil || !bytes.HasPrefix(result.Body, []byte(fmt.Sprint(i))) {
 			t.Errorf("key %d: %v, %v", i, result != nil, err)
 		}
 	}
 }
 
-// BenchmarkWriteRate measures the service's calls for a rate of journalled calls, with
-// results of 300 bytes, over 5 seconds. Run it with -benchtime=1x.
+// BenchmarkWriteRate measures the calls to the KV service at a given rate of journalled
+// calls, with results of 300 bytes, over 5 seconds. Run it with -benchtime=1x.
 func BenchmarkWriteRate(b *testing.B) {
 	for _, perSecond := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(perSecond), func(b *testing.B) {
@@ -326,9 +328,9 @@
 	const length = 5 * time.Second
 	ctx := context.Background()
 	fake := kv.NewFake(nil)
-	a := runB(b, fake, "a", 16)
+	a := startBenchJournal(b, fake, "a", 16)
 	for i := range 200 {
-		if ticket, _, err := a.begin(ctx, call(fmt.Sprint("warm", i))); err == nil {
+		if ticket, _, err := a.begin(ctx, newCall(fmt.Sprint("warm", i))); err == nil {
 			_ = a.Finish(ctx, ticket, journal.Result{})
 		}
 	}
@@ -340,7 +342,7 @@
 		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / time.Duration(perSecond))))
 		wg.Go(func() {
 			sent := time.Now()
-			ticket, _, err := a.Begin(ctx, call(fmt.Sprint(i)))
+			ticket, _, err := a.Begin(ctx, newCall(fmt.Sprint(i)))
 			if err != nil {
 				b.Error(err)
 				return
@@ -362,15 +364,15 @@
 	a.stop()
 }
 
-// BenchmarkIdle measures the service's calls of daemons without work, over 12 seconds.
+// BenchmarkIdle measures the calls of idle daemons to the KV service over 12 seconds.
 func BenchmarkIdle(b *testing.B) {
 	for _, daemons := range []int{1, 4, 8} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			for b.Loop() {
 				fake := kv.NewFake(nil)
-				var all []*running
+				var all []*runningJournal
 				for i := range daemons {
-					d := runB(b, fake, fmt.Sprint("d", i), 16)
+					d := startBenchJournal(b, fake, fmt.Sprint("d", i), 16)
 					d.SetPreferred(func(partition int) bool { return partition%daemons == i })
 					all = append(all, d)
 				}
--- a/internal/journal/partition.go
+++ b/internal/journal/partition.go
@@ -7,55 +7,55 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// limits of a partition.
+// limits bounds the size and retention of a partition.
 type limits struct {
-	keep     time.Duration // for which a key is kept
-	head     int           // bytes of a head
-	seal     int           // bytes of results in the head that start a page
-	page     int           // bytes of a page
-	pages    int           // pages of a partition
-	maxBody  int           // bytes of a result that is kept
-	skew     time.Duration // by which daemons' clocks may differ
-	outcomes int           // outcomes remembered while they can't be written
+	retention          time.Duration // how long a key is kept
+	maxHeadBytes       int           // size of the head
+	sealThreshold      int           // bytes of results in the head from which a page is written
+	maxPageBytes       int           // size of a page
+	maxPages           int           // number of pages of a partition
+	maxBody            int           // size of a result that is kept, in bytes
+	maxClockSkew       time.Duration // largest difference between the clocks of two daemons
+	maxUnsavedOutcomes int           // number of outcomes kept in memory until they are written
 }
 
-// waiter names a call that waits for a write.
-type waiter uint64
+// waiterID identifies a call that waits for a write.
+type waiterID uint64
 
-// ask is a call as the core knows it.
-type ask struct {
+// beginRequest is the hashed form of a call that the partition works with.
+type beginRequest struct {
 	org    orgID
 	id     keyID
 	digest string
 }
 
-// reply answers a waiter. A nil error to a Begin gives its ticket.
+// reply ends the wait of a waiter. Without an error, a Begin receives its ticket.
 type reply struct {
-	waiter  waiter
+	waiter  waiterID
 	attempt attempt
 	err     error
 }
 
-// pendingWait is a waiter whose entry is not yet durable.
-type pendingWait struct {
-	waiter  waiter
+// pendingWaiter is a waiter whose entry is not yet durable.
+type pendingWaiter struct {
+	waiter  waiterID
 	id      keyID
 	attempt attempt
-	begin   bool // wants a ticket
+	begin   bool // from Begin: receives a ticket
 }
 
-// outcome is what this process knows of an attempt that is not yet durable.
+// outcome is the outcome of an attempt of this process that is not yet durable.
 type outcome struct {
 	aborted bool
-	at      time.Time // at which the result came
+	at      time.Time // of the result
 	result  Result
 	kept    bool
 }
 
-// partition is the pure core of one partition: it holds no clock and does no calls.
-// It starts without the record; load gives it the record under a new epoch, lose
-// takes it away. What the process knows of its own attempts (live, outcomes) stays
-// over both, because an attempt is unique and its outcome is a fact under any epoch.
+// partition contains the logic of one partition. It reads no clock and does no I/O. It
+// starts without the stored record; load sets the record under a new epoch, and unload
+// ends the epoch. The state of this process's own attempts (openTickets, outcomes)
+// survives both, because an attempt is unique and its outcome is valid under any epoch.
 type partition struct {
 	limits limits
 	self   request.DaemonID
@@ -65,27 +65,27 @@
 	revision platform.Revision // of the head
 	commit   uint64
 	seq      uint64
-	nextPage uint64 // names of pages are never used twice, not even after a failed write
-
-	headEntries map[keyID]*entry
-	headBytes   int
-	paged       map[keyID]*entry
-	keysOf      map[orgID]int // keys of an organisation, in the head and in pages
-	pages       []heldPage
-	retired     []heldPage // no longer named in memory, still named by the written head
-	obsolete    []heldPage // no longer named by the written head: to be deleted
-
-	claimed  bool // the head was written under epoch
-	dirty    bool
-	pending  []pendingWait
-	inFlight *write
-
-	live     map[attempt]bool // tickets in this process's hands
-	outcomes map[attempt]outcome
+	nextPage uint64 // page names are never reused, even after a failed write
+
+	headEntries   map[keyID]*entry
+	headBytes     int
+	paged         map[keyID]*entry
+	keysByOrg     map[orgID]int // number of keys of each organisation, in the head and in pages
+	pages         []loadedPage
+	retiredPages  []loadedPage // removed in memory, still referred to by the stored head
+	obsoletePages []loadedPage // no longer referred to by the stored head: to be deleted
+
+	epochClaimed bool // the head was written under this epoch
+	dirty        bool
+	pending      []pendingWaiter
+	inFlight     *write
+
+	openTickets map[attempt]bool // tickets that this process has not concluded
+	outcomes    map[attempt]outcome
 }
 
-// heldPage is a page with its entries.
-type heldPage struct {
+// loadedPage is a page with its entries.
+type loadedPage struct {
 	ref      pageRef
 	revision platform.Revision
 	entries  []entry
@@ -93,37 +93,37 @@
 
 func newPartition(self request.DaemonID, l limits) *partition {
 	return &partition{
-		limits:   l,
-		self:     self,
-		live:     map[attempt]bool{},
-		outcomes: map[attempt]outcome{},
+		limits:      l,
+		self:        self,
+		openTickets: map[attempt]bool{},
+		outcomes:    map[attempt]outcome{},
 	}
 }
 
-// load starts an epoch from the record as it was read. The claim of the epoch is the
-// first write, which also carries whatever waits by then.
-func (p *partition) load(epoch uint64, revision platform.Revision, h head, pages []heldPage, orphans []heldPage) {
+// load starts an epoch from the stored record. The first write claims the epoch and
+// contains all entries that are pending by then.
+func (p *partition) load(epoch uint64, revision platform.Revision, h head, pages []loadedPage, orphans []loadedPage) {
 	p.loaded = true
 	p.epoch, p.revision = epoch, revision
-	p.claimed = false
+	p.epochClaimed = false
 	p.headEntries, p.headBytes = map[keyID]*entry{}, 0
-	p.paged, p.keysOf = map[keyID]*entry{}, map[orgID]int{}
-	p.pages, p.obsolete = pages, orphans
-	p.retired, p.inFlight, p.pending = nil, nil, nil
+	p.paged, p.keysByOrg = map[keyID]*entry{}, map[orgID]int{}
+	p.pages, p.obsoletePages = pages, orphans
+	p.retiredPages, p.inFlight, p.pending = nil, nil, nil
 	p.dirty = true
 	for i := range h.Entries {
-		p.put(&h.Entries[i])
+		p.addEntry(&h.Entries[i])
 	}
 	for i := range pages {
-		p.index(&pages[i])
+		p.indexPage(&pages[i])
 	}
-	p.applyOutcomes()
-	p.recount()
+	p.applyKnownOutcomes()
+	p.recountOrgKeys()
 }
 
-// index makes the keys of a page known. A key that was forgotten and ran again may
-// stand in two pages; the later attempt counts, whatever the order of the pages.
-func (p *partition) index(page *heldPage) {
+// indexPage adds the keys of a page to the index. A key that expired and ran again may be
+// in two pages; the later attempt wins in either order of the pages.
+func (p *partition) indexPage(page *loadedPage) {
 	for i := range page.entries {
 		e := &page.entries[i]
 		if known := p.paged[e.ID]; known == nil || known.Attempt.compare(e.Attempt) <= 0 {
@@ -132,115 +132,117 @@
 	}
 }
 
-// applyOutcomes settles intents whose outcome this process knows from an earlier
-// epoch of its own. The outcomes are forgotten once a write holds them.
-func (p *partition) applyOutcomes() {
+// applyKnownOutcomes resolves intents whose outcome this process knows from an earlier
+// epoch that it held. The outcomes are dropped once a write contains them.
+func (p *partition) applyKnownOutcomes() {
 	for _, e := range p.headEntries {
 		if o, ok := p.outcomes[e.Attempt]; ok && !e.Done {
-			p.apply(e, o)
+			p.applyOutcome(e, o)
 		}
 	}
 }
 
-func (p *partition) apply(e *entry, o outcome) {
+func (p *partition) applyOutcome(e *entry, o outcome) {
 	p.dirty = true
 	if o.aborted {
-		p.remove(e)
+		p.removeEntry(e)
 		return
 	}
 	p.headBytes -= e.size()
 	e.Done, e.Kept, e.Result = true, o.kept, o.result
 	e.At = o.at.UnixMilli()
-	if p.headBytes+e.size() > p.limits.head {
+	if p.headBytes+e.size() > p.limits.maxHeadBytes {
 		e.dropResult()
 	}
 	p.headBytes += e.size()
 }
 
-func (p *partition) put(e *entry) {
+func (p *partition) addEntry(e *entry) {
 	p.headEntries[e.ID] = e
 	p.headBytes += e.size()
-	p.keysOf[e.Org]++
+	p.keysByOrg[e.Org]++
 }
 
-func (p *partition) remove(e *entry) {
+func (p *partition) removeEntry(e *entry) {
 	delete(p.headEntries, e.ID)
 	p.headBytes -= e.size()
-	p.keysOf[e.Org]--
+	p.keysByOrg[e.Org]--
 }
 
-// lose ends the epoch: the record may be another holder's. Those who wait are told
-// that they did not run; their intents, if a write with them took effect, are aborted
-// when this process next loads the record, and in doubt for everyone else. The copy
-// of the record stays for answers until forget: a result is final under any holder.
-func (p *partition) lose(err error) []reply {
-	waits := p.pending
+// unload ends the epoch, because another daemon may hold the partition. All waiters receive
+// err, and a waiting Begin did not run. If a write with its intent took effect, this
+// process aborts the intent when it loads the record again; for other daemons the key is
+// in doubt. The copy of the record still serves results until dropCopy, because a result
+// is final under any holder.
+func (p *partition) unload(err error) []reply {
+	waiters := p.pending
 	if p.inFlight != nil {
-		waits = append(p.inFlight.waits, waits...)
+		waiters = append(p.inFlight.waiters, waiters...)
 	}
 	var out []reply
-	for _, w := range waits {
+	for _, w := range waiters {
 		if w.begin {
-			p.remember(w.attempt, outcome{aborted: true})
+			p.recordOutcome(w.attempt, outcome{aborted: true})
 		}
 		out = append(out, reply{waiter: w.waiter, err: err})
 	}
 	p.loaded, p.dirty = false, false
 	p.pending, p.inFlight = nil, nil
-	p.pages, p.retired, p.obsolete = nil, nil, nil
+	p.pages, p.retiredPages, p.obsoletePages = nil, nil, nil
 	return out
 }
 
-// forget drops the copy of the record that lose left for answers.
-func (p *partition) forget() {
+// dropCopy drops the copy of the record that unload left for serving results.
+func (p *partition) dropCopy() {
 	if !p.loaded {
 		p.headEntries, p.paged = nil, nil
 	}
 }
 
-// remember notes an outcome until it is durable. Above the bound it is not noted,
-// and the attempt stays in doubt if the partition is lost before the next write.
-func (p *partition) remember(a attempt, o outcome) {
-	if len(p.outcomes) < p.limits.outcomes {
+// recordOutcome stores an outcome until it is durable. Above maxUnsavedOutcomes the outcome
+// is not stored, and the attempt stays in doubt if this daemon loses the partition before
+// the next write.
+func (p *partition) recordOutcome(a attempt, o outcome) {
+	if len(p.outcomes) < p.limits.maxUnsavedOutcomes {
 		p.outcomes[a] = o
 	}
 }
 
-// begin answers a call from the record, or enters its intent and lets it wait: then
-// waiting is true, and a reply to w follows. Without a valid lease another daemon may
-// know better: then only results, which are final, are answered.
-func (p *partition) begin(now time.Time, valid bool, w waiter, a ask) (found *Result, waiting bool, err error) {
-	e := p.find(a.id)
+// begin answers a call from the record, or adds its intent and returns waiting true; then
+// a reply to w follows. Without a valid lease another daemon may have a newer record;
+// begin then answers only results, which are final.
+func (p *partition) begin(now time.Time, leaseValid bool, w waiterID, req beginRequest) (found *Result, waiting bool, err error) {
+	e := p.findEntry(req.id)
 	known := e != nil && !p.expired(e, now)
-	if !(p.loaded && valid) && !(known && e.Done) {
+	if !(p.loaded && leaseValid) && !(known && e.Done) {
 		return nil, false, ErrNotHolder
 	}
 	if known {
-		found, err = p.answer(e, a.digest)
+		found, err = p.answerRepeat(e, req.digest)
 		return found, false, err
 	}
-	if err := p.room(now, a.org); err != nil {
+	if err := p.checkCapacity(now, req.org); err != nil {
 		return nil, false, err
 	}
 	p.seq++
-	e = &entry{ID: a.id, Org: a.org, Digest: a.digest, Attempt: attempt{Epoch: p.epoch, Seq: p.seq}, At: now.UnixMilli()}
-	if old := p.headEntries[a.id]; old != nil {
-		p.remove(old)
+	e = &entry{ID: req.id, Org: req.org, Digest: req.digest, Attempt: attempt{Epoch: p.epoch, Seq: p.seq}, At: now.UnixMilli()}
+	if old := p.headEntries[req.id]; old != nil {
+		p.removeEntry(old)
 	}
-	p.put(e)
-	p.pending = append(p.pending, pendingWait{waiter: w, id: a.id, attempt: e.Attempt, begin: true})
+	p.addEntry(e)
+	p.pending = append(p.pending, pendingWaiter{waiter: w, id: req.id, attempt: e.Attempt, begin: true})
 	p.dirty = true
 	return nil, true, nil
 }
 
-func (p *partition) find(id keyID) *entry {
+func (p *partition) findEntry(id keyID) *entry {
 	if e := p.headEntries[id]; e != nil {
 		return e
 	}
 	return p.paged[id]
 }
 
-func (p *partition) answer(e *entry, digest string) (*Result, error) {
+func (p *partition) answerRepeat(e *entry, digest string) (*Result, error) {
 	switch {
 	case e.Digest != digest:
 		return nil, ErrKeyReused
@@ -249,13 +251,13 @@
 		return &r, nil
 	case e.Done:
 		return nil, ErrResultNotKept
-	case p.live[e.Attempt] || p.waits(e.Attempt):
+	case p.openTickets[e.Attempt] || p.hasWaiter(e.Attempt):
 		return nil, ErrInProgress
 	}
 	return nil, ErrInDoubt
 }
 
-func (p *partition) waits(a attempt) bool {
+func (p *partition) hasWaiter(a attempt) bool {
 	for _, w := range p.pending {
 		if w.attempt == a {
 			return true
@@ -264,7 +266,7 @@
 	if p.inFlight == nil {
 		return false
 	}
-	for _, w := range p.inFlight.waits {
+	for _, w := range p.inFlight.waiters {
 		if w.attempt == a {
 			return true
 		}
@@ -272,52 +274,52 @@
 	return false
 }
 
-// cancel ends the wait of a Begin and frees its key, which no ticket was given for.
-// It reports false if the wait is over already.
-func (p *partition) cancel(w waiter) bool {
-	wait, ok := take(&p.pending, w)
+// cancel removes a waiter. The key of a Begin is freed, because no ticket was issued for
+// it. cancel returns false if the wait has already ended.
+func (p *partition) cancel(w waiterID) bool {
+	wait, ok := takeWaiter(&p.pending, w)
 	if !ok && p.inFlight != nil {
-		wait, ok = take(&p.inFlight.waits, w)
+		wait, ok = takeWaiter(&p.inFlight.waiters, w)
 	}
 	if !ok {
 		return false
 	}
 	if wait.begin {
-		p.free(wait.id, wait.attempt)
+		p.freeKey(wait.id, wait.attempt)
 	}
 	return true
 }
 
-func take(waits *[]pendingWait, w waiter) (pendingWait, bool) {
-	for i, wait := range *waits {
+func takeWaiter(waiters *[]pendingWaiter, w waiterID) (pendingWaiter, bool) {
+	for i, wait := range *waiters {
 		if wait.waiter == w {
-			*waits = append((*waits)[:i:i], (*waits)[i+1:]...)
+			*waiters = append((*waiters)[:i:i], (*waiters)[i+1:]...)
 			return wait, true
 		}
 	}
-	return pendingWait{}, false
+	return pendingWaiter{}, false
 }
 
-// free removes an intent that surely did not run.
-func (p *partition) free(id keyID, a attempt) {
-	p.remember(a, outcome{aborted: true})
+// freeKey removes the intent of an attempt that certainly did not run.
+func (p *partition) freeKey(id keyID, a attempt) {
+	p.recordOutcome(a, outcome{aborted: true})
 	if e := p.headEntries[id]; e != nil && e.Attempt == a && !e.Done {
-		p.remove(e)
+		p.removeEntry(e)
 		p.dirty = true
 	}
 }
 
-// finish enters the result of a ticket; a reply to w follows if waiting is true.
-func (p *partition) finish(now time.Time, w waiter, t *Ticket, r Result) (waiting bool, err error) {
-	if !p.live[t.attempt] {
+// finish records the result of a ticket; a reply to w follows if waiting is true.
+func (p *partition) finish(now time.Time, w waiterID, t *Ticket, r Result) (waiting bool, err error) {
+	if !p.openTickets[t.attempt] {
 		return false, ErrNotHolder
 	}
-	delete(p.live, t.attempt)
+	delete(p.openTickets, t.attempt)
 	o := outcome{at: now, result: r, kept: len(r.Body)+len(r.ContentType) <= p.limits.maxBody}
 	if !o.kept {
 		o.result = Result{}
 	}
-	p.remember(t.attempt, o)
+	p.recordOutcome(t.attempt, o)
 	if !p.loaded {
 		return false, ErrNotHolder
 	}
@@ -325,37 +327,37 @@
 	if e == nil || e.Attempt != t.attempt {
 		return false, ErrNotHolder
 	}
-	p.apply(e, o)
-	p.pending = append(p.pending, pendingWait{waiter: w, id: t.id, attempt: t.attempt})
+	p.applyOutcome(e, o)
+	p.pending = append(p.pending, pendingWaiter{waiter: w, id: t.id, attempt: t.attempt})
 	return true, nil
 }
 
-// abort frees the key of a ticket whose call surely did not run.
-func (p *partition) abort(w waiter, t *Ticket) (waiting bool, err error) {
-	if !p.live[t.attempt] {
+// abort frees the key of a ticket whose call certainly did not run.
+func (p *partition) abort(w waiterID, t *Ticket) (waiting bool, err error) {
+	if !p.openTickets[t.attempt] {
 		return false, ErrNotHolder
 	}
-	delete(p.live, t.attempt)
+	delete(p.openTickets, t.attempt)
 	if !p.loaded {
-		p.remember(t.attempt, outcome{aborted: true})
+		p.recordOutcome(t.attempt, outcome{aborted: true})
 		return false, ErrNotHolder
 	}
-	p.free(t.id, t.attempt)
-	p.pending = append(p.pending, pendingWait{waiter: w, id: t.id, attempt: t.attempt})
+	p.freeKey(t.id, t.attempt)
+	p.pending = append(p.pending, pendingWaiter{waiter: w, id: t.id, attempt: t.attempt})
 	return true, nil
 }
 
-// doubt gives a ticket back without an outcome. Its intent stays, so nothing needs
-// to be written.
-func (p *partition) doubt(t *Ticket) { delete(p.live, t.attempt) }
+// markInDoubt concludes a ticket without an outcome. No write is needed, because the intent
+// stays in the record.
+func (p *partition) markInDoubt(t *Ticket) { delete(p.openTickets, t.attempt) }
 
-// expired reports whether a key need no longer be kept. The keys of tickets still in
-// use are kept however old they are.
+// expired reports whether the retention of a key has ended. Keys of open tickets and of
+// waiters do not expire.
 func (p *partition) expired(e *entry, now time.Time) bool {
-	return now.Sub(e.at()) > p.limits.keep+p.limits.skew && !p.live[e.Attempt] && !p.waits(e.Attempt)
+	return now.Sub(e.at()) > p.limits.retention+p.limits.maxClockSkew && !p.openTickets[e.Attempt] && !p.hasWaiter(e.Attempt)
 }
 
-// idle reports that nothing waits for a write and no ticket is out.
+// idle reports that no write is pending or in flight and no ticket is open.
 func (p *partition) idle() bool {
-	return !p.dirty && p.inFlight == nil && len(p.pending) == 0 && len(p.live) == 0
+	return !p.dirty && p.inFlight == nil && len(p.pending) == 0 && len(p.openTickets) == 0
 }
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	keyIDSize  = 16 // bytes of SHA-256 that stand for a key
-	digestSize = 16 // bytes of SHA-256 that stand for a call
+	keyIDSize  = 16 // bytes of SHA-256 that identify a key
+	digestSize = 16 // bytes of SHA-256 that identify a call
 )
 
-// keyID stands for an organisation's key. A collision within keyIDSize bytes would
-// refuse a call as ErrKeyReused and never run one twice.
+// keyID identifies an organisation's key by its hash. A collision within keyIDSize bytes
+// would refuse a call with ErrKeyReused, but never run a call twice.
 type keyID string
 
 func newKeyID(org request.OrgID, key string) keyID {
@@ -30,7 +30,8 @@
 	return keyID(h.Sum(nil)[:keyIDSize])
 }
 
-// orgID stands for an organisation when keys are counted; a collision lets two share.
+// orgID identifies an organisation in the count of keys by its hash. Two organisations
+// whose hashes collide share one count.
 type orgID uint32
 
 func newOrgID(org request.OrgID) orgID { return orgID(xxhash.Sum64String(string(org))) }
@@ -42,8 +43,8 @@
 	return string(h.Sum(nil)[:digestSize])
 }
 
-// attempt identifies one intent for good: epochs are never used twice, and a holder
-// numbers its intents.
+// attempt is the permanently unique identifier of an intent: epochs are never reused, and
+// a holder numbers its intents within an epoch.
 type attempt struct {
 	Epoch uint64
 	Seq   uint64
@@ -53,7 +54,7 @@
 	return cmp.Or(cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.Seq, b.Seq))
 }
 
-// entry is one key of a partition: an intent, or with Done a result.
+// entry is one key of a partition: an intent, or a result if Done is set.
 type entry struct {
 	ID      keyID
 	Org     orgID
@@ -82,20 +83,20 @@
 // head is the record of a partition that every write of its holder replaces.
 type head struct {
 	Epoch   uint64
-	Commit  uint64 // number of this write by Holder
+	Commit  uint64 // number of this head write by Holder
 	Holder  request.DaemonID
 	Entries []entry // all intents, and the results not yet in a page
 	Pages   []pageRef
 }
 
-// pageRef names a page, an unchanging value with results.
+// pageRef refers to a page, an immutable value with results.
 type pageRef struct {
 	Name   string
 	Bytes  int
-	Newest int64 // Unix milliseconds of its youngest entry
+	Newest int64 // Unix milliseconds of its newest entry
 }
 
-// page is the value of a page.
+// page is the stored value of a page.
 type page struct {
 	Entries []entry
 }
@@ -103,7 +104,7 @@
 func encode(v any) []byte {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(v); err != nil {
-		panic(errors.Wrap(err, "encode journal record")) // fixed types: can't fail
+		panic(errors.Wrap(err, "encode journal record")) // encoding these fixed types cannot fail
 	}
 	return b.Bytes()
 }
--- a/internal/journal/standby.go
+++ b/internal/journal/standby.go
@@ -6,67 +6,69 @@
 )
 
 const (
-	// misplacedFor is how long the service is asked for a partition's holder after the
-	// likely one turned out not to be it.
-	misplacedFor = 30 * time.Second
-	// misplacedAge is how old an answer of the service may be in that time.
-	misplacedAge = 2 * time.Second
+	// bypassLikelyHolderFor is the time for which the holder of a partition is read from
+	// the KV service after the likely holder refused a call.
+	bypassLikelyHolderFor = 30 * time.Second
+	// maxHolderAgeOnStandby bounds the age of the holders read from the KV service in that
+	// time.
+	maxHolderAgeOnStandby = 2 * time.Second
 )
 
-// Standby configures a daemon that may be none of those that hold partitions.
+// Standby configures a daemon that is not always one of those that hold partitions.
 //
-// Only a few daemons of a large fleet hold partitions. Were all of them to look who
-// holds which, and to keep a session for it, the service's calls would grow with the
-// fleet. A daemon on standby asks the service nothing and sends a key's call to the
-// daemon that should hold its partition.
+// Only a few daemons of a large fleet hold partitions. If all daemons scanned for holders
+// and kept a session, the number of calls to the KV service would grow with the fleet. A
+// daemon on standby does not call the KV service and forwards a call to the daemon that
+// should hold the partition of its key.
 type Standby struct {
-	// Active tells whether this daemon is on standby now.
+	// Active reports whether this daemon is on standby now.
 	Active func() bool
-	// LikelyHolder returns the daemon that should hold a partition. A wrong one refuses the
-	// call, and the service is asked from then on.
+	// LikelyHolder returns the daemon that should hold a partition. If that daemon is not
+	// the holder, it refuses the call, and the holder is then read from the KV service.
 	LikelyHolder func(partition int) (Holder, bool)
 }
 
-// onStandby tells whether this daemon may leave the service alone.
+// onStandby reports whether this daemon need not call the KV service.
 func (j *Journal) onStandby() bool { return j.opts.Standby.Active != nil && j.opts.Standby.Active() }
 
 func (j *Journal) holdsAny() bool {
 	for _, w := range j.workers {
-		if w.held() != nil {
+		if w.heldLease() != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// likely returns a partition's likely holder if that is to be used.
-func (j *Journal) likely(w *worker) (Holder, bool) {
-	if !j.onStandby() || j.opts.Now().Before(w.askedUntil()) {
+// likelyHolder returns the likely holder of a partition, unless this daemon is not on
+// standby or the likely holder recently refused a call.
+func (j *Journal) likelyHolder(w *worker) (Holder, bool) {
+	if !j.onStandby() || j.opts.Now().Before(w.likelyBypassedUntil()) {
 		return Holder{}, false
 	}
 	return j.opts.Standby.LikelyHolder(w.index)
 }
 
-// ReportNotHolder is told that the daemon named by Holder does not hold the partition. A
-// daemon that should hold it but does not reach the service stays the likely one, while
-// another has taken its place.
+// ReportNotHolder reports that the daemon returned by Holder does not hold the partition.
+// This happens when the daemon that should hold it cannot reach the KV service: it stays
+// the likely holder while another daemon has acquired the partition.
 func (j *Journal) ReportNotHolder(partition int) {
 	w := j.workers[partition]
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.askUntil = j.opts.Now().Add(misplacedFor)
+	w.bypassLikelyUntil = j.opts.Now().Add(bypassLikelyHolderFor)
 }
 
-func (w *worker) askedUntil() time.Time {
+func (w *worker) likelyBypassedUntil() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.askUntil
+	return w.bypassLikelyUntil
 }
 
-// refreshStandby reads the holders again if the last scan is old, which it is on a
-// daemon that does not scan by itself.
-func (j *Journal) refreshStandby(ctx context.Context, scanned time.Time) {
-	if j.onStandby() && j.opts.Now().Sub(scanned) > misplacedAge {
-		j.rescan(ctx)
+// refreshHoldersOnStandby reads the holders again if the last scan is too old, because a
+// daemon on standby does not scan periodically.
+func (j *Journal) refreshHoldersOnStandby(ctx context.Context, lastScan time.Time) {
+	if j.onStandby() && j.opts.Now().Sub(lastScan) > maxHolderAgeOnStandby {
+		j.refreshHoldersIfStale(ctx)
 	}
 }
--- a/internal/journal/standby_test.go
+++ b/internal/journal/standby_test.go
@@ -10,17 +10,17 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
 )
 
-// Story: a fleet grows from 8 to 390 daemons. Each of them scans for holders and keeps a
-// session, and the service's calls grow with the fleet although a few daemons hold all
-// partitions. On standby a daemon asks nothing. Then the likely holder turns out not to
-// hold its partition, since it does not reach the service: after one refused call the
-// real one must be found.
-func TestStandbyLeavesTheServiceAlone(t *testing.T) {
+// If every daemon scans for holders and keeps a session, the calls to the KV service grow
+// with the fleet (seen as a fleet grew from 8 to 390 daemons), although a few daemons hold
+// all partitions. A daemon on standby must not scan. If the likely holder cannot reach the
+// KV service and does not hold its partition, a daemon on standby must find the actual
+// holder after one refused call.
+func TestStandbyDoesNotScan(t *testing.T) {
 	ctx := context.Background()
 	now := time.Unix(1_700_000_000, 0)
 	clock := func() time.Time { return now }
 	fake := kv.NewFake(clock)
-	holder := newStepped(fake, clock, "holder")
+	holder := newSteppedJournal(fake, clock, "holder")
 	holder.round(ctx)
 	standby := journal.New(journal.Options{
 		KV:         fake.Client("standby"),
@@ -33,7 +33,7 @@
 			LikelyHolder: func(int) (journal.Holder, bool) { return journal.Holder{ID: "cut-off"}, true },
 		},
 	})
-	naive := newStepped(fake, clock, "naive")
+	naive := newSteppedJournal(fake, clock, "naive")
 	for range 10 {
 		now = now.Add(2 * time.Second)
 		holder.round(ctx)
@@ -44,7 +44,7 @@
 	}
 	counts := fake.Counts().ByClient
 	if counts["standby"] > 2 || counts["naive"] < 20 {
-		t.Fatalf("calls: %d on standby, %d without", counts["standby"], counts["naive"])
+		t.Fatalf("KV service calls: %d on standby, %d otherwise", counts["standby"], counts["naive"])
 	}
 	if h, err := standby.Holder(ctx, 1); err != nil || h.ID != "cut-off" {
 		t.Fatalf("likely holder: %+v, %v", h, err)
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -1,6 +1,6 @@
 package journal
 
-// State is a dump of a journal.
+// State is a dump of a journal for debugging.
 type State struct {
 	Partitions []PartitionState `json:"partitions"`
 }
@@ -16,7 +16,7 @@
 	Pages     int    `json:"pages,omitempty"`
 	Waiting   int    `json:"waiting,omitempty"`
 	Tickets   int    `json:"tickets,omitempty"`
-	Unsaved   int    `json:"unsaved,omitempty"` // outcomes that no write holds yet
+	Unsaved   int    `json:"unsaved,omitempty"` // outcomes that are not yet durable
 }
 
 // State returns a dump that can be encoded as JSON.
@@ -43,8 +43,8 @@
 		Keys:      len(p.headEntries) + len(p.paged),
 		HeadBytes: p.headBytes,
 		Pages:     len(p.pages),
-		Waiting:   len(w.waiting),
-		Tickets:   len(p.live),
+		Waiting:   len(w.waiters),
+		Tickets:   len(p.openTickets),
 		Unsaved:   len(p.outcomes),
 	}
 	if w.lease != nil {
--- a/internal/journal/worker.go
+++ b/internal/journal/worker.go
@@ -15,28 +15,28 @@
 	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
-// worker is the shell of one partition: it does the calls that the core asks for.
-// mu covers the core between the calls; the partition may be dropped meanwhile.
+// worker does the I/O of one partition for its core. mu protects the core and is not held
+// during calls to the KV service; the partition may be released in the meantime.
 type worker struct {
 	j     *Journal
 	index int
-	wake  chan struct{} // something may be due
-
-	stepping sync.Mutex // serialises step
-
-	mu         sync.Mutex
-	core       *partition
-	lease      *lease.Lease // nil: not held
-	nextWaiter waiter
-	waiting    map[waiter]chan reply
-	unsure     bool      // the outcome of the write under way must be read
-	askUntil   time.Time // until then the service is asked for the holder; see Standby
-
-	// For the scan only.
-	unwanted  int // scans in a row at which the partition was preferred elsewhere
-	unheld    int // scans in a row at which nobody held it
-	keep      time.Duration
-	keepUntil time.Time // not yielded before
+	wake  chan struct{} // signals that a step may be due
+
+	stepMu sync.Mutex // serialises step
+
+	mu                sync.Mutex
+	core              *partition
+	lease             *lease.Lease // nil if the partition is not held
+	nextWaiter        waiterID
+	waiters           map[waiterID]chan reply
+	unconfirmed       bool      // the outcome of the write in flight must be read back
+	bypassLikelyUntil time.Time // until then the holder is read from the KV service; see Standby
+
+	// Used by Scan only.
+	scansUnwanted  int // consecutive scans in which another daemon was preferred
+	scansUnheld    int // consecutive scans in which no daemon held the partition
+	yieldDelay     time.Duration
+	yieldNotBefore time.Time // the partition is not yielded before
 }
 
 func newWorker(j *Journal, index int) *worker {
@@ -45,7 +45,7 @@
 		index:   index,
 		wake:    make(chan struct{}, 1),
 		core:    newPartition(j.opts.Self, j.limits),
-		waiting: map[waiter]chan reply{},
+		waiters: map[waiterID]chan reply{},
 	}
 }
 
@@ -58,15 +58,15 @@
 	}
 }
 
-// held returns the lease if the partition is held here.
-func (w *worker) held() *lease.Lease {
+// heldLease returns the partition's lease, or nil if this daemon does not hold it.
+func (w *worker) heldLease() *lease.Lease {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lease
 }
 
-// take acquires the partition's lease.
-func (w *worker) take(ctx context.Context) error {
+// acquire obtains the partition's lease.
+func (w *worker) acquire(ctx context.Context) error {
 	l, err := w.j.opts.Leases.Acquire(ctx, w.leaseName())
 	if err != nil {
 		return err
@@ -78,59 +78,61 @@
 	return nil
 }
 
-// drop gives the partition up. Its lease is released too, in case it is still valid.
-func (w *worker) drop(ctx context.Context, why string) {
+// release unloads the partition and logs reason. It also releases the lease, which may
+// still be valid.
+func (w *worker) release(ctx context.Context, reason string) {
 	w.mu.Lock()
 	l := w.lease
-	w.lease, w.unsure = nil, false
-	w.answerLocked(w.core.lose(ErrUnavailable))
+	w.lease, w.unconfirmed = nil, false
+	w.deliverRepliesLocked(w.core.unload(ErrUnavailable))
 	w.mu.Unlock()
 	if l == nil {
 		return
 	}
-	w.j.logger.Info(why, "partition", w.index, "epoch", l.Epoch())
+	w.j.logger.Info(reason, "partition", w.index, "epoch", l.Epoch())
 	if err := l.Release(ctx); err != nil {
 		w.j.logger.Warn("Lease not released", "partition", w.index, "error", err)
 	}
-	w.j.expireHolders()
+	w.j.invalidateHolders()
 }
 
-// answerLocked hands replies to those who wait for them.
-func (w *worker) answerLocked(replies []reply) {
+// deliverRepliesLocked sends each reply to its waiter, unless the waiter was cancelled.
+func (w *worker) deliverRepliesLocked(replies []reply) {
 	for _, r := range replies {
-		if ch, ok := w.waiting[r.waiter]; ok {
+		if ch, ok := w.waiters[r.waiter]; ok {
 			ch <- r
-			delete(w.waiting, r.waiter)
+			delete(w.waiters, r.waiter)
 		}
 	}
 }
 
-// progress of a step.
+// progress is the result of a step.
 type progress int
 
 const (
 	progressNone    progress = iota // nothing was due
-	progressPrepare                 // something was done that a head write may follow
+	progressPrepare                 // the partition was loaded or a page written; a head write may follow
 	progressWrite                   // the head was written
-	progressFailed                  // try again after a pause
+	progressFailed                  // the step is retried after retryInterval
 )
 
-// step does one round of the partition's work: load, settle, or write.
+// step does the next operation that is due: it loads the partition, reads back an
+// unconfirmed write, or writes.
 func (w *worker) step(ctx context.Context) progress {
-	w.stepping.Lock()
-	defer w.stepping.Unlock()
-	l := w.held()
+	w.stepMu.Lock()
+	defer w.stepMu.Unlock()
+	l := w.heldLease()
 	if l == nil {
 		return progressNone
 	}
 	if !l.Valid() {
-		w.drop(ctx, "Lease ended")
+		w.release(ctx, "Journal partition released: lease expired")
 		return progressNone
 	}
 	if !w.loaded() {
 		return w.load(ctx, l)
 	}
-	if wr := w.unsettled(); wr != nil {
+	if wr := w.unconfirmedWrite(); wr != nil {
 		return w.readBack(ctx, wr)
 	}
 	wr := w.nextWrite()
@@ -139,7 +141,7 @@
 	}
 	revision, err := w.j.opts.KV.CompareAndSwap(ctx, wr.key, wr.expect, wr.value, "")
 	w.j.countWrite(wr, err)
-	return w.settle(ctx, wr, revision, err)
+	return w.handleWriteResult(ctx, wr, revision, err)
 }
 
 func (w *worker) loaded() bool {
@@ -148,11 +150,11 @@
 	return w.core.loaded
 }
 
-// unsettled returns the write whose outcome must be read, if there is one.
-func (w *worker) unsettled() *write {
+// unconfirmedWrite returns the write whose outcome must be read back, or nil.
+func (w *worker) unconfirmedWrite() *write {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.unsure {
+	if !w.unconfirmed {
 		return nil
 	}
 	return w.core.inFlight
@@ -164,20 +166,20 @@
 	return w.core.nextWrite(w.index, w.j.opts.Now())
 }
 
-// load reads the head and its pages in one call, which shows them as of one moment.
+// load reads the head and its pages in one call, which returns a consistent snapshot.
 func (w *worker) load(ctx context.Context, l *lease.Lease) progress {
 	entries, _, err := w.j.opts.KV.List(ctx, partitionPrefix(w.index))
 	if err != nil {
-		w.j.logger.Warn("Partition not read", "partition", w.index, "error", err)
+		w.j.logger.Warn("Failed to read journal partition", "partition", w.index, "error", err)
 		return progressFailed
 	}
 	r, err := parseRecord(w.index, entries)
 	if err != nil {
-		w.j.logger.Error("Partition unreadable", "partition", w.index, "error", err)
+		w.j.logger.Error("Failed to decode journal partition", "partition", w.index, "error", err)
 		return progressFailed
 	}
 	if r.head.Epoch > l.Epoch() {
-		w.drop(ctx, "Partition has a newer holder.")
+		w.release(ctx, "Journal partition released: its head has a newer epoch")
 		return progressNone
 	}
 	w.mu.Lock()
@@ -187,116 +189,117 @@
 	}
 	w.core.load(l.Epoch(), r.revision, r.head, r.pages, r.orphans)
 	w.signal()
-	w.j.logger.Info("Partition loaded", "partition", w.index, "epoch", l.Epoch(), "keys", len(w.core.headEntries)+len(w.core.paged))
+	w.j.logger.Info("Journal partition loaded", "partition", w.index, "epoch", l.Epoch(), "keys", len(w.core.headEntries)+len(w.core.paged))
 	return progressPrepare
 }
 
-// settle tells the core the outcome of a write.
-func (w *worker) settle(ctx context.Context, wr *write, revision platform.Revision, err error) progress {
+// handleWriteResult passes the outcome of a write to the core.
+func (w *worker) handleWriteResult(ctx context.Context, wr *write, revision platform.Revision, err error) progress {
 	var conflict *platform.ConflictError
 	switch {
 	case err == nil:
-		return w.wrote(ctx, wr, revision)
-	case wr.page != nil:
-		return w.retry(wr)
+		return w.confirmWrite(ctx, wr, revision)
+	case wr.seal != nil:
+		return w.retryWrite(wr)
 	case errors.As(err, &conflict):
-		return w.judge(ctx, wr, conflict.Current)
+		return w.resolveWrite(ctx, wr, conflict.Current)
 	case errors.Is(err, platform.ErrUncertain):
-		w.setUnsure(wr)
+		w.markUnconfirmed(wr)
 		return w.readBack(ctx, wr)
 	}
-	w.j.logger.Warn("Partition not written", "partition", w.index, "error", err)
-	return w.retry(wr)
+	w.j.logger.Warn("Failed to write journal partition", "partition", w.index, "error", err)
+	return w.retryWrite(wr)
 }
 
-// underWayLocked reports that the partition was not dropped since the write began.
-func (w *worker) underWayLocked(wr *write) bool { return w.core.inFlight == wr }
+// isInFlightLocked reports whether wr is still in flight, which it is unless the partition
+// was released after the write began.
+func (w *worker) isInFlightLocked(wr *write) bool { return w.core.inFlight == wr }
 
-func (w *worker) wrote(ctx context.Context, wr *write, revision platform.Revision) progress {
+func (w *worker) confirmWrite(ctx context.Context, wr *write, revision platform.Revision) progress {
 	w.mu.Lock()
-	if !w.underWayLocked(wr) {
+	if !w.isInFlightLocked(wr) {
 		w.mu.Unlock()
 		return progressNone
 	}
-	w.unsure = false
-	w.answerLocked(w.core.wrote(revision))
-	obsolete := w.core.takeObsolete()
+	w.unconfirmed = false
+	w.deliverRepliesLocked(w.core.confirmWrite(revision))
+	obsolete := w.core.takeObsoletePages()
 	if w.core.dirty {
 		w.signal()
 	}
 	w.mu.Unlock()
 	for _, page := range obsolete {
 		if err := w.j.opts.KV.Delete(ctx, pageKey(w.index, page.ref.Name), page.revision); err != nil {
-			w.j.logger.Debug("Page not deleted", "partition", w.index, "page", page.ref.Name, "error", err)
+			w.j.logger.Debug("Failed to delete obsolete journal page", "partition", w.index, "page", page.ref.Name, "error", err)
 		}
 	}
-	if wr.page != nil {
+	if wr.seal != nil {
 		return progressPrepare
 	}
 	return progressWrite
 }
 
-func (w *worker) retry(wr *write) progress {
+func (w *worker) retryWrite(wr *write) progress {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.underWayLocked(wr) {
+	if !w.isInFlightLocked(wr) {
 		return progressNone
 	}
-	w.unsure = false
-	w.core.retry()
+	w.unconfirmed = false
+	w.core.retryWrite()
 	w.signal()
 	return progressFailed
 }
 
-func (w *worker) setUnsure(wr *write) {
+func (w *worker) markUnconfirmed(wr *write) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.unsure = w.underWayLocked(wr)
+	w.unconfirmed = w.isInFlightLocked(wr)
 }
 
-// readBack settles a head write whose outcome is unknown.
+// readBack reads the head to determine the outcome of an unconfirmed head write.
 func (w *worker) readBack(ctx context.Context, wr *write) progress {
 	e, err := w.j.opts.KV.Get(ctx, headKey(w.index))
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
-		return w.retry(wr)
+		return w.retryWrite(wr)
 	case err != nil:
-		w.j.logger.Warn("Write not settled", "partition", w.index, "error", err)
+		w.j.logger.Warn("Failed to read back journal partition write", "partition", w.index, "error", err)
 		w.signal()
 		return progressFailed
 	}
-	return w.judge(ctx, wr, e)
+	return w.resolveWrite(ctx, wr, e)
 }
 
-func (w *worker) judge(ctx context.Context, wr *write, e platform.Entry) progress {
+func (w *worker) resolveWrite(ctx context.Context, wr *write, e platform.Entry) progress {
 	h, err := decodeHead(e.Value)
 	if err != nil {
-		w.drop(ctx, "Partition unreadable.")
+		w.release(ctx, "Journal partition released: head cannot be decoded")
 		return progressFailed
 	}
 	w.mu.Lock()
-	if !w.underWayLocked(wr) {
+	if !w.isInFlightLocked(wr) {
 		w.mu.Unlock()
 		return progressNone
 	}
-	v := w.core.judge(h, e.Revision)
+	v := w.core.resolveWrite(h, e.Revision)
 	w.mu.Unlock()
 	switch v {
-	case verdictWrote:
-		return w.wrote(ctx, wr, e.Revision)
-	case verdictRetry:
-		return w.retry(wr)
+	case writeApplied:
+		return w.confirmWrite(ctx, wr, e.Revision)
+	case writeNotApplied:
+		return w.retryWrite(wr)
 	}
-	w.drop(ctx, "Partition written by another holder.")
+	w.release(ctx, "Journal partition released: another holder wrote its head")
 	return progressNone
 }
 
-// loadedRecord is a partition as read from the service.
+// loadedRecord is a partition as read from the KV service.
 type loadedRecord struct {
 	head     head
 	revision platform.Revision
-	pages    []heldPage
-	orphans  []heldPage // pages that no head names: of a holder that was replaced
+	pages    []loadedPage
+	orphans  []loadedPage // pages that the head does not refer to, such as those of a replaced holder
 }
 
 func parseRecord(index int, entries []platform.Entry) (loadedRecord, error) {
@@ -316,30 +319,30 @@
 	for _, ref := range r.head.Pages {
 		e, ok := found[ref.Name]
 		if !ok {
-			return r, errors.Newf("journal: page %s missing", ref.Name)
+			return r, errors.Newf("journal: page %s that the head refers to is missing", ref.Name)
 		}
 		p, err := decodePage(e.Value)
 		if err != nil {
 			return r, err
 		}
-		r.pages = append(r.pages, heldPage{ref: ref, revision: e.Revision, entries: p.Entries})
+		r.pages = append(r.pages, loadedPage{ref: ref, revision: e.Revision, entries: p.Entries})
 		delete(found, ref.Name)
 	}
 	for _, e := range entries {
 		name := strings.TrimPrefix(e.Key, pageKey(index, ""))
 		if _, ok := found[name]; ok {
-			r.orphans = append(r.orphans, heldPage{ref: pageRef{Name: name}, revision: e.Revision})
+			r.orphans = append(r.orphans, loadedPage{ref: pageRef{Name: name}, revision: e.Revision})
 		}
 	}
 	return r, nil
 }
 
-// run steps the partition whenever something is due, until ctx ends. The pace bounds
-// the writes of a busy partition and lets a few follow one another in a quiet one.
+// run steps the partition whenever a step is due, until ctx ends. The rate limiter bounds
+// the write rate of a busy partition and permits a short burst after an idle period.
 func (w *worker) run(ctx context.Context) {
 	tick := time.NewTicker(idleInterval)
 	defer tick.Stop()
-	pace := rate.NewLimiter(rate.Every(commitInterval), commitBurst)
+	limiter := rate.NewLimiter(rate.Every(commitInterval), commitBurst)
 	for {
 		select {
 		case <-w.wake:
@@ -347,24 +350,24 @@
 		case <-ctx.Done():
 			return
 		}
-		if sleep.For(ctx, pauseAfter(w.timedStep(ctx), pace)) != nil {
+		if sleep.For(ctx, delayAfter(w.stepWithTimeout(ctx), limiter)) != nil {
 			return
 		}
 	}
 }
 
-func pauseAfter(p progress, pace *rate.Limiter) time.Duration {
+func delayAfter(p progress, limiter *rate.Limiter) time.Duration {
 	switch p {
 	case progressWrite:
-		pace.Reserve()
-		return time.Duration((1 - pace.Tokens()) * float64(commitInterval))
+		limiter.Reserve()
+		return time.Duration((1 - limiter.Tokens()) * float64(commitInterval))
 	case progressFailed:
 		return retryInterval
 	}
 	return 0
 }
 
-func (w *worker) timedStep(ctx context.Context) progress {
+func (w *worker) stepWithTimeout(ctx context.Context) progress {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	return w.step(ctx)
