--- a/internal/controlbench/slopes_test.go
+++ b/internal/controlbench/slopes_test.go
@@ -138,7 +138,7 @@
 
 func (m oneMember) Self() *peer.Member                { return m.self }
 func (m oneMember) Live() []*peer.Member              { return nil }
-func (m oneMember) Place(string) *peer.Member         { return m.self }
+func (m oneMember) Owner(string) *peer.Member         { return m.self }
 func (m oneMember) Steward(*peer.Member) peer.Steward { return nil }
 func (m oneMember) Reset()                            {}
 func (m oneMember) Client(t table.Target) *target.Client {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -139,7 +139,7 @@
 		d.vms = newVMCache(platform.NewVMListClient(c.Platform.VMList))
 	}
 	d.table = table.NewReplica(table.ReplicaOptions{KV: d.kv, Logger: d.log.Named("table"), Metrics: d.metrics})
-	d.suspects = suspect.New(suspect.Options{KV: d.kv, Urge: func() { d.members.Urge() }, Logger: d.log, Metrics: d.metrics})
+	d.suspects = suspect.New(suspect.Options{KV: d.kv, Urge: func() { d.members.GossipNow() }, Logger: d.log, Metrics: d.metrics})
 	d.members = membership.New(membership.Options{
 		Self: &peer.Member{
 			Id:            c.Daemon.ID,
@@ -149,13 +149,13 @@
 			FailureDomain: c.Daemon.FailureDomain,
 			Incarnation:   d.incarnation,
 		},
-		Seeds:    c.Membership.Seeds,
-		Replica:  d.table,
-		Findings: d.suspects,
-		VMs:      d.vms,
-		Logger:   d.log,
-		Metrics:  d.metrics,
-		Params:   membershipParams(c.Membership, d.incarnation),
+		Seeds:        c.Membership.Seeds,
+		Table:        d.table,
+		CrashRecords: d.suspects,
+		VMs:          d.vms,
+		Logger:       d.log,
+		Metrics:      d.metrics,
+		Params:       membershipParams(c.Membership, d.incarnation),
 	})
 	d.leases = lease.NewManager(lease.Options{
 		KV:                d.kv,
@@ -210,7 +210,7 @@
 
 // placeOf spreads the journal's partitions over those daemons.
 func (d *Daemon) placeOf(partition int) *peer.Member {
-	return membership.Place(d.journalHolders(), fmt.Sprintf("journal/%d", partition))
+	return membership.Owner(d.journalHolders(), fmt.Sprintf("journal/%d", partition))
 }
 
 func (d *Daemon) prefersPartition(partition int) bool {
@@ -299,7 +299,7 @@
 }
 
 func (d *Daemon) isPlace(key string) bool {
-	place := d.members.Place(key)
+	place := d.members.Owner(key)
 	return place != nil && place.Id == d.config.Daemon.ID
 }
 
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -43,7 +43,7 @@
 	duties := []func(context.Context){
 		func(ctx context.Context) { _ = d.members.Run(ctx) },
 		func(ctx context.Context) {
-			_ = d.table.Run(ctx, func() bool { return d.members.Among(watcherKey, d.config.Table.Watchers) })
+			_ = d.table.Run(ctx, func() bool { return d.members.RanksInRegion(watcherKey, d.config.Table.Watchers) })
 		},
 		func(ctx context.Context) { _ = d.leases.Run(ctx) },
 		func(ctx context.Context) { _ = d.journal.Run(ctx) },
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -127,7 +127,7 @@
 
 func (m fakeMembers) Self() *peer.Member                              { return m.self }
 func (m fakeMembers) Live() []*peer.Member                            { return nil }
-func (m fakeMembers) Place(string) *peer.Member                       { return m.home }
+func (m fakeMembers) Owner(string) *peer.Member                       { return m.home }
 func (m fakeMembers) Rank(string, int) []*peer.Member                 { return []*peer.Member{m.self} }
 func (w *world) Partition(request.OrgID, string) int                  { return 0 }
 func (w *world) Misplaced(int)                                        {}
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -30,8 +30,8 @@
 func (f *limit) Name() string { return "limit" }
 
 // Process implements pipeline.Filter.
-func (f *limit) Process(j *Job) pipeline.Verdict {
-	return pipeline.Await(func(ctx context.Context) pipeline.Verdict {
+func (f *limit) Process(j *Job) pipeline.Decision {
+	return pipeline.Await(func(ctx context.Context) pipeline.Decision {
 		refusal := f.g.opts.Limiter.Admit(ctx, j.org, int64(j.context.Tokens))
 		if refusal != nil {
 			return pipeline.Finish(refusal)
@@ -51,8 +51,8 @@
 const filterPlace = "place"
 
 // Process implements pipeline.Filter.
-func (f *place) Process(j *Job) pipeline.Verdict {
-	return pipeline.Await(func(ctx context.Context) pipeline.Verdict {
+func (f *place) Process(j *Job) pipeline.Decision {
+	return pipeline.Await(func(ctx context.Context) pipeline.Decision {
 		verdict := f.g.opts.Quarantine.Gate(ctx, j.fingerprint)
 		if refusal := gateRefusal(verdict); refusal != nil {
 			return pipeline.Finish(refusal)
@@ -130,11 +130,11 @@
 const maxAsked = 2
 
 // Process implements pipeline.Filter.
-func (f *queue) Process(j *Job) pipeline.Verdict {
-	return pipeline.Await(func(ctx context.Context) pipeline.Verdict { return f.acquire(ctx, j) })
+func (f *queue) Process(j *Job) pipeline.Decision {
+	return pipeline.Await(func(ctx context.Context) pipeline.Decision { return f.acquire(ctx, j) })
 }
 
-func (f *queue) acquire(ctx context.Context, j *Job) pipeline.Verdict {
+func (f *queue) acquire(ctx context.Context, j *Job) pipeline.Decision {
 	var refusal *request.Error
 	for i, c := range j.choices {
 		if i == maxAsked {
@@ -173,14 +173,14 @@
 func (f *once) Name() string { return "once" }
 
 // Process implements pipeline.Filter.
-func (f *once) Process(j *Job) pipeline.Verdict {
+func (f *once) Process(j *Job) pipeline.Decision {
 	if j.kind != kindService || j.call.repeatable {
 		return pipeline.Pass()
 	}
-	return pipeline.Await(func(ctx context.Context) pipeline.Verdict { return f.begin(ctx, j) })
+	return pipeline.Await(func(ctx context.Context) pipeline.Decision { return f.begin(ctx, j) })
 }
 
-func (f *once) begin(ctx context.Context, j *Job) pipeline.Verdict {
+func (f *once) begin(ctx context.Context, j *Job) pipeline.Decision {
 	call := journal.Call{
 		Org:     j.org.ID,
 		Service: j.call.service,
@@ -243,7 +243,7 @@
 func (f *dispatch) Name() string { return "dispatch" }
 
 // Process implements pipeline.Filter.
-func (f *dispatch) Process(j *Job) pipeline.Verdict {
+func (f *dispatch) Process(j *Job) pipeline.Decision {
 	if !f.g.opts.Quarantine.Begin(j.fingerprint, attemptID(j), j.choice.Target.ID, j.suspect) {
 		return pipeline.Finish(errSuspectRuns())
 	}
@@ -251,7 +251,7 @@
 	if j.choice.Import == nil {
 		return pipeline.Pass()
 	}
-	return pipeline.Await(func(ctx context.Context) pipeline.Verdict {
+	return pipeline.Await(func(ctx context.Context) pipeline.Decision {
 		f.g.opts.Contexts.Bring(ctx, j.context, j.choice)
 		return pipeline.Pass()
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -41,8 +41,8 @@
 type Members interface {
 	Self() *peer.Member
 	Live() []*peer.Member
-	// Place returns the daemon that key belongs to.
-	Place(key string) *peer.Member
+	// Owner returns the daemon that key belongs to.
+	Owner(key string) *peer.Member
 	// Rank returns the n daemons that come first for key.
 	Rank(key string, n int) []*peer.Member
 }
--- a/internal/gateway/identify.go
+++ b/internal/gateway/identify.go
@@ -35,7 +35,7 @@
 const filterIdentify = "identify"
 
 // Process implements pipeline.Filter.
-func (f *identify) Process(j *Job) pipeline.Verdict {
+func (f *identify) Process(j *Job) pipeline.Decision {
 	// A daemon cut off from the service and from its peers would go on with rules that
 	// operators have long changed. It shows as two answers to one question, depending on
 	// the daemon asked. Refusing bounds the time for which an old rule can be used.
@@ -66,7 +66,7 @@
 	return org
 }
 
-func (f *identify) completion(j *Job) pipeline.Verdict {
+func (f *identify) completion(j *Job) pipeline.Decision {
 	sheet := f.g.opts.Tables.Current()
 	j.model = request.Model(j.completion.Model)
 	if _, known := sheet.Model(j.model); !known {
@@ -79,21 +79,21 @@
 	}
 	j.context.Scope = block.Scope{Org: j.org.ID, Model: j.model, Version: version}
 	head := HeadDigest(j.completion.Prompt)
-	if home := f.g.opts.Members.Place(homeKey(j.org.ID, j.model, head)); f.g.elsewhere(j, home) {
+	if home := f.g.opts.Members.Owner(homeKey(j.org.ID, j.model, head)); f.g.elsewhere(j, home) {
 		return f.g.forwardTo(j, home)
 	}
-	return pipeline.Await(func(context.Context) pipeline.Verdict { return f.hash(j) })
+	return pipeline.Await(func(context.Context) pipeline.Decision { return f.hash(j) })
 }
 
 // hash runs outside the filter's thread: a long prompt takes milliseconds to hash.
-func (f *identify) hash(j *Job) pipeline.Verdict {
+func (f *identify) hash(j *Job) pipeline.Decision {
 	prompt := []byte(j.completion.Prompt)
 	j.context.Chain = block.Chain(j.context.Scope.Salt(), prompt)
 	j.fingerprint = quarantine.Of(j.org.ID, []byte(j.model), prompt)
 	return pipeline.Pass()
 }
 
-func (f *identify) service(j *Job) pipeline.Verdict {
+func (f *identify) service(j *Job) pipeline.Decision {
 	sheet := f.g.opts.Tables.Current()
 	instances := sheet.Services(j.call.service)
 	if len(instances) == 0 {
@@ -111,12 +111,12 @@
 	if j.call.key == "" {
 		return pipeline.Finish(badField(HeaderIdempotencyKey, "is missing; service %s is not repeatable", j.call.service))
 	}
-	return pipeline.Await(func(ctx context.Context) pipeline.Verdict { return f.holder(ctx, j) })
+	return pipeline.Await(func(ctx context.Context) pipeline.Decision { return f.holder(ctx, j) })
 }
 
 // holder sends a call that must run at most once to the daemon that holds its
 // partition of the journal.
-func (f *identify) holder(ctx context.Context, j *Job) pipeline.Verdict {
+func (f *identify) holder(ctx context.Context, j *Job) pipeline.Decision {
 	j.partition = f.g.opts.Journal.Partition(j.org.ID, j.call.key)
 	h, err := f.g.opts.Journal.Holder(ctx, j.partition)
 	if errors.Is(err, journal.ErrNoHolder) {
@@ -151,7 +151,7 @@
 	return !j.hopped && !j.stay && home != nil && home.Id != g.opts.Members.Self().Id
 }
 
-func (g *Gateway) forwardTo(j *Job, home *peer.Member) pipeline.Verdict {
+func (g *Gateway) forwardTo(j *Job, home *peer.Member) pipeline.Decision {
 	j.forward = home
 	return pipeline.Finish(nil)
 }
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -83,8 +83,8 @@
 // Context implements pipeline.Job.
 func (j *Job) Context() context.Context { return j.ctx }
 
-// Decided implements pipeline.Job.
-func (j *Job) Decided(err error) { j.decided <- err }
+// OnChainEnd implements pipeline.Job.
+func (j *Job) OnChainEnd(err error) { j.decided <- err }
 
 // noteRan remembers how an earlier try ended. That one ran outweighs that one may have.
 func (j *Job) noteRan(ran request.RunOutcome) {
--- a/internal/gateway/settle.go
+++ b/internal/gateway/settle.go
@@ -14,7 +14,7 @@
 // settle gives back all that a job still holds. It runs once, after the answer. Each
 // part is given back although another panics: a credit that is lost is lost for good.
 func (g *Gateway) settle(j *Job) {
-	defer g.line.Settled()
+	defer g.line.ReleaseCredit()
 	defer g.leaveLimits(j)
 	defer g.endFlight(j, false)
 	defer g.releaseGrant(j)
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -37,7 +37,7 @@
 	Self() *peer.Member
 	Live() []*peer.Member
 	Members() []*peer.Member
-	Place(key string) *peer.Member
+	Owner(key string) *peer.Member
 }
 
 // PeerDialer gives the twirp client of a peer.
@@ -152,7 +152,7 @@
 }
 
 func (l *Limiter) slice(ctx context.Context, want limit.SliceRequest) (limit.Slice, error) {
-	place := l.opts.Members.Place(placeKey(want.Org))
+	place := l.opts.Members.Owner(placeKey(want.Org))
 	if place == nil || place.Id == l.opts.Members.Self().Id {
 		return l.sliceHere(l.opts.Members.Self().Id, want), nil
 	}
@@ -259,7 +259,7 @@
 }
 
 func isPlace(live []*peer.Member, org request.OrgID, self string) bool {
-	place := membership.Place(live, placeKey(org))
+	place := membership.Owner(live, placeKey(org))
 	return place != nil && place.Id == self
 }
 
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -51,8 +51,8 @@
 func (p place) Live() []*peer.Member    { return *p.live.Load() }
 func (p place) Members() []*peer.Member { return p.members }
 
-// Place is the steward; each daemon itself in the naive twin, where each counts alone.
-func (p place) Place(string) *peer.Member {
+// Owner is the steward; each daemon itself in the naive twin, where each counts alone.
+func (p place) Owner(string) *peer.Member {
 	if p.alone.Load() {
 		return p.members[p.self]
 	}
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -88,8 +88,8 @@
 	c.changes++
 }
 
-// Urge makes the next TakeUrgent begin exchanges at once.
-func (c *Core) Urge() { c.urgent = true }
+// MarkUrgent makes the next TakeUrgent begin exchanges at once.
+func (c *Core) MarkUrgent() { c.urgent = true }
 
 // TakeUrgent returns exchanges for news that can't wait for the next tick.
 func (c *Core) TakeUrgent() []Peer {
@@ -123,7 +123,7 @@
 	if e.suspectSince.IsZero() && e.silent(now, c.params.SuspectAfter) {
 		c.suspectEntry(now, e)
 	}
-	gone := !e.goneSince.IsZero() && now.Sub(e.goneSince) >= c.params.GoneAfter
+	gone := !e.goneSince.IsZero() && now.Sub(e.goneSince) >= c.params.ForgetUnlistedAfter
 	if e.deadSince.IsZero() && !e.suspectSince.IsZero() {
 		if gone || now.Sub(e.suspectSince) >= c.params.DeadAfter {
 			e.deadSince = now
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -18,8 +18,8 @@
 	Changed() <-chan struct{}
 }
 
-// Findings holds the quarantine's findings, to be shared by all daemons.
-type Findings interface {
+// CrashRecords holds the quarantine's findings, to be shared by all daemons.
+type CrashRecords interface {
 	Hash() uint64
 	All() []*peer.Finding
 	Merge(findings []*peer.Finding) int // returns how many were new
@@ -36,15 +36,15 @@
 // time comes as an argument.
 type node struct {
 	core         *Core
-	table        Table    // may be nil
-	findings     Findings // may be nil
-	findingsHash uint64   // when they were last looked at
-	findingsLeft int      // exchanges that still carry them
+	table        Table        // may be nil
+	findings     CrashRecords // may be nil
+	findingsHash uint64       // when they were last looked at
+	findingsLeft int          // exchanges that still carry them
 	hot          hotPages
 }
 
 // newNode returns a node; table and findings may be nil.
-func newNode(core *Core, t Table, findings Findings) *node {
+func newNode(core *Core, t Table, findings CrashRecords) *node {
 	return &node{core: core, table: t, findings: findings, hot: newHotPages()}
 }
 
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -31,21 +31,21 @@
 
 // Options configures a Service.
 type Options struct {
-	Self     *peer.Member // the incarnation is set at the start if it is 0
-	Seeds    []string     // peer addresses, host:port
-	Replica  Table        // may be nil
-	Findings Findings     // may be nil
-	VMs      platform.VMList
-	Client   *http.Client // nil: a client of its own
-	Logger   hclog.Logger
-	Metrics  tally.Scope
-	Now      func() time.Time // nil: time.Now
-	Params   Params
+	Self         *peer.Member // the incarnation is set at the start if it is 0
+	Seeds        []string     // peer addresses, host:port
+	Table        Table        // may be nil
+	CrashRecords CrashRecords // may be nil
+	VMs          platform.VMList
+	Client       *http.Client // nil: a client of its own
+	Logger       hclog.Logger
+	Metrics      tally.Scope
+	Now          func() time.Time // nil: time.Now
+	Params       Params
 
-	ExchangeTimeout time.Duration // 0: 1 s
-	PullTimeout     time.Duration // 0: 2 s
-	VMInterval      time.Duration // 0: 10 s
-	SoloAfter       time.Duration // a daemon that met nobody counts itself alone after this; 0: 2 s
+	ExchangeTimeout     time.Duration // 0: 1 s
+	PullTimeout         time.Duration // 0: 2 s
+	VMInterval          time.Duration // 0: 10 s
+	FirstContactTimeout time.Duration // a daemon that met nobody counts itself alone after this; 0: 2 s
 }
 
 func withDefaults(o Options) Options {
@@ -76,6 +76,6 @@
 	set(&o.ExchangeTimeout, defaultExchangeTimeout)
 	set(&o.PullTimeout, defaultPullTimeout)
 	set(&o.VMInterval, defaultVMInterval)
-	set(&o.SoloAfter, defaultSoloAfter)
+	set(&o.FirstContactTimeout, defaultSoloAfter)
 	return o
 }
--- a/internal/membership/params.go
+++ b/internal/membership/params.go
@@ -4,13 +4,13 @@
 
 // Params are the settings of a Core. Zero values stand for the defaults.
 type Params struct {
-	Interval     time.Duration // between ticks; 1 s
-	SuspectAfter time.Duration // a daemon that has not answered for this long is suspect; 2 s
-	DeadAfter    time.Duration // a suspect that has not answered for this long is dead; 5 s
-	ForgetAfter  time.Duration // a dead daemon is forgotten after this; 10 min
-	GoneAfter    time.Duration // the same for one that is gone from the VM list; 90 s
-	Fanout       int           // exchanges begun in each interval; 2
-	Seed         uint64        // of the choice of peers
+	Interval            time.Duration // between ticks; 1 s
+	SuspectAfter        time.Duration // a daemon that has not answered for this long is suspect; 2 s
+	DeadAfter           time.Duration // a suspect that has not answered for this long is dead; 5 s
+	ForgetAfter         time.Duration // a dead daemon is forgotten after this; 10 min
+	ForgetUnlistedAfter time.Duration // the same for one that is gone from the VM list; 90 s
+	Fanout              int           // exchanges begun in each interval; 2
+	Seed                uint64        // of the choice of peers
 }
 
 func (p Params) withDefaults() Params {
@@ -23,7 +23,7 @@
 	set(&p.SuspectAfter, 2*time.Second)
 	set(&p.DeadAfter, 5*time.Second)
 	set(&p.ForgetAfter, 10*time.Minute)
-	set(&p.GoneAfter, 90*time.Second)
+	set(&p.ForgetUnlistedAfter, 90*time.Second)
 	if p.Fanout == 0 {
 		p.Fanout = 2
 	}
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -117,7 +117,7 @@
 	e.timing.ProofAge = time.Hour
 	e.solo = time.Hour
 	for i, d := range fleet {
-		watching := d.Among("table", 2)
+		watching := d.RanksInRegion("table", 2)
 		d.stop()
 		for _, other := range fleet {
 			if other != d {
--- a/internal/membership/property_test.go
+++ b/internal/membership/property_test.go
@@ -141,7 +141,7 @@
 		gone := rapid.IntRange(0, size-1).Draw(t, "gone")
 		rest := slices.Delete(slices.Clone(members), gone, gone+1)
 		for _, key := range rapid.SliceOfN(rapid.String(), 1, 20).Draw(t, "keys") {
-			before, after := Place(members, key), Place(rest, key)
+			before, after := Owner(members, key), Owner(rest, key)
 			if before != members[gone] && after != before {
 				t.Fatalf("key %q moved from %s to %s", key, before.Id, after.Id)
 			}
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -15,7 +15,7 @@
 // asks for it for every target several times a second.
 func Rank(members []*peer.Member, key string, n int) []*peer.Member {
 	if n == 1 && len(members) > 0 {
-		return []*peer.Member{Place(members, key)}
+		return []*peer.Member{Owner(members, key)}
 	}
 	keyHash := xxhash.Sum64String(key)
 	ranked := make([]weighted, len(members))
@@ -36,8 +36,8 @@
 	return first
 }
 
-// Place returns the first member of Rank without sorting, nil if there are no members.
-func Place(members []*peer.Member, key string) *peer.Member {
+// Owner returns the first member of Rank without sorting, nil if there are no members.
+func Owner(members []*peer.Member, key string) *peer.Member {
 	keyHash := xxhash.Sum64String(key)
 	var best weighted
 	for _, m := range members {
--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -30,7 +30,7 @@
 				}
 				continue
 			}
-			if len(one) != 1 || one[0] != all[0] || one[0] != Place(members, key) {
+			if len(one) != 1 || one[0] != all[0] || one[0] != Owner(members, key) {
 				t.Fatalf("%d members, key %s: first of all is %s, rank of one is %v", size, key, all[0].Id, one)
 			}
 		}
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -46,7 +46,7 @@
 	s.wake = make(chan struct{}, 1)
 	s.pulls = make(chan pull, pullRing)
 	s.slots = make(chan struct{}, maxInFlight)
-	s.node = newNode(NewCore(s.options.Self, s.options.Seeds, s.options.Params), s.options.Replica, s.options.Findings)
+	s.node = newNode(NewCore(s.options.Self, s.options.Seeds, s.options.Params), s.options.Table, s.options.CrashRecords)
 	s.refresh()
 	return s
 }
@@ -57,7 +57,7 @@
 	if s.options.VMs != nil {
 		s.tasks.Go(func() { s.runVMs(ctx) })
 	}
-	if s.options.Replica != nil {
+	if s.options.Table != nil {
 		s.tasks.Go(func() { s.runTable(ctx) })
 	}
 	s.tasks.Go(func() { s.runUrgent(ctx) })
@@ -169,7 +169,7 @@
 
 // pull asks for pages until nothing named is lacking or the peer has nothing more.
 func (s *Service) pull(ctx context.Context, p pull) {
-	for s.options.Replica.Lacks(p.want) {
+	for s.options.Table.Lacks(p.want) {
 		call, cancel := context.WithTimeout(ctx, s.options.PullTimeout)
 		response, err := s.peer(p.from.Address).Pages(call, s.node.pagesRequest())
 		cancel()
@@ -177,7 +177,7 @@
 			s.log.Debug("Pages not pulled", "peer", p.from.ID, "error", err)
 			return
 		}
-		if s.options.Replica.Merge(response.Pages) == 0 {
+		if s.options.Table.Merge(response.Pages) == 0 {
 			return
 		}
 	}
@@ -186,21 +186,21 @@
 // runTable makes a change of the table urgent news.
 func (s *Service) runTable(ctx context.Context) {
 	for {
-		changed := s.options.Replica.Changed()
+		changed := s.options.Table.Changed()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-			s.Urge()
+			s.GossipNow()
 		}
 	}
 }
 
-// Urge tells a few peers at once of what changed here, for example a new finding.
-func (s *Service) Urge() {
+// GossipNow tells a few peers at once of what changed here, for example a new finding.
+func (s *Service) GossipNow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.node.core.Urge()
+	s.node.core.MarkUrgent()
 	s.refresh()
 }
 
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -119,20 +119,20 @@
 	address := listener.Addr().String()
 	d := &daemon{replica: table.NewReplica(table.ReplicaOptions{KV: e.service.Client(id), Timing: e.timing})}
 	d.Service = New(Options{
-		Self:    &peer.Member{Id: id, PeerAddress: address, Region: "fes"},
-		Seeds:   seeds,
-		Replica: d.replica,
-		Client:  e.network.client(address),
+		Self:   &peer.Member{Id: id, PeerAddress: address, Region: "fes"},
+		Seeds:  seeds,
+		Table:  d.replica,
+		Client: e.network.client(address),
 
-		SoloAfter: e.solo,
-		Params:    Params{Interval: 10 * time.Millisecond, SuspectAfter: 200 * time.Millisecond, DeadAfter: 300 * time.Millisecond},
+		FirstContactTimeout: e.solo,
+		Params:              Params{Interval: 10 * time.Millisecond, SuspectAfter: 200 * time.Millisecond, DeadAfter: 300 * time.Millisecond},
 	})
 	server := &http.Server{Handler: peer.NewGossipServer(d.Service), ReadHeaderTimeout: time.Second}
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
 	tasks.Go(func() { _ = server.Serve(listener) })
 	tasks.Go(func() { _ = d.Run(ctx) })
-	tasks.Go(func() { _ = d.replica.Run(ctx, func() bool { return d.Among("table", 2) }) })
+	tasks.Go(func() { _ = d.replica.Run(ctx, func() bool { return d.RanksInRegion("table", 2) }) })
 	d.stop = sync.OnceFunc(func() {
 		cancel()
 		_ = server.Close()
@@ -172,7 +172,7 @@
 	for _, d := range []*daemon{a, b, c} {
 		eventually(t, "three live daemons", func() bool { return len(d.Live()) == 3 })
 	}
-	if p, q := a.Place("context"), c.Place("context"); p.Id != q.Id {
+	if p, q := a.Owner("context"), c.Owner("context"); p.Id != q.Id {
 		t.Fatalf("places differ: %s and %s", p.Id, q.Id)
 	}
 	page := &peer.Page{Name: "models/000", Revision: 7, Value: []byte(`{"name":"models/000"}`)}
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -153,7 +153,7 @@
 	before := n.replica.Current().Hash()
 	err := n.replica.Read(context.Background())
 	if err == nil && n.replica.Current().Hash() != before {
-		n.core.Urge()
+		n.core.MarkUrgent()
 		n.settle()
 	}
 }
@@ -287,7 +287,7 @@
 
 func (n *simNode) merge(pages []*peer.Page) {
 	if n.replica.Merge(pages) > 0 {
-		n.core.Urge()
+		n.core.MarkUrgent()
 		n.settle()
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -60,20 +60,20 @@
 // Self returns this daemon's own record.
 func (s *Service) Self() *peer.Member { return s.view.Load().self }
 
-// Place returns the live daemon that has a key's place; nil if none is live, which can
+// Owner returns the live daemon that has a key's place; nil if none is live, which can
 // only be while this daemon leaves.
-func (s *Service) Place(key string) *peer.Member { return Place(s.Live(), key) }
+func (s *Service) Owner(key string) *peer.Member { return Owner(s.Live(), key) }
 
 // Rank returns the first n live daemons for a key, the place first.
 func (s *Service) Rank(key string, n int) []*peer.Member { return Rank(s.Live(), key, n) }
 
-// Among tells whether this daemon is one of the first n for a key among the live daemons
+// RanksInRegion tells whether this daemon is one of the first n for a key among the live daemons
 // of its region. It chooses the few that watch the table.
 //
 // The failure: a fleet starts at once, or a daemon restarts, and each counts itself alone
 // and so among the first, until it meets a peer; all would read the whole table. So a
 // daemon that has addresses to try waits a moment for its first contact.
-func (s *Service) Among(key string, n int) bool {
+func (s *Service) RanksInRegion(key string, n int) bool {
 	if s.mayMeetPeers() {
 		return false
 	}
@@ -95,7 +95,7 @@
 // mayMeetPeers tells whether this daemon has just started and no peer answered yet. The
 // first answer brings all members, as a small digest goes with each exchange.
 func (s *Service) mayMeetPeers() bool {
-	if s.met.Load() || s.now().Sub(s.started) >= s.options.SoloAfter {
+	if s.met.Load() || s.now().Sub(s.started) >= s.options.FirstContactTimeout {
 		return false
 	}
 	others := slices.ContainsFunc(s.options.Seeds, func(seed string) bool { return seed != s.options.Self.PeerAddress })
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -32,10 +32,10 @@
 
 // Work is a blocking part of a filter. It runs outside the actor and returns what
 // the filter would have returned.
-type Work func(ctx context.Context) Verdict
+type Work func(ctx context.Context) Decision
 
-// Verdict is what a filter decided about a job.
-type Verdict struct {
+// Decision is what a filter decided about a job.
+type Decision struct {
 	kind verdictKind
 	work Work
 	err  error
@@ -50,26 +50,26 @@
 )
 
 // Pass sends the job to the next filter; after the last one the job is finished.
-func Pass() Verdict { return Verdict{kind: verdictPass} }
+func Pass() Decision { return Decision{kind: verdictPass} }
 
 // Finish ends the chain for the job, with an error or, if nil, as decided early.
-func Finish(err error) Verdict { return Verdict{kind: verdictFinish, err: err} }
+func Finish(err error) Decision { return Decision{kind: verdictFinish, err: err} }
 
 // Await runs work outside the filter's thread and applies the verdict it returns.
-func Await(work Work) Verdict { return Verdict{kind: verdictAwait, work: work} }
+func Await(work Work) Decision { return Decision{kind: verdictAwait, work: work} }
 
 // Job is one request on its way.
 type Job interface {
 	// Context ends when the caller has gone or the request's deadline has passed.
 	Context() context.Context
-	// Decided is called once per Submit or Resubmit, when the chain has ended.
-	Decided(err error)
+	// OnChainEnd is called once per Submit or Resubmit, when the chain has ended.
+	OnChainEnd(err error)
 }
 
 // Filter is one step of the chain. Process must not block; it returns Await to wait.
 type Filter[J Job] interface {
 	Name() string
-	Process(j J) Verdict
+	Process(j J) Decision
 }
 
 // Options configures a Pipeline.
@@ -132,11 +132,11 @@
 			return
 		}
 	}
-	j.Decided(errors.AssertionFailedf("pipeline: no filter %q", filter))
+	j.OnChainEnd(errors.AssertionFailedf("pipeline: no filter %q", filter))
 }
 
-// Settled returns the credit of a job that needs the chain no more.
-func (p *Pipeline[J]) Settled() { <-p.credits }
+// ReleaseCredit returns the credit of a job that needs the chain no more.
+func (p *Pipeline[J]) ReleaseCredit() { <-p.credits }
 
 // InFlight returns the number of credits taken.
 func (p *Pipeline[J]) InFlight() int { return len(p.credits) }
@@ -146,7 +146,7 @@
 
 func (p *Pipeline[J]) enter(index int, j J) {
 	if index == len(p.stages) {
-		j.Decided(nil)
+		j.OnChainEnd(nil)
 		return
 	}
 	s := p.stages[index]
@@ -177,13 +177,13 @@
 	s.apply(m.job, s.process(m.job))
 }
 
-func (s *stage[J]) process(j J) Verdict {
-	return s.guard(func() Verdict { return s.filter.Process(j) })
+func (s *stage[J]) process(j J) Decision {
+	return s.guard(func() Decision { return s.filter.Process(j) })
 }
 
 // guard turns a panic into a refusal. Without it the supervisor would restart the
 // actor and the job would vanish: its caller would wait until its own timeout.
-func (s *stage[J]) guard(f func() Verdict) (v Verdict) {
+func (s *stage[J]) guard(f func() Decision) (v Decision) {
 	defer func() {
 		if r := recover(); r != nil {
 			s.pipeline.log.Error("Filter panicked", "filter", s.filter.Name(), "panic", r, "stack", string(debug.Stack()))
@@ -193,12 +193,12 @@
 	return f()
 }
 
-func (s *stage[J]) apply(j J, v Verdict) {
+func (s *stage[J]) apply(j J, v Decision) {
 	switch v.kind {
 	case verdictPass:
 		s.pipeline.enter(s.index+1, j)
 	case verdictFinish:
-		j.Decided(v.err)
+		j.OnChainEnd(v.err)
 	case verdictAwait:
 		go s.await(j, v.work)
 	}
@@ -206,5 +206,5 @@
 
 // await runs blocking work; the number of these goroutines is bounded by the credits.
 func (s *stage[J]) await(j J, work Work) {
-	s.apply(j, s.guard(func() Verdict { return work(j.Context()) }))
+	s.apply(j, s.guard(func() Decision { return work(j.Context()) }))
 }
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -17,29 +17,29 @@
 
 func newJob() *job                         { return &job{done: make(chan error, 1)} }
 func (j *job) Context() context.Context    { return context.Background() }
-func (j *job) Decided(err error)           { j.done <- err }
+func (j *job) OnChainEnd(err error)        { j.done <- err }
 func (j *job) wait(t *testing.T) (e error) { t.Helper(); return <-j.done }
 
 type filter struct {
 	name    string
-	process func(j *job) pipeline.Verdict
+	process func(j *job) pipeline.Decision
 }
 
 func (f filter) Name() string { return f.name }
-func (f filter) Process(j *job) pipeline.Verdict {
+func (f filter) Process(j *job) pipeline.Decision {
 	j.steps = append(j.steps, f.name)
 	return f.process(j)
 }
 
-func pass(*job) pipeline.Verdict { return pipeline.Pass() }
+func pass(*job) pipeline.Decision { return pipeline.Pass() }
 
 func start(credits int, filters ...pipeline.Filter[*job]) *pipeline.Pipeline[*job] {
 	return pipeline.New(pipeline.Options[*job]{Filters: filters, Credits: credits, Logger: hclog.NewNullLogger()})
 }
 
 func TestJobPassesAllFiltersInOrder(t *testing.T) {
-	await := func(*job) pipeline.Verdict {
-		return pipeline.Await(func(context.Context) pipeline.Verdict { return pipeline.Pass() })
+	await := func(*job) pipeline.Decision {
+		return pipeline.Await(func(context.Context) pipeline.Decision { return pipeline.Pass() })
 	}
 	p := start(1, filter{"a", pass}, filter{"b", await}, filter{"c", pass})
 	defer p.Shutdown()
@@ -71,8 +71,8 @@
 // smaller than the number of jobs in flight: credits exclude it.
 func TestFloodIsRefusedAtOnce(t *testing.T) {
 	release := make(chan struct{})
-	hold := func(*job) pipeline.Verdict {
-		return pipeline.Await(func(context.Context) pipeline.Verdict {
+	hold := func(*job) pipeline.Decision {
+		return pipeline.Await(func(context.Context) pipeline.Decision {
 			<-release
 			return pipeline.Pass()
 		})
@@ -98,7 +98,7 @@
 		if err := j.wait(t); err != nil {
 			t.Fatal(err)
 		}
-		p.Settled()
+		p.ReleaseCredit()
 	}
 	if p.InFlight() != 0 {
 		t.Fatalf("%d credits not returned", p.InFlight())
@@ -110,7 +110,7 @@
 // and drops the message, so the caller would wait for ever.
 func TestPanicIsAnsweredAndServiceGoesOn(t *testing.T) {
 	first := true
-	p := start(2, filter{"panics once", func(*job) pipeline.Verdict {
+	p := start(2, filter{"panics once", func(*job) pipeline.Decision {
 		if first {
 			first = false
 			panic("broken")
--- a/internal/steward/places.go
+++ b/internal/steward/places.go
@@ -28,7 +28,7 @@
 	if m, ok := p.stewards[id]; ok {
 		return m
 	}
-	m := members.Place(placeKey(id))
+	m := members.Owner(placeKey(id))
 	if m == nil {
 		m = members.Self()
 	}
--- a/internal/steward/places_test.go
+++ b/internal/steward/places_test.go
@@ -14,7 +14,7 @@
 
 func (m *movingMembers) Self() *peer.Member            { return &peer.Member{Id: "self"} }
 func (m *movingMembers) Live() []*peer.Member          { return m.live }
-func (m *movingMembers) Place(key string) *peer.Member { return membership.Place(m.live, key) }
+func (m *movingMembers) Owner(key string) *peer.Member { return membership.Owner(m.live, key) }
 
 func daemons(n int) []*peer.Member {
 	out := make([]*peer.Member, n)
@@ -33,7 +33,7 @@
 		m.live = live
 		for i := range 200 {
 			id := request.TargetID(fmt.Sprint("engine-", i%100))
-			want := m.Place(placeKey(id))
+			want := m.Owner(placeKey(id))
 			if want == nil {
 				want = m.Self()
 			}
@@ -62,7 +62,7 @@
 	b.Run("computed", func(b *testing.B) {
 		for b.Loop() {
 			for _, id := range ids {
-				m.Place(placeKey(id))
+				m.Owner(placeKey(id))
 			}
 		}
 	})
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -39,7 +39,7 @@
 	Self() *peer.Member
 	// Live returns the same slice until the live daemons change.
 	Live() []*peer.Member
-	Place(key string) *peer.Member
+	Owner(key string) *peer.Member
 }
 
 // Targets gives the client of a target.
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -27,7 +27,7 @@
 
 func (m fakeMembers) Self() *peer.Member                { return m.self }
 func (m fakeMembers) Live() []*peer.Member              { return nil }
-func (m fakeMembers) Place(string) *peer.Member         { return m.place }
+func (m fakeMembers) Owner(string) *peer.Member         { return m.place }
 func (m fakeMembers) Steward(*peer.Member) peer.Steward { return m.steward }
 func (m fakeMembers) Reset()                            {}
 func (m fakeMembers) Client(t table.Target) *target.Client {
