--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -13,85 +13,89 @@
 	"github.com/bluebellscale/bluebellscale/internal/peer"
 )
 
-// Peer is where an exchange goes. ID is empty for a seed whose id is not known.
+// Peer addresses the daemon that receives an exchange. ID is empty for a seed whose id is
+// not known.
 type Peer struct {
 	ID      string
 	Address string // host:port
 }
 
-// Core decides who is live and which exchanges to make. It is pure: it holds no clock and
-// no connection, and its seed determines its choices. It is not safe for concurrent use.
+// Core tracks which daemons are live and selects the exchanges to send. It holds no clock
+// and no connection, and Params.Seed determines its random choices. Core is not safe for
+// concurrent use.
 type Core struct {
-	self      *peer.Member // replaced, never changed in place, as all records
-	params    Params
-	rng       *rand.Rand
-	entries   entries
-	order     []string // members in the order of the next exchanges
-	retry     []string // members whose last exchange failed, oldest first
-	rumours   rumours
-	seeds     []string
-	ticks     uint64
-	exchanges uint64
-	contactAt time.Time // last exchange that worked, with anybody
-	urgent    bool
-	changes   uint64
-	replaced  bool
+	self        *peer.Member // immutable like all records; a change replaces it
+	params      Params
+	rng         *rand.Rand
+	entries     entries
+	order       []string // ids of members in the order of the next exchanges
+	retry       []string // ids of members whose last exchange failed, oldest first
+	updates     updateQueue
+	seeds       []string
+	ticks       uint64
+	exchanges   uint64
+	lastContact time.Time // last successful exchange with any peer
+	urgent      bool
+	changes     uint64
+	replaced    bool
 }
 
-// NewCore returns a Core that knows only itself and the peer addresses of some seeds. The
-// incarnation in self is the wall clock at the start, in nanoseconds.
+// NewCore returns a Core whose only member is self and that contacts the peer addresses in
+// seeds. The incarnation in self is the wall clock at process start, in nanoseconds.
 func NewCore(self *peer.Member, seeds []string, params Params) *Core {
 	params = params.withDefaults()
 	c := &Core{
 		params:  params,
 		rng:     rand.New(rand.NewPCG(params.Seed, 0x9e3779b97f4a7c15)),
 		entries: newEntries(),
-		rumours: newRumours(),
+		updates: newUpdateQueue(),
 		seeds:   slices.Clone(seeds),
 	}
 	c.self = proto.CloneOf(self)
 	c.self.State = alive
-	c.spread(c.self.Id)
+	c.broadcast(c.self.Id)
 	return c
 }
 
-// Self returns this daemon's own record. The caller must not change it.
+// Self returns this daemon's own record. The caller must not modify it.
 func (c *Core) Self() *peer.Member { return c.self }
 
-// Replaced tells that another process runs under this daemon's id with a higher
-// incarnation and another address; this one no longer counts as a member.
+// Replaced reports whether another process runs under this daemon's id with a higher
+// incarnation and another address. If so, this process is no longer a member.
 func (c *Core) Replaced() bool { return c.replaced }
 
-// Changes counts changes of Members, so that a caller knows when to read it again.
+// Changes returns the number of changes to the result of Members, so that a caller can
+// detect when to read it again.
 func (c *Core) Changes() uint64 { return c.changes }
 
-// Members returns all known members and this daemon, ordered by id, with their states as
-// they count here. The caller must not change them.
+// Members returns all known members, including this daemon, ordered by id. Their states
+// are this daemon's view of them. The caller must not modify the records.
 func (c *Core) Members() []*peer.Member {
 	members := []*peer.Member{c.Self()}
 	for _, e := range c.entries.sorted {
-		members = append(members, e.view())
+		members = append(members, e.localRecord())
 	}
 	slices.SortFunc(members, func(a, b *peer.Member) int { return strings.Compare(a.Id, b.Id) })
 	return members
 }
 
-// Leave announces that this daemon stops. It holds for the rest of the incarnation.
+// Leave announces that this daemon is shutting down. The leaving state is permanent for
+// the incarnation.
 func (c *Core) Leave() {
 	if c.self.State == leaving {
 		return
 	}
 	c.self = proto.CloneOf(c.self)
 	c.self.State = leaving
-	c.spread(c.self.Id)
+	c.broadcast(c.self.Id)
 	c.urgent = true
 	c.changes++
 }
 
-// MarkUrgent makes the next TakeUrgent begin exchanges at once.
+// MarkUrgent makes the next call of TakeUrgent return exchanges.
 func (c *Core) MarkUrgent() { c.urgent = true }
 
-// TakeUrgent returns exchanges for news that can't wait for the next tick.
+// TakeUrgent returns exchanges for updates that must not wait for the next tick.
 func (c *Core) TakeUrgent() []Peer {
 	if !c.urgent {
 		return nil
@@ -100,19 +104,19 @@
 	return c.pick(urgentFanout)
 }
 
-// Tick moves the timers and returns the exchanges of this interval.
+// Tick evaluates the timeouts and returns the exchanges of this interval.
 func (c *Core) Tick(now time.Time) []Peer {
 	c.ticks++
 	c.expire(now)
 	peers := c.pick(c.params.Fanout)
 	peers = c.addRetry(peers)
 	if c.ticks%reconnectTicks == 1 || len(peers) == 0 {
-		peers = c.addLost(peers)
+		peers = c.addReconnect(peers)
 	}
 	return peers
 }
 
-// expire turns suspects dead and forgets the dead.
+// expire declares members suspect or dead and removes dead ones as their timeouts pass.
 func (c *Core) expire(now time.Time) {
 	for _, e := range slices.Clone(c.entries.sorted) {
 		c.expireEntry(now, e)
@@ -120,12 +124,12 @@
 }
 
 func (c *Core) expireEntry(now time.Time, e *entry) {
-	if e.suspectSince.IsZero() && e.silent(now, c.params.SuspectAfter) {
+	if e.suspectSince.IsZero() && e.unresponsive(now, c.params.SuspectAfter) {
 		c.suspectEntry(now, e)
 	}
-	gone := !e.goneSince.IsZero() && now.Sub(e.goneSince) >= c.params.ForgetUnlistedAfter
+	unlisted := !e.unlistedSince.IsZero() && now.Sub(e.unlistedSince) >= c.params.ForgetUnlistedAfter
 	if e.deadSince.IsZero() && !e.suspectSince.IsZero() {
-		if gone || now.Sub(e.suspectSince) >= c.params.DeadAfter {
+		if unlisted || now.Sub(e.suspectSince) >= c.params.DeadAfter {
 			e.deadSince = now
 			c.changes++
 		}
@@ -133,33 +137,34 @@
 	if e.deadSince.IsZero() {
 		return
 	}
-	if gone || now.Sub(e.deadSince) >= c.params.ForgetAfter {
+	if unlisted || now.Sub(e.deadSince) >= c.params.ForgetAfter {
 		c.entries.remove(e.record.Id)
-		c.rumours.remove(e.record.Id)
+		c.updates.remove(e.record.Id)
 		c.changes++
 	}
 }
 
-// suspectEntry begins this daemon's own suspicion.
+// suspectEntry starts this daemon's own suspicion of a member.
 //
-// The failure: this daemon is cut off, all its exchanges fail, and it would suspect
-// everybody. It tells others only if somebody answered since the member stopped to; a
-// daemon that nobody answers keeps its suspicions to itself.
+// A daemon behind a network partition fails all its exchanges and would suspect every
+// other member. suspectEntry therefore broadcasts the suspicion only if some peer has
+// answered since the member's first failed exchange; an isolated daemon keeps its
+// suspicions local.
 func (c *Core) suspectEntry(now time.Time, e *entry) {
 	e.beginSuspicion(now)
 	c.changes++
-	isolated := !c.contactAt.After(e.failedSince)
-	held := !e.rumouredAt.IsZero() && now.Sub(e.rumouredAt) < rumourHold
-	if isolated || held || e.record.State != alive {
+	isolated := !c.lastContact.After(e.failedSince)
+	recentlyAnnounced := !e.suspicionSentAt.IsZero() && now.Sub(e.suspicionSentAt) < suspicionInterval
+	if isolated || recentlyAnnounced || e.record.State != alive {
 		return
 	}
 	e.record = suspectCopy(e.record)
-	e.rumouredAt = now
-	c.spread(e.record.Id)
+	e.suspicionSentAt = now
+	c.broadcast(e.record.Id)
 }
 
-// pick returns the next n members in a shuffled order that visits each once before any
-// twice, so that the time until some member notices a failure is bounded.
+// pick returns the next n members of a shuffled order in which each member appears once
+// before any appears again. This bounds the time until some daemon detects a failure.
 func (c *Core) pick(n int) []Peer {
 	var peers []Peer
 	for range len(c.order) + c.entries.len() {
@@ -189,7 +194,7 @@
 	c.rng.Shuffle(len(c.order), func(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] })
 }
 
-// addRetry tries again the member that failed longest ago.
+// addRetry adds the member whose failed exchange has waited longest for a retry.
 func (c *Core) addRetry(peers []Peer) []Peer {
 	for len(c.retry) > 0 {
 		id := c.retry[0]
@@ -202,26 +207,26 @@
 	return peers
 }
 
-// addLost tries a dead member or a seed that is no member, so that two halves of a fleet
-// that were cut apart find each other again.
-func (c *Core) addLost(peers []Peer) []Peer {
-	var lost []Peer
+// addReconnect adds a dead member or a seed that is not a member, so that the two sides of
+// a network partition reconnect after it heals.
+func (c *Core) addReconnect(peers []Peer) []Peer {
+	var candidates []Peer
 	known := map[string]bool{c.self.PeerAddress: true}
 	for _, e := range c.entries.sorted {
 		known[e.record.PeerAddress] = true
 		if !e.deadSince.IsZero() {
-			lost = append(lost, peerOf(e))
+			candidates = append(candidates, peerOf(e))
 		}
 	}
 	for _, address := range c.seeds {
 		if !known[address] {
-			lost = append(lost, Peer{Address: address})
+			candidates = append(candidates, Peer{Address: address})
 		}
 	}
-	if len(lost) == 0 {
+	if len(candidates) == 0 {
 		return peers
 	}
-	return addPeer(peers, lost[c.rng.IntN(len(lost))])
+	return addPeer(peers, candidates[c.rng.IntN(len(candidates))])
 }
 
 func addPeer(peers []Peer, p Peer) []Peer {
@@ -233,15 +238,17 @@
 
 func peerOf(e *entry) Peer { return Peer{ID: e.record.Id, Address: e.record.PeerAddress} }
 
-// spread makes a member's record news. News told by each daemon a little more often than
-// the logarithm of the fleet reaches nearly all; the digests bring it to the rest.
-func (c *Core) spread(id string) {
-	c.rumours.add(id, bits.Len(uint(c.entries.len()+1))+2)
+// broadcast queues a member's record for the next outgoing messages. An update that each
+// daemon sends slightly more often than the logarithm of the fleet size reaches nearly all
+// daemons; the digests deliver it to the rest.
+func (c *Core) broadcast(id string) {
+	c.updates.add(id, bits.Len(uint(c.entries.len()+1))+2)
 }
 
-// SetVMs takes the platform's VM list as the peer addresses of entry VMs. The list lags,
-// so it is only a hint: addresses on it are tried, and a member that is missing on it
-// for long is given up sooner, but only once it does not answer either.
+// SetVMs takes the peer addresses of the entry VMs in the platform's VM list. The list lags
+// behind the fleet, so it is only a hint: the Core contacts the listed addresses, and it
+// removes a member that is missing from the list for ForgetUnlistedAfter sooner than
+// others, but only if the member does not answer either.
 func (c *Core) SetVMs(now time.Time, addresses []string) {
 	c.seeds = mergeSeeds(c.seeds, addresses)
 	hosts := make(map[string]bool, len(addresses))
@@ -250,14 +257,14 @@
 	}
 	for _, e := range c.entries.sorted {
 		if hosts[hostOf(e.record.PeerAddress)] {
-			e.goneSince = time.Time{}
-		} else if e.goneSince.IsZero() {
-			e.goneSince = now
+			e.unlistedSince = time.Time{}
+		} else if e.unlistedSince.IsZero() {
+			e.unlistedSince = now
 		}
 	}
 }
 
-// maxSeeds bounds the addresses kept to try.
+// maxSeeds limits the seed addresses that a Core retains.
 const maxSeeds = 1024
 
 func mergeSeeds(seeds, addresses []string) []string {
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,13 +1,12 @@
-// Package membership tells each daemon which other daemons are live, and which of them
-// has the place of a key.
+// Package membership determines which daemons are live and which live daemon owns a key.
 //
-// Each daemon exchanges what it knows with a few others in each interval. The exchange
-// itself is the heartbeat: a daemon that does not answer becomes suspect, the suspicion
-// spreads, and it becomes dead unless it answers the suspicion with a higher heartbeat.
-// News spreads with the exchanges, and a digest of all members now and then repairs
-// what was missed. So the work of a daemon does not grow with the number of daemons.
+// Each daemon exchanges membership records with a few peers in each interval. An exchange
+// also serves as the heartbeat: a daemon that does not answer becomes suspect, its peers
+// broadcast the suspicion, and the daemon becomes dead unless it refutes the suspicion with
+// a higher heartbeat. Exchanges carry recent updates, and periodic digests of all members
+// repair missed ones, so the work of a daemon does not grow with the number of daemons.
 //
-// Core is pure: time comes as an argument and exchanges to make come back as values. A
-// node adds the table's pages and the quarantine findings, and Service is the shell
-// that holds the clock and the connections. See docs/design/membership.md.
+// Core implements the protocol without I/O: it takes the time as an argument and returns
+// the exchanges to send. A node adds the pages of the table and the crash records of the
+// quarantine. Service adds the clock and the connections. See docs/design/membership.md.
 package membership
--- a/internal/membership/entries.go
+++ b/internal/membership/entries.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// entries holds the other members, by id and in the order of their ids.
+// entries holds the other members, indexed by id and sorted by id.
 type entries struct {
 	byID   map[string]*entry
 	sorted []*entry
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -9,11 +9,11 @@
 	"github.com/bluebellscale/bluebellscale/internal/peer"
 )
 
-// Request returns the membership part of an exchange with a peer.
+// Request returns the membership part of an exchange request to a peer.
 func (c *Core) Request(to Peer) *peer.ExchangeRequest {
 	c.exchanges++
-	r := &peer.ExchangeRequest{From: c.self.Id, Updates: c.takeRumours()}
-	// A suspect or dead member must hear of it to answer.
+	r := &peer.ExchangeRequest{From: c.self.Id, Updates: c.takeUpdates()}
+	// A suspect or dead member must receive the suspicion to be able to refute it.
 	if e, ok := c.entries.get(to.ID); ok && e.state() != alive && e.record.State != leaving {
 		r.Updates = append(r.Updates, suspectCopy(e.record))
 	}
@@ -30,7 +30,8 @@
 	return copied
 }
 
-// digest covers this daemon and all members that are not dead here.
+// digest returns the versions of this daemon and of all members that it does not consider
+// dead.
 func (c *Core) digest() []*peer.MemberDigest {
 	digest := []*peer.MemberDigest{toDigest(c.self)}
 	for _, e := range c.entries.sorted {
@@ -41,18 +42,18 @@
 	return digest
 }
 
-// takeRumours returns the news for one message.
-func (c *Core) takeRumours() []*peer.Member {
-	var news []*peer.Member
-	for _, id := range c.rumours.take(maxRumours) {
+// takeUpdates returns the queued records for one message.
+func (c *Core) takeUpdates() []*peer.Member {
+	var updates []*peer.Member
+	for _, id := range c.updates.take(maxUpdates) {
 		if m := c.record(id); m != nil {
-			news = append(news, m)
+			updates = append(updates, m)
 		}
 	}
-	return news
+	return updates
 }
 
-// record returns a member's record, nil if it is not known.
+// record returns a member's record, or nil if the member is unknown.
 func (c *Core) record(id string) *peer.Member {
 	if id == c.self.Id {
 		return c.Self()
@@ -64,14 +65,14 @@
 	return e.record
 }
 
-// OnExchange takes a peer's request and returns the answer.
+// OnExchange handles a peer's exchange request and returns the response.
 func (c *Core) OnExchange(now time.Time, r *peer.ExchangeRequest) *peer.ExchangeResponse {
 	c.mergeAll(now, r.Updates)
 	response := &peer.ExchangeResponse{From: c.self.Id}
 	if len(r.Digest) > 0 {
 		response.Updates, response.Wanted = c.compare(now, r.Digest)
 	}
-	response.Updates = c.addUpdates(response.Updates, c.takeRumours())
+	response.Updates = c.addUpdates(response.Updates, c.takeUpdates())
 	if _, known := c.entries.get(r.From); !known && r.From != c.self.Id && !slices.Contains(response.Wanted, r.From) {
 		response.Wanted = append(response.Wanted, r.From)
 	}
@@ -87,13 +88,14 @@
 	return updates
 }
 
-// compare returns what the sender of a digest lacks, and what is lacking here.
+// compare returns the records that the sender of a digest lacks, and the ids of the records
+// that this daemon lacks.
 func (c *Core) compare(now time.Time, digest []*peer.MemberDigest) (updates []*peer.Member, wanted []string) {
-	named := make(map[string]bool, len(digest))
+	listed := make(map[string]bool, len(digest))
 	for _, d := range digest {
-		named[d.Id] = true
+		listed[d.Id] = true
 		if d.Id == c.self.Id {
-			c.answerSuspicion(versionOfDigest(d), c.self.PeerAddress)
+			c.refute(versionOfDigest(d), c.self.PeerAddress)
 		}
 		m := c.record(d.Id)
 		if m == nil {
@@ -104,35 +106,35 @@
 		}
 		theirs, ours := versionOfDigest(d), versionOfMember(m)
 		switch {
-		case ours.after(theirs):
+		case ours.supersedes(theirs):
 			updates = append(updates, m)
-		case theirs.after(ours):
+		case theirs.supersedes(ours):
 			wanted = append(wanted, d.Id)
 		}
 	}
-	if !named[c.self.Id] {
+	if !listed[c.self.Id] {
 		updates = append(updates, c.Self())
 	}
 	for _, e := range c.entries.sorted {
-		if !named[e.record.Id] && e.deadSince.IsZero() {
+		if !listed[e.record.Id] && e.deadSince.IsZero() {
 			updates = append(updates, e.record)
 		}
 	}
 	return updates, wanted
 }
 
-// OnReply takes a peer's answer. It returns the records that the peer asked for; they go
-// to it in one more exchange.
+// OnReply handles a peer's response. It returns the records that the peer requested, which
+// the caller sends to it in a second exchange.
 func (c *Core) OnReply(now time.Time, to Peer, r *peer.ExchangeResponse) []*peer.Member {
 	if r.From == c.self.Id {
 		return nil
 	}
-	c.noteContact(now)
+	c.recordContact(now)
 	c.mergeAll(now, r.Updates)
 	if e, ok := c.entries.get(r.From); ok && e.record.PeerAddress == to.Address {
 		before := e.state()
-		e.answered()
-		c.noteState(before, e)
+		e.recordSuccess()
+		c.recordStateChange(before, e)
 	}
 	var wanted []*peer.Member
 	for _, id := range r.Wanted {
@@ -143,102 +145,104 @@
 	return wanted
 }
 
-// noteContact notes that somebody answered.
+// recordContact records that a peer answered.
 //
-// The failure: this daemon was cut off from everybody and found all others dead. When
-// the cut ends it would find them alive one by one, as it tries one of the dead now and
-// then. If nobody at all answered for some time, the fault was on this side, so the first
-// answer takes back the suspicions of its own; whoever is really gone is found again.
-func (c *Core) noteContact(now time.Time) {
-	silence := now.Sub(c.contactAt)
-	c.contactAt = now
-	if silence < c.params.SuspectAfter {
+// A daemon that was partitioned from all its peers has declared them dead. After the
+// partition heals, its reconnect attempts would find them alive only one by one. If no
+// peer answered for SuspectAfter, the fault was on this daemon's side, so the first
+// response clears all suspicions that rest on its own failed exchanges. Members that are
+// really down are detected again.
+func (c *Core) recordContact(now time.Time) {
+	sinceContact := now.Sub(c.lastContact)
+	c.lastContact = now
+	if sinceContact < c.params.SuspectAfter {
 		return
 	}
 	for _, e := range c.entries.sorted {
 		before := e.state()
 		if !e.failedSince.IsZero() {
-			e.answered()
-			c.noteState(before, e)
+			e.recordSuccess()
+			c.recordStateChange(before, e)
 		}
 	}
 }
 
-// OnFailure notes that a peer did not answer an exchange.
+// OnFailure records that a peer did not answer an exchange.
 func (c *Core) OnFailure(now time.Time, to Peer) {
 	e, ok := c.entries.get(to.ID)
 	if !ok || e.record.PeerAddress != to.Address {
 		return
 	}
-	e.failed(now)
+	e.recordFailure(now)
 	if e.deadSince.IsZero() && !slices.Contains(c.retry, to.ID) {
 		c.retry = append(c.retry, to.ID)
 	}
 }
 
-// mergeAll takes the records of one message. More of them than news in a message come
-// from the comparison with a digest: what is new here is old elsewhere, and a fleet that
-// starts at once would tell all of it again.
+// mergeAll merges the records of one message and broadcasts the changed ones. A message
+// with more than maxUpdates records comes from a comparison with a digest. Its records are
+// new only to this daemon, and in a fleet that starts all at once every daemon would
+// broadcast all of them again.
 func (c *Core) mergeAll(now time.Time, records []*peer.Member) {
-	news := len(records) <= maxRumours
+	rebroadcast := len(records) <= maxUpdates
 	for _, m := range records {
-		if c.merge(now, m) && news {
-			c.spread(m.Id)
+		if c.merge(now, m) && rebroadcast {
+			c.broadcast(m.Id)
 		}
 	}
 }
 
-// merge takes a record if it is newer than the one held, and tells whether it did.
+// merge stores a record if it is newer than the one held, and reports whether it did.
 func (c *Core) merge(now time.Time, m *peer.Member) bool {
 	if m.State == dead {
 		m = suspectCopy(m)
 	}
 	if m.Id == c.self.Id {
-		c.answerSuspicion(versionOfMember(m), m.PeerAddress)
+		c.refute(versionOfMember(m), m.PeerAddress)
 		return false
 	}
 	e, known := c.entries.get(m.Id)
 	if !known {
-		// A suspect that is unknown here was forgotten or is about to be.
+		// An unknown suspect has been removed here or will soon be removed by its peers.
 		if m.State == suspect {
 			return false
 		}
-		c.join(m)
+		c.addMember(m)
 		return true
 	}
-	if !versionOfMember(m).after(versionOfMember(e.record)) {
+	if !versionOfMember(m).supersedes(versionOfMember(e.record)) {
 		return false
 	}
 	before := e.state()
 	e.replace(m, now)
-	c.noteState(before, e)
+	c.recordStateChange(before, e)
 	return true
 }
 
-func (c *Core) join(m *peer.Member) {
+func (c *Core) addMember(m *peer.Member) {
 	c.entries.add(&entry{record: m})
-	// Anywhere in the order, so that not all daemons turn to the new one at once.
+	// The random position keeps the daemons from all contacting the new member at once.
 	c.order = slices.Insert(c.order, c.rng.IntN(len(c.order)+1), m.Id)
 	c.changes++
 }
 
-func (c *Core) noteState(before peer.MemberState, e *entry) {
+func (c *Core) recordStateChange(before peer.MemberState, e *entry) {
 	if after := e.state(); after != before {
 		c.changes++
-		// Peers must stop to send a leaving daemon new work.
+		// Peers must promptly stop sending new work to a leaving daemon.
 		c.urgent = c.urgent || after == leaving
 	}
 }
 
-// answerSuspicion reacts to what others hold of this daemon: a suspicion is answered by a
-// higher heartbeat, and a record of an earlier process with this id by a higher
-// incarnation. The latter happens if the wall clock was set back between two starts.
+// refute responds to a peer's record of this daemon that supersedes its own. It answers a
+// suspicion with a higher heartbeat, and a record of an earlier process with this id with a
+// higher incarnation. The latter occurs if the wall clock was set back between two starts.
 //
-// The failure: an old process of this id still runs elsewhere. The one with the lower
-// incarnation must not outbid the other; it finds out that it was replaced.
-func (c *Core) answerSuspicion(theirs version, address string) {
+// An old process with this id may still run at another address. The process with the lower
+// incarnation must not raise it above the other's; it marks itself as replaced instead.
+func (c *Core) refute(theirs version, address string) {
 	ours := versionOfMember(c.self)
-	if !theirs.after(ours) {
+	if !theirs.supersedes(ours) {
 		return
 	}
 	replacing := proto.CloneOf(c.self)
@@ -254,5 +258,5 @@
 	c.self = replacing
 	c.replaced = false
 	c.changes++
-	c.spread(c.self.Id)
+	c.broadcast(c.self.Id)
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -7,7 +7,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// Table is the daemon's copy of the operators' table; *table.Replica is one.
+// Table is the daemon's copy of the operators' table, implemented by *table.Replica.
 type Table interface {
 	Digest() (hash uint64, pages []*peer.PageDigest)
 	Above(have []*peer.PageDigest) []*peer.Page
@@ -18,76 +18,76 @@
 	Changed() <-chan struct{}
 }
 
-// CrashRecords holds the quarantine's findings, to be shared by all daemons.
+// CrashRecords holds the crash records of the quarantine, which all daemons share.
 type CrashRecords interface {
 	Hash() uint64
 	All() []*peer.Finding
-	Merge(findings []*peer.Finding) int // returns how many were new
+	Merge(records []*peer.Finding) int // returns the number of new records
 }
 
-// proofPage is a reserved page name. A digest entry of this name carries, in place of a
-// revision, the age in milliseconds of the sender's proof that its table is current.
+// proofPage is a reserved page name. The revision of a digest entry with this name is the
+// age, in milliseconds, of the sender's proof that its table is current.
 const proofPage = "proof-age-ms"
 
-// findingsSends is how many exchanges carry the findings after they changed.
-const findingsSends = 12
+// crashRecordSends is the number of exchanges that carry the crash records after a change.
+const crashRecordSends = 12
 
-// node joins the Core with the table and the findings. It is as pure as the Core: the
-// time comes as an argument.
+// node combines the Core with the table and the crash records. Like the Core, it performs
+// no I/O and takes the time as an argument.
 type node struct {
-	core         *Core
-	table        Table        // may be nil
-	findings     CrashRecords // may be nil
-	findingsHash uint64       // when they were last looked at
-	findingsLeft int          // exchanges that still carry them
-	hot          hotPages
+	core                 *Core
+	table                Table        // may be nil
+	crashRecords         CrashRecords // may be nil
+	crashRecordsHash     uint64       // hash at the last request
+	crashRecordSendsLeft int          // exchanges that still carry the records
+	recent               recentPages
 }
 
-// newNode returns a node; table and findings may be nil.
-func newNode(core *Core, t Table, findings CrashRecords) *node {
-	return &node{core: core, table: t, findings: findings, hot: newHotPages()}
+// newNode returns a node. The table and the crash records may be nil.
+func newNode(core *Core, t Table, crashRecords CrashRecords) *node {
+	return &node{core: core, table: t, crashRecords: crashRecords, recent: newRecentPages()}
 }
 
-// pull asks a peer for pages of the table.
+// pull is a pending request to a peer for pages of the table.
 type pull struct {
 	from Peer
 	want []*peer.PageDigest
 }
 
-// request is an exchange to send.
+// request returns the next exchange request to a peer.
 func (n *node) request(to Peer) *peer.ExchangeRequest {
 	r := n.core.Request(to)
 	if n.table != nil {
 		hash, pages := n.table.Digest()
 		r.TableHash = hash
-		r.Pages = n.hot.take(hash, pages)
+		r.Pages = n.recent.take(hash, pages)
 	}
-	if n.findings != nil {
-		r.FindingsHash = n.findings.Hash()
-		n.addFindings(r)
+	if n.crashRecords != nil {
+		r.FindingsHash = n.crashRecords.Hash()
+		n.addCrashRecords(r)
 	}
 	return r
 }
 
-func (n *node) addFindings(r *peer.ExchangeRequest) {
-	if r.FindingsHash != n.findingsHash {
-		n.findingsHash = r.FindingsHash
-		n.findingsLeft = findingsSends
+func (n *node) addCrashRecords(r *peer.ExchangeRequest) {
+	if r.FindingsHash != n.crashRecordsHash {
+		n.crashRecordsHash = r.FindingsHash
+		n.crashRecordSendsLeft = crashRecordSends
 	}
-	if n.findingsLeft > 0 {
-		n.findingsLeft--
-		r.Findings = n.findings.All()
+	if n.crashRecordSendsLeft > 0 {
+		n.crashRecordSendsLeft--
+		r.Findings = n.crashRecords.All()
 	}
 }
 
-// onExchange answers a peer's exchange, and tells whether pages should be pulled from the
-// sender.
+// onExchange returns the response to a peer's exchange, and a pull if the sender lists
+// pages that are newer than the local ones.
 func (n *node) onExchange(now time.Time, r *peer.ExchangeRequest) (*peer.ExchangeResponse, *pull) {
 	response := n.core.OnExchange(now, r)
-	if n.findings != nil {
-		n.findings.Merge(r.Findings)
-		if n.findings.Hash() != r.FindingsHash {
-			response.Findings = n.findings.All()
+	if n.crashRecords != nil {
+		n.crashRecords.Merge(r.Findings)
+		if n.crashRecords.Hash() != r.FindingsHash {
+			response.Findings = n.crashRecords.All()
 		}
 	}
 	if n.table == nil {
@@ -114,22 +114,22 @@
 	return &pull{from: peerOf(e), want: pages}
 }
 
-// next is what follows from a peer's answer.
-type next struct {
-	exchange *peer.ExchangeRequest // one more exchange with the same peer
+// followUp holds the calls that follow a peer's response; each may be nil.
+type followUp struct {
+	exchange *peer.ExchangeRequest // second exchange with the same peer
 	pull     *pull
 }
 
-// onReply takes the answer to a request that was sent at sent.
-func (n *node) onReply(now, sent time.Time, to Peer, asked *peer.ExchangeRequest, r *peer.ExchangeResponse) next {
+// onReply handles the response to the request asked, which was sent at the time sent.
+func (n *node) onReply(now, sent time.Time, to Peer, asked *peer.ExchangeRequest, r *peer.ExchangeResponse) followUp {
 	wanted := n.core.OnReply(now, to, r)
-	var follow next
+	var follow followUp
 	if len(wanted) > 0 {
 		follow.exchange = n.request(to)
 		follow.exchange.Updates = n.core.addUpdates(follow.exchange.Updates, wanted)
 	}
-	if n.findings != nil {
-		n.findings.Merge(r.Findings)
+	if n.crashRecords != nil {
+		n.crashRecords.Merge(r.Findings)
 	}
 	if n.table == nil || r.From == n.core.self.Id {
 		return follow
@@ -140,7 +140,7 @@
 		follow.pull = &pull{from: to, want: pages}
 	}
 	if len(asked.Pages) > 0 {
-		return follow // the peer already knows what is new here
+		return follow // the request listed the pages that are new here
 	}
 	if newer := n.newerThan(pages, r.TableHash); len(newer) > 0 {
 		if follow.exchange == nil {
@@ -151,7 +151,7 @@
 	return follow
 }
 
-// splitProof parts the pages of an answer from the proof that goes with them.
+// splitProof separates the page digests of a response from the proof sent with them.
 func splitProof(r *peer.ExchangeResponse) ([]*peer.PageDigest, table.PeerProof) {
 	proof := table.PeerProof{Age: table.NeverConfirmed, Hash: r.TableHash}
 	for _, d := range r.Pages {
@@ -164,7 +164,7 @@
 	return proof.Pages, proof
 }
 
-// newerThan returns the digest of pages held here that a peer lacks.
+// newerThan returns the digest of the local pages that are newer than the peer's.
 func (n *node) newerThan(theirs []*peer.PageDigest, theirHash uint64) []*peer.PageDigest {
 	hash, ours := n.table.Digest()
 	if hash == theirHash {
@@ -183,13 +183,13 @@
 	return newer
 }
 
-// pagesRequest asks for all pages above those held here.
+// pagesRequest returns a request for all pages that are newer than the local ones.
 func (n *node) pagesRequest() *peer.PagesRequest {
 	_, have := n.table.Digest()
 	return &peer.PagesRequest{Have: have}
 }
 
-// onPages answers a peer's question for pages.
+// onPages returns the response to a peer's request for pages.
 func (n *node) onPages(r *peer.PagesRequest) *peer.PagesResponse {
 	if n.table == nil {
 		return &peer.PagesResponse{}
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -11,32 +11,32 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// Defaults of the shell.
+// Defaults and limits of a Service.
 const (
-	defaultExchangeTimeout = time.Second
-	defaultPullTimeout     = 2 * time.Second
-	defaultVMInterval      = 10 * time.Second
-	defaultSoloAfter       = 2 * time.Second
-	// urgentGap is the least time between two rounds of urgent exchanges, so that a
-	// large edit of the table does not flood the peers.
-	urgentGap = 20 * time.Millisecond
-	// maxInFlight bounds the exchanges under way; further ones are left out, and later
-	// rounds repair it.
+	defaultExchangeTimeout     = time.Second
+	defaultPullTimeout         = 2 * time.Second
+	defaultVMInterval          = 10 * time.Second
+	defaultFirstContactTimeout = 2 * time.Second
+	// minUrgentInterval is the minimum time between two rounds of urgent exchanges. It
+	// keeps a large edit of the table from flooding the peers.
+	minUrgentInterval = 20 * time.Millisecond
+	// maxInFlight limits concurrent exchanges. The Service skips exchanges above the
+	// limit; later rounds make up for them.
 	maxInFlight = 32
-	// pullRing bounds the pulls that wait.
-	pullRing = 64
-	// entryRole is the role of daemons' VMs in the VM list.
+	// pullQueueSize limits the queued pulls.
+	pullQueueSize = 64
+	// entryRole is the role of the daemons' VMs in the VM list.
 	entryRole = "entry"
 )
 
 // Options configures a Service.
 type Options struct {
-	Self         *peer.Member // the incarnation is set at the start if it is 0
+	Self         *peer.Member // New sets the incarnation if it is 0
 	Seeds        []string     // peer addresses, host:port
 	Table        Table        // may be nil
 	CrashRecords CrashRecords // may be nil
 	VMs          platform.VMList
-	Client       *http.Client // nil: a client of its own
+	Client       *http.Client // nil: New creates a client
 	Logger       hclog.Logger
 	Metrics      tally.Scope
 	Now          func() time.Time // nil: time.Now
@@ -45,7 +45,7 @@
 	ExchangeTimeout     time.Duration // 0: 1 s
 	PullTimeout         time.Duration // 0: 2 s
 	VMInterval          time.Duration // 0: 10 s
-	FirstContactTimeout time.Duration // a daemon that met nobody counts itself alone after this; 0: 2 s
+	FirstContactTimeout time.Duration // how long RanksInRegion waits for a first contact; 0: 2 s
 }
 
 func withDefaults(o Options) Options {
@@ -76,6 +76,6 @@
 	set(&o.ExchangeTimeout, defaultExchangeTimeout)
 	set(&o.PullTimeout, defaultPullTimeout)
 	set(&o.VMInterval, defaultVMInterval)
-	set(&o.FirstContactTimeout, defaultSoloAfter)
+	set(&o.FirstContactTimeout, defaultFirstContactTimeout)
 	return o
 }
--- a/internal/membership/params.go
+++ b/internal/membership/params.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Params are the settings of a Core. Zero values stand for the defaults.
+// Params configures a Core. A zero value selects the default.
 type Params struct {
-	Interval            time.Duration // between ticks; 1 s
-	SuspectAfter        time.Duration // a daemon that has not answered for this long is suspect; 2 s
-	DeadAfter           time.Duration // a suspect that has not answered for this long is dead; 5 s
-	ForgetAfter         time.Duration // a dead daemon is forgotten after this; 10 min
-	ForgetUnlistedAfter time.Duration // the same for one that is gone from the VM list; 90 s
-	Fanout              int           // exchanges begun in each interval; 2
-	Seed                uint64        // of the choice of peers
+	Interval            time.Duration // time between ticks; default 1 s
+	SuspectAfter        time.Duration // a member that has not answered for this long becomes suspect; default 2 s
+	DeadAfter           time.Duration // a suspect that has not answered for this long becomes dead; default 5 s
+	ForgetAfter         time.Duration // a dead member is removed after this time; default 10 min
+	ForgetUnlistedAfter time.Duration // the same for a member missing from the VM list; default 90 s
+	Fanout              int           // exchanges started in each interval; default 2
+	Seed                uint64        // seed of the random choice of peers
 }
 
 func (p Params) withDefaults() Params {
@@ -31,18 +31,20 @@
 }
 
 const (
-	// digestBudget is the average number of members whose digest goes with an exchange:
-	// a fleet of N sends its whole digest with every N/digestBudget-th exchange.
+	// digestBudget is the average number of digest entries in an exchange: a daemon of a
+	// fleet of N sends its complete digest with every N/digestBudget-th exchange.
 	digestBudget = 32
-	// maxRumours bounds the news in one message.
-	maxRumours = 12
-	// reconnectTicks is how often a tick tries a dead member or a seed besides.
+	// maxUpdates limits the queued updates in one message.
+	maxUpdates = 12
+	// reconnectTicks is the interval, in ticks, at which a daemon additionally contacts a
+	// dead member or a seed.
 	reconnectTicks = 5
-	// rumourHold is how long a daemon that was suspected is not suspected aloud again by
-	// the same peer: one broken path must not cause news without end.
-	rumourHold = time.Minute
-	// minFailures is how many exchanges must fail before a member is suspect.
+	// suspicionInterval is the minimum time between two broadcasts of one daemon's
+	// suspicion of the same member. Without it, a single broken network path would cause
+	// an endless stream of updates.
+	suspicionInterval = time.Minute
+	// minFailures is the number of exchanges that must fail before a member is suspect.
 	minFailures = 2
-	// urgentFanout is how many peers are told at once of news that can't wait.
+	// urgentFanout is the number of peers that receive an urgent update at once.
 	urgentFanout = 3
 )
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// proofLimit is the age of a proof above which these daemons would take no new requests.
+// proofLimit is the age of a proof above which these daemons would reject new requests.
 const proofLimit = 500 * time.Millisecond
 
 func (d *daemon) fresh() bool { return d.replica.Confirmed(time.Now()) < proofLimit }
@@ -24,7 +24,7 @@
 // setLoadCap writes the model's row as an operator does.
 func (e *environment) setLoadCap(t *testing.T, loadCap int) {
 	t.Helper()
-	editor := table.NewEditor(table.EditorOptions{KV: e.service.Client("operator"), Who: "ana"})
+	editor := table.NewEditor(table.EditorOptions{KV: e.keyValue.Client("operator"), Who: "ana"})
 	data := fmt.Sprintf("id,default_version,bytes_per_token,load_cap\nverdict,v3,131072,%d\n", loadCap)
 	plan, err := editor.Plan(t.Context(), []table.File{{Name: "models.csv", Data: []byte(data)}})
 	if err != nil {
@@ -35,7 +35,8 @@
 	}
 }
 
-// startFleet starts daemons that have the model's row in force, with a fresh proof.
+// startFleet starts daemons and waits until each has applied the model's row and holds a
+// fresh proof.
 func (e *environment) startFleet(t *testing.T, size int) []*daemon {
 	t.Helper()
 	e.setLoadCap(t, 1)
@@ -44,93 +45,94 @@
 		fleet = append(fleet, e.start(t, fmt.Sprintf("daemon-%d", i), fleet[0].Self().PeerAddress))
 	}
 	for _, d := range fleet {
-		eventually(t, "the fleet whole", func() bool { return len(d.Live()) == size && d.loadCap() == 1 && d.fresh() })
+		eventually(t, "all daemons live with the row and a fresh proof", func() bool { return len(d.Live()) == size && d.loadCap() == 1 && d.fresh() })
 	}
 	return fleet
 }
 
-// One daemon loses its connections: to the service, to its peers, or to both. Cut from
-// one side it learns an edit from the other and stays current. Cut from both it can't
-// know that there was an edit; a daemon that took requests on would use the old row for
-// ever. Its proof must grow old, and be fresh again soon after the cut ends.
+// TestPartitionOfOneDaemon separates one daemon from the key-value service, from its peers,
+// or from both. With one side reachable, the daemon learns of an edit there and stays
+// current. With neither, it cannot detect the edit, and a daemon that accepted further
+// requests would use the old row indefinitely. Its proof must expire, and must be fresh
+// again soon after the partition heals.
 func TestPartitionOfOneDaemon(t *testing.T) {
 	const size = 4
-	for _, cut := range []struct{ service, peers bool }{{true, false}, {false, true}, {true, true}} {
-		t.Run(fmt.Sprintf("service %v peers %v", cut.service, cut.peers), func(t *testing.T) {
+	for _, partition := range []struct{ service, peers bool }{{true, false}, {false, true}, {true, true}} {
+		t.Run(fmt.Sprintf("service %v peers %v", partition.service, partition.peers), func(t *testing.T) {
 			e := newEnvironment()
 			fleet := e.startFleet(t, size)
-			lone := fleet[size-1]
-			e.service.Cut(lone.Self().Id, cut.service)
-			e.network.setCut(lone.Self().PeerAddress, cut.peers)
-			if cut.service && cut.peers {
-				eventually(t, "an old proof", func() bool { return !lone.fresh() })
+			isolated := fleet[size-1]
+			e.keyValue.Cut(isolated.Self().Id, partition.service)
+			e.network.setPartitioned(isolated.Self().PeerAddress, partition.peers)
+			if partition.service && partition.peers {
+				eventually(t, "an expired proof on the partitioned daemon", func() bool { return !isolated.fresh() })
 			}
 			e.setLoadCap(t, 2)
 			for _, d := range fleet[:size-1] {
-				eventually(t, "the edit in force on the others", func() bool { return d.loadCap() == 2 })
+				eventually(t, "the edit applied on the other daemons", func() bool { return d.loadCap() == 2 })
 			}
-			if cut.service && cut.peers {
-				if lone.fresh() || lone.loadCap() != 1 {
-					t.Fatal("the cut daemon counts itself current")
+			if partition.service && partition.peers {
+				if isolated.fresh() || isolated.loadCap() != 1 {
+					t.Fatal("the partitioned daemon considers its table current")
 				}
-				e.service.Cut(lone.Self().Id, false)
-				e.network.setCut(lone.Self().PeerAddress, false)
+				e.keyValue.Cut(isolated.Self().Id, false)
+				e.network.setPartitioned(isolated.Self().PeerAddress, false)
 			}
-			eventually(t, "the edit in force on the lone daemon", func() bool { return lone.loadCap() == 2 && lone.fresh() })
+			eventually(t, "the edit applied on the partitioned daemon", func() bool { return isolated.loadCap() == 2 && isolated.fresh() })
 		})
 	}
 }
 
-// The service is down and one daemon restarts, with nothing. It must have the row in
-// force from its peers, although it never reached the service, and its proof must be as
-// old as theirs: nobody knows of edits since.
-func TestRestartWhileTheServiceIsDown(t *testing.T) {
+// TestRestartDuringKeyValueOutage restarts a daemon without state while the key-value
+// service is down. The daemon must apply the row from its peers without having reached the
+// service. Its proof must be as old as theirs, because no daemon can know of later edits.
+func TestRestartDuringKeyValueOutage(t *testing.T) {
 	const size = 3
 	e := newEnvironment()
 	fleet := e.startFleet(t, size)
-	e.service.SetDown(true)
+	e.keyValue.SetDown(true)
 	for _, d := range fleet {
-		eventually(t, "old proofs", func() bool { return !d.fresh() })
+		eventually(t, "expired proofs", func() bool { return !d.fresh() })
 	}
 	fleet[1].stop()
-	again := e.start(t, fleet[1].Self().Id, fleet[0].Self().PeerAddress)
-	eventually(t, "the row in force", func() bool { return again.loadCap() == 1 })
-	eventually(t, "a proof from a peer", func() bool { return again.replica.Confirmed(time.Now()) != table.NeverConfirmed })
-	if again.fresh() {
-		t.Fatal("a restart made an old proof fresh")
+	restarted := e.start(t, fleet[1].Self().Id, fleet[0].Self().PeerAddress)
+	eventually(t, "the row applied", func() bool { return restarted.loadCap() == 1 })
+	eventually(t, "a proof from a peer", func() bool { return restarted.replica.Confirmed(time.Now()) != table.NeverConfirmed })
+	if restarted.fresh() {
+		t.Fatal("the restart renewed an expired proof")
 	}
-	e.service.SetDown(false)
+	e.keyValue.SetDown(false)
 	e.setLoadCap(t, 3)
-	for _, d := range []*daemon{fleet[0], again, fleet[2]} {
-		eventually(t, "the next edit in force", func() bool { return d.loadCap() == 3 && d.fresh() })
+	for _, d := range []*daemon{fleet[0], restarted, fleet[2]} {
+		eventually(t, "the next edit applied", func() bool { return d.loadCap() == 3 && d.fresh() })
 	}
 }
 
-// All daemons of a fleet restart, one after the other. If each reads the whole table for
-// itself, the service answers some megabytes to each; they must have it from their peers,
-// but for the few that watch.
-func TestRestartAsksPeersNotTheService(t *testing.T) {
+// TestRestartReadsTableFromPeers restarts all daemons of a fleet, one after the other. If
+// each read the complete table from the key-value service, the service would send some
+// megabytes to each. All but the few watching daemons must get the table from their peers.
+func TestRestartReadsTableFromPeers(t *testing.T) {
 	const size = 5
 	e := newEnvironment()
 	fleet := e.startFleet(t, size)
-	e.timing.FirstRead = time.Hour // would read for itself on a busy machine
+	e.timing.FirstRead = time.Hour // a daemon on a busy machine would read from the service
 	e.timing.ProofAge = time.Hour
-	e.solo = time.Hour
+	e.firstContactTimeout = time.Hour
 	for i, d := range fleet {
 		watching := d.RanksInRegion("table", 2)
 		d.stop()
 		for _, other := range fleet {
 			if other != d {
-				eventually(t, "the daemon gone", func() bool { return other.stateOf(d.Self().Id) == dead })
+				eventually(t, "the stopped daemon dead", func() bool { return other.stateOf(d.Self().Id) == dead })
 			}
 		}
-		before := e.service.Counts().ByClient[d.Self().Id]
+		before := e.keyValue.Counts().ByClient[d.Self().Id]
 		seed := fleet[(i+1)%size].Self().PeerAddress
 		fleet[i] = e.start(t, d.Self().Id, seed)
-		eventually(t, "the row in force", func() bool { return fleet[i].loadCap() == 1 && fleet[i].fresh() })
-		calls := e.service.Counts().ByClient[d.Self().Id] - before
+		eventually(t, "the row applied", func() bool { return fleet[i].loadCap() == 1 && fleet[i].fresh() })
+		calls := e.keyValue.Counts().ByClient[d.Self().Id] - before
 		if !watching && calls > 0 {
-			t.Fatalf("%s watches nothing and called the service %d times", d.Self().Id, calls)
+			t.Fatalf("%s does not watch the table but called the service %d times", d.Self().Id, calls)
 		}
 	}
 }
--- a/internal/membership/recent_pages.go
+++ b/internal/membership/recent_pages.go
@@ -3,54 +3,55 @@
 import "github.com/bluebellscale/bluebellscale/internal/peer"
 
 const (
-	// hotSends is how many exchanges name a page that changed.
-	hotSends = 12
-	// maxHot bounds the pages named in one exchange; beyond it the peer compares digests.
-	maxHot = 64
+	// pageAnnouncements is the number of exchanges that list a changed page.
+	pageAnnouncements = 12
+	// maxAnnouncedPages limits the pages listed in one exchange; the peer finds further
+	// changes by comparing digests.
+	maxAnnouncedPages = 64
 )
 
-// hotPages remembers which pages of the table changed a short while ago, so that an
-// exchange can name them and the peer can ask for them at once.
-type hotPages struct {
-	hash  uint64
-	seen  map[string]uint64 // revision of each page when last looked at
-	sends map[string]int    // exchanges that still name the page
+// recentPages tracks the pages of the table that changed recently, so that an exchange can
+// list them and the peer can pull them at once.
+type recentPages struct {
+	hash      uint64
+	revisions map[string]uint64 // last recorded revision of each page
+	remaining map[string]int    // exchanges that still list the page
 }
 
-func newHotPages() hotPages {
-	return hotPages{seen: make(map[string]uint64), sends: make(map[string]int)}
+func newRecentPages() recentPages {
+	return recentPages{revisions: make(map[string]uint64), remaining: make(map[string]int)}
 }
 
-// take returns the pages to name in the next exchange.
-func (h *hotPages) take(hash uint64, pages []*peer.PageDigest) []*peer.PageDigest {
+// take returns the pages to list in the next exchange.
+func (h *recentPages) take(hash uint64, pages []*peer.PageDigest) []*peer.PageDigest {
 	if hash != h.hash {
-		h.note(pages)
+		h.record(pages)
 		h.hash = hash
 	}
-	if len(h.sends) == 0 {
+	if len(h.remaining) == 0 {
 		return nil
 	}
-	var named []*peer.PageDigest
+	var announced []*peer.PageDigest
 	for _, d := range pages {
-		if h.sends[d.Page] == 0 {
+		if h.remaining[d.Page] == 0 {
 			continue
 		}
-		if len(named) < maxHot {
-			named = append(named, d)
+		if len(announced) < maxAnnouncedPages {
+			announced = append(announced, d)
 		}
-		h.sends[d.Page]--
-		if h.sends[d.Page] == 0 {
-			delete(h.sends, d.Page)
+		h.remaining[d.Page]--
+		if h.remaining[d.Page] == 0 {
+			delete(h.remaining, d.Page)
 		}
 	}
-	return named
+	return announced
 }
 
-func (h *hotPages) note(pages []*peer.PageDigest) {
+func (h *recentPages) record(pages []*peer.PageDigest) {
 	for _, d := range pages {
-		if h.seen[d.Page] != d.Revision {
-			h.seen[d.Page] = d.Revision
-			h.sends[d.Page] = hotSends
+		if h.revisions[d.Page] != d.Revision {
+			h.revisions[d.Page] = d.Revision
+			h.remaining[d.Page] = pageAnnouncements
 		}
 	}
 }
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -15,9 +15,9 @@
 	dead    = peer.MemberState_MEMBER_STATE_DEAD
 )
 
-// version is what orders two records of one member. Later fields count only where the
-// earlier ones are equal: a higher incarnation is a new process; leaving holds for the
-// rest of an incarnation; a higher heartbeat answers a suspicion.
+// version orders the records of one member. A later field counts only if the earlier ones
+// are equal: a higher incarnation is a new process, leaving is permanent for an
+// incarnation, and a higher heartbeat refutes a suspicion.
 type version struct {
 	incarnation uint64
 	leaving     bool
@@ -42,8 +42,8 @@
 	return versionOf(d.Incarnation, d.Heartbeat, d.State)
 }
 
-// after tells whether v replaces w.
-func (v version) after(w version) bool {
+// supersedes reports whether v replaces w.
+func (v version) supersedes(w version) bool {
 	if v.incarnation != w.incarnation {
 		return v.incarnation > w.incarnation
 	}
@@ -56,21 +56,21 @@
 	return v.suspect && !w.suspect
 }
 
-// entry is one other member with what this daemon saw of it. The record is shared news;
-// the times are this daemon's own. That a member is dead is never told to others: each
-// daemon waits for the answer to the suspicion itself, so that a daemon that was cut off
-// and declared all others dead does not spread this when it comes back.
+// entry holds another member's record and this daemon's observations of the member. The
+// record is shared between daemons; the times are local. A daemon never broadcasts that a
+// member is dead: each daemon waits for the refutation itself, so that a daemon that
+// declared all others dead during a network partition does not spread this afterwards.
 type entry struct {
-	record       *peer.Member // state alive, suspect or leaving; replaced, never changed in place
-	failedSince  time.Time    // first of the exchanges failed since the last that worked; zero: none
-	failures     int          // exchanges failed since the last that worked
-	suspectSince time.Time    // zero: not suspect
-	deadSince    time.Time    // zero: not dead
-	rumouredAt   time.Time    // when this daemon last told others of its suspicion
-	goneSince    time.Time    // missing from the VM list; zero: listed or not known
+	record          *peer.Member // state alive, suspect or leaving; replaced, never modified
+	failedSince     time.Time    // first failed exchange since the last successful one; zero: none
+	failures        int          // failed exchanges since the last successful one
+	suspectSince    time.Time    // zero: not suspect
+	deadSince       time.Time    // zero: not dead
+	suspicionSentAt time.Time    // when this daemon last broadcast its suspicion
+	unlistedSince   time.Time    // missing from the VM list; zero: listed or unknown
 }
 
-// state is how the member counts here.
+// state returns the member's state in this daemon's view.
 func (e *entry) state() peer.MemberState {
 	switch {
 	case !e.deadSince.IsZero():
@@ -84,8 +84,8 @@
 	}
 }
 
-// view returns the record with the state as it counts here.
-func (e *entry) view() *peer.Member {
+// localRecord returns the record with the state in this daemon's view.
+func (e *entry) localRecord() *peer.Member {
 	if e.state() == e.record.State {
 		return e.record
 	}
@@ -94,20 +94,20 @@
 	return m
 }
 
-// replace takes a newer record.
+// replace stores a newer record.
 func (e *entry) replace(m *peer.Member, now time.Time) {
 	restarted := m.Incarnation > e.record.Incarnation
 	e.record = m
 	if restarted {
 		e.clearFailures()
-		e.rumouredAt = time.Time{}
+		e.suspicionSentAt = time.Time{}
 	}
 	if m.State == suspect {
 		e.beginSuspicion(now)
 		return
 	}
-	// The record is alive or leaving again, but a daemon that can't reach the member
-	// itself keeps its own suspicion.
+	// The record is alive or leaving, but a daemon that cannot reach the member itself
+	// keeps its own suspicion.
 	if e.failedSince.IsZero() || restarted {
 		e.clearSuspicion()
 	}
@@ -124,7 +124,7 @@
 	e.deadSince = time.Time{}
 }
 
-func (e *entry) failed(now time.Time) {
+func (e *entry) recordFailure(now time.Time) {
 	e.failures++
 	if e.failedSince.IsZero() {
 		e.failedSince = now
@@ -136,14 +136,14 @@
 	e.failedSince = time.Time{}
 }
 
-// silent tells whether the member stopped to answer this daemon for some time. One
-// exchange that failed is not enough, however long ago.
-func (e *entry) silent(now time.Time, limit time.Duration) bool {
+// unresponsive reports whether the member has not answered this daemon for at least limit.
+// A single failed exchange is not enough, however long ago it was.
+func (e *entry) unresponsive(now time.Time, limit time.Duration) bool {
 	return e.failures >= minFailures && now.Sub(e.failedSince) >= limit
 }
 
-// answered notes that the member answered an exchange.
-func (e *entry) answered() {
+// recordSuccess records that the member answered an exchange.
+func (e *entry) recordSuccess() {
 	e.clearFailures()
 	if e.record.State != suspect {
 		e.clearSuspicion()
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -9,10 +9,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/peer"
 )
 
-// Rank returns the first n members in the order of their weight for a key (rendezvous
-// hashing). When a member goes, only keys that it had change their place, and when one
-// comes it only takes keys. The first one alone is found without sorting: each daemon
-// asks for it for every target several times a second.
+// Rank returns the n members with the highest weights for a key, in descending order
+// (rendezvous hashing). When a member is removed, only the keys that it owned move, and a
+// new member only takes over keys. For n = 1, Rank does not sort, because each daemon looks
+// up the owner of every target several times a second.
 func Rank(members []*peer.Member, key string, n int) []*peer.Member {
 	if n == 1 && len(members) > 0 {
 		return []*peer.Member{Owner(members, key)}
@@ -36,7 +36,7 @@
 	return first
 }
 
-// Owner returns the first member of Rank without sorting, nil if there are no members.
+// Owner returns the first member of Rank without sorting, or nil if there are no members.
 func Owner(members []*peer.Member, key string) *peer.Member {
 	keyHash := xxhash.Sum64String(key)
 	var best weighted
--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -16,8 +16,8 @@
 	return members
 }
 
-// TestRankOfOneIsPlace checks the short way of Rank against the full order.
-func TestRankOfOneIsPlace(t *testing.T) {
+// TestRankOfOneIsOwner checks Rank with n = 1, which does not sort, against the full order.
+func TestRankOfOneIsOwner(t *testing.T) {
 	for _, size := range []int{0, 1, 2, 390} {
 		members := fleetOf(size)
 		for i := range 100 {
@@ -26,7 +26,7 @@
 			one := Rank(members, key, 1)
 			if size == 0 {
 				if len(one) != 0 {
-					t.Fatalf("rank among nobody: %v", one)
+					t.Fatalf("rank among no members: %v", one)
 				}
 				continue
 			}
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkRankOfOne is what a daemon does for each target to find its steward.
+// BenchmarkRankOfOne measures the lookup of a target's coordinator.
 func BenchmarkRankOfOne(b *testing.B) {
 	for _, size := range []int{8, 50, 150, 390} {
 		b.Run(strconv.Itoa(size), func(b *testing.B) {
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// fleet is a size of deployment to simulate.
+// fleet is the size of a simulated deployment.
 type fleet struct {
 	size, regions int
 }
 
-// inForceLimit is how long an accepted edit may take until it is in force everywhere.
-const inForceLimit = 12 * time.Second
+// propagationTimeout limits the time until all daemons have applied an accepted edit.
+const propagationTimeout = 12 * time.Second
 
-// TestInForceTime measures how long an edit takes from the watchers' watch to the last
-// daemon, over several edits.
-func TestInForceTime(t *testing.T) {
+// TestEditPropagationTime measures, over several edits, the time from the event of the
+// watchers' watch until the last daemon has applied the edit.
+func TestEditPropagationTime(t *testing.T) {
 	t.Parallel()
 	const edits = 9
 	for _, f := range []fleet{{3, 1}, {8, 1}, {390, 7}} {
 		t.Run(fmt.Sprintf("%d daemons", f.size), func(t *testing.T) {
 			s := newSim(uint64(f.size), f.size, f.regions)
-			if !s.settled(f.size) {
+			if !s.converge(f.size) {
 				t.Fatal("daemons did not find each other")
 			}
 			s.runFor(5 * time.Second)
@@ -32,9 +32,9 @@
 				if err := s.edit(edit + 1); err != nil {
 					t.Fatal(err)
 				}
-				took, ok := s.runUntil(inForceLimit, func() bool { return s.inForce(edit + 1) })
+				took, ok := s.runUntil(propagationTimeout, func() bool { return s.editApplied(edit + 1) })
 				if !ok {
-					t.Fatalf("edit %d not in force after %v", edit, inForceLimit)
+					t.Fatalf("edit %d not applied everywhere after %v", edit, propagationTimeout)
 				}
 				times = append(times, took)
 				s.runFor(time.Duration(s.rng.Int64N(int64(time.Second))))
@@ -45,15 +45,15 @@
 	}
 }
 
-// TestControlBytes measures what membership and the table's digests cost a daemon that
-// is idle, sent and received together, HTTP headers included.
+// TestControlBytes measures the bytes that an idle daemon sends and receives for membership
+// and the digests of the table, including HTTP headers.
 func TestControlBytes(t *testing.T) {
 	t.Parallel()
-	const budget = 10 << 10 // bytes a second for all control of a daemon
+	const budget = 10 << 10 // bytes per second of control traffic of a daemon
 	rates := make(map[int]float64)
 	for _, f := range []fleet{{8, 1}, {50, 2}, {150, 4}, {390, 7}} {
 		s := newSim(uint64(f.size), f.size, f.regions)
-		if !s.settled(f.size) {
+		if !s.converge(f.size) {
 			t.Fatalf("%d daemons did not find each other", f.size)
 		}
 		s.runFor(20 * time.Second)
@@ -69,14 +69,14 @@
 		calls := float64(s.reads-reads) / span.Seconds()
 		t.Logf("daemons=%d bytes_per_daemon_s=%.0f table_calls_s=%.2f oldest_proof=%v", f.size, rate, calls, oldest)
 		if oldest >= timing.ProofAge {
-			t.Errorf("%d daemons: a proof of %v in a healthy fleet, at most %v", f.size, oldest, timing.ProofAge)
+			t.Errorf("%d daemons: proof age %v in a healthy fleet, want below %v", f.size, oldest, timing.ProofAge)
 		}
 		if rate > budget {
-			t.Errorf("%d daemons: %.0f bytes/s a daemon, at most %d", f.size, rate, budget)
+			t.Errorf("%d daemons: %.0f bytes/s per daemon, want at most %d", f.size, rate, budget)
 		}
 	}
 	if rates[390] > 2*rates[50] {
-		t.Errorf("a daemon among 390 costs %.0f bytes/s, among 50 %.0f: grows with the fleet", rates[390], rates[50])
+		t.Errorf("%.0f bytes/s per daemon in a fleet of 390, %.0f in a fleet of 50: the rate grows with the fleet", rates[390], rates[50])
 	}
 }
 
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -14,28 +14,28 @@
 	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
-// Service runs the membership of one daemon. It implements peer.Gossip and is safe for
-// concurrent use.
+// Service runs the membership protocol of one daemon. It implements peer.Gossip and is safe
+// for concurrent use.
 type Service struct {
-	options Options
-	log     hclog.Logger
-	metrics tally.Scope
-	client  *http.Client
-	now     func() time.Time
-	started time.Time
-	met     atomic.Bool // a peer answered
+	options   Options
+	log       hclog.Logger
+	metrics   tally.Scope
+	client    *http.Client
+	now       func() time.Time
+	started   time.Time
+	contacted atomic.Bool // whether a peer has answered
 
 	mu   sync.Mutex // guards node
 	node *node
 
 	view  atomic.Pointer[view]
-	wake  chan struct{} // urgent news
+	wake  chan struct{} // signals pending urgent exchanges
 	pulls chan pull
-	slots chan struct{} // one for each exchange under way
+	slots chan struct{} // holds one element for each exchange in flight
 	tasks sync.WaitGroup
 }
 
-// New returns a Service that does nothing before Run but answer its peers.
+// New returns a Service that only answers its peers until Run is called.
 func New(o Options) *Service {
 	s := &Service{options: withDefaults(o)}
 	s.log = s.options.Logger.Named("membership")
@@ -44,14 +44,14 @@
 	s.now = s.options.Now
 	s.started = s.now()
 	s.wake = make(chan struct{}, 1)
-	s.pulls = make(chan pull, pullRing)
+	s.pulls = make(chan pull, pullQueueSize)
 	s.slots = make(chan struct{}, maxInFlight)
 	s.node = newNode(NewCore(s.options.Self, s.options.Seeds, s.options.Params), s.options.Table, s.options.CrashRecords)
 	s.refresh()
 	return s
 }
 
-// Run exchanges with peers until ctx ends, then waits for what is under way.
+// Run exchanges with peers until ctx ends, then waits for its tasks to return.
 func (s *Service) Run(ctx context.Context) error {
 	s.tasks.Go(func() { s.runPulls(ctx) })
 	if s.options.VMs != nil {
@@ -80,11 +80,11 @@
 	peers := s.node.core.Tick(s.now())
 	s.refresh()
 	s.mu.Unlock()
-	s.begin(ctx, peers)
+	s.startExchanges(ctx, peers)
 }
 
-// begin starts exchanges, as far as slots are free.
-func (s *Service) begin(ctx context.Context, peers []Peer) {
+// startExchanges starts an exchange with each peer while slots are free.
+func (s *Service) startExchanges(ctx context.Context, peers []Peer) {
 	for _, to := range peers {
 		select {
 		case s.slots <- struct{}{}:
@@ -99,7 +99,7 @@
 	}
 }
 
-// exchange makes one exchange and the one that may follow from it.
+// exchange performs an exchange and the follow-up exchange that it may require.
 func (s *Service) exchange(ctx context.Context, to Peer) {
 	s.mu.Lock()
 	request := s.node.request(to)
@@ -111,18 +111,19 @@
 	s.send(ctx, to, follow)
 }
 
-// send sends one request. The second result is false if it was not answered.
+// send sends one request and returns the request that follows from the response, if any.
+// The second result is false if the peer did not answer.
 //
-// The failure: a connection to the peer went silent while new ones work. The exchange
-// then times out, the HTTP client drops the connection of a request that was cancelled,
-// and the next try uses a new one; so it takes two failed exchanges to be suspect.
+// A connection to the peer may hang while new ones work. The exchange then times out, the
+// HTTP client closes the connection of the cancelled request, and the next attempt opens a
+// new one. For this reason a member becomes suspect only after two failed exchanges.
 func (s *Service) send(ctx context.Context, to Peer, request *peer.ExchangeRequest) (*peer.ExchangeRequest, bool) {
-	call, cancel := context.WithTimeout(ctx, s.options.ExchangeTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, s.options.ExchangeTimeout)
 	defer cancel()
 	sent := s.now()
-	response, err := s.peer(to.Address).Exchange(call, request)
+	response, err := s.peer(to.Address).Exchange(callCtx, request)
 	if err != nil && ctx.Err() != nil {
-		return nil, false // this daemon stops; it says nothing about the peer
+		return nil, false // this daemon is stopping; the error says nothing about the peer
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +136,7 @@
 	}
 	s.metrics.Counter("exchanges").Inc(1)
 	follow := s.node.onReply(s.now(), sent, to, request, response)
-	s.queue(follow.pull)
+	s.enqueuePull(follow.pull)
 	return follow.exchange, true
 }
 
@@ -143,9 +144,9 @@
 	return peer.NewGossipProtobufClient("http://"+address, s.client)
 }
 
-// queue hands a pull to its goroutine. A full ring drops it: the next exchange with any
-// peer that has the page brings it up again.
-func (s *Service) queue(p *pull) {
+// enqueuePull queues a pull for runPulls and drops it if the queue is full: the next
+// exchange with any peer that has the page requests the pull again.
+func (s *Service) enqueuePull(p *pull) {
 	if p == nil {
 		return
 	}
@@ -167,14 +168,15 @@
 	}
 }
 
-// pull asks for pages until nothing named is lacking or the peer has nothing more.
+// pull requests pages until the table has all pages of p.want or the peer returns no newer
+// ones.
 func (s *Service) pull(ctx context.Context, p pull) {
 	for s.options.Table.Lacks(p.want) {
 		call, cancel := context.WithTimeout(ctx, s.options.PullTimeout)
 		response, err := s.peer(p.from.Address).Pages(call, s.node.pagesRequest())
 		cancel()
 		if err != nil {
-			s.log.Debug("Pages not pulled", "peer", p.from.ID, "error", err)
+			s.log.Debug("Failed to pull table pages", "peer", p.from.ID, "error", err)
 			return
 		}
 		if s.options.Table.Merge(response.Pages) == 0 {
@@ -183,7 +185,7 @@
 	}
 }
 
-// runTable makes a change of the table urgent news.
+// runTable triggers urgent exchanges whenever the table changes.
 func (s *Service) runTable(ctx context.Context) {
 	for {
 		changed := s.options.Table.Changed()
@@ -196,7 +198,8 @@
 	}
 }
 
-// GossipNow tells a few peers at once of what changed here, for example a new finding.
+// GossipNow starts exchanges with a few peers at once to spread a local change, such as a
+// new crash record.
 func (s *Service) GossipNow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,8 +217,8 @@
 		s.mu.Lock()
 		peers := s.node.core.TakeUrgent()
 		s.mu.Unlock()
-		s.begin(ctx, peers)
-		_ = sleep.For(ctx, urgentGap) // the loop asks the context itself
+		s.startExchanges(ctx, peers)
+		_ = sleep.For(ctx, minUrgentInterval) // the loop checks ctx
 	}
 }
 
@@ -224,7 +227,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	response, p := s.node.onExchange(s.now(), r)
-	s.queue(p)
+	s.enqueuePull(p)
 	s.refresh()
 	return response, nil
 }
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -21,25 +21,25 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// network joins the daemons of a test; it can part daemons from their peers.
+// network connects the daemons of a test and can partition daemons from their peers.
 type network struct {
-	mu  sync.Mutex
-	cut map[string]bool // by peer address
+	mu          sync.Mutex
+	partitioned map[string]bool // by peer address
 
 	sent     atomic.Int64 // bytes on connections that daemons opened
 	received atomic.Int64
 }
 
-func (n *network) setCut(address string, cut bool) {
+func (n *network) setPartitioned(address string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[address] = cut
+	n.partitioned[address] = partitioned
 }
 
 func (n *network) reaches(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.cut[from] && !n.cut[to]
+	return !n.partitioned[from] && !n.partitioned[to]
 }
 
 // countedConn counts the bytes of a connection.
@@ -60,16 +60,16 @@
 	return n, err
 }
 
-// link is a daemon's way to its peers.
-type link struct {
+// peerTransport is a daemon's HTTP transport to its peers.
+type peerTransport struct {
 	*http.Transport
 	network *network
 	self    string
 }
 
-func (l *link) RoundTrip(r *http.Request) (*http.Response, error) {
+func (l *peerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if !l.network.reaches(l.self, r.URL.Host) {
-		return nil, errors.New("cut")
+		return nil, errors.New("network partition")
 	}
 	return l.Transport.RoundTrip(r)
 }
@@ -79,7 +79,7 @@
 		conn, err := new(net.Dialer).DialContext(ctx, network, address)
 		return countedConn{Conn: conn, network: n}, err
 	}
-	return &http.Client{Transport: &link{Transport: &http.Transport{DialContext: dial}, network: n, self: self}}
+	return &http.Client{Transport: &peerTransport{Transport: &http.Transport{DialContext: dial}, network: n, self: self}}
 }
 
 // daemon is a Service with its table on a loopback address.
@@ -89,22 +89,22 @@
 	stop    func()
 }
 
-// environment is what the daemons of a test share.
+// environment holds what the daemons of a test share.
 type environment struct {
-	network *network
-	service *kv.Fake
-	timing  table.Timing  // of daemons to start
-	solo    time.Duration // SoloAfter of daemons to start
+	network             *network
+	keyValue            *kv.Fake
+	timing              table.Timing  // of the daemons started next
+	firstContactTimeout time.Duration // of the daemons started next
 }
 
 func newEnvironment() *environment {
 	return &environment{
-		network: &network{cut: make(map[string]bool)}, service: kv.NewFake(nil),
-		timing: tableTiming, solo: 20 * time.Millisecond,
+		network: &network{partitioned: make(map[string]bool)}, keyValue: kv.NewFake(nil),
+		timing: tableTiming, firstContactTimeout: 20 * time.Millisecond,
 	}
 }
 
-// tableTiming makes a table's daemon look at once where it would take its time.
+// tableTiming shortens the periods in which a daemon reads the table.
 var tableTiming = table.Timing{
 	WatchWait: 10 * time.Millisecond, Poll: time.Millisecond, FirstRead: 20 * time.Millisecond,
 	ProofAge: 100 * time.Millisecond, BackoffMin: time.Millisecond, BackoffMax: 5 * time.Millisecond,
@@ -117,14 +117,14 @@
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	d := &daemon{replica: table.NewReplica(table.ReplicaOptions{KV: e.service.Client(id), Timing: e.timing})}
+	d := &daemon{replica: table.NewReplica(table.ReplicaOptions{KV: e.keyValue.Client(id), Timing: e.timing})}
 	d.Service = New(Options{
 		Self:   &peer.Member{Id: id, PeerAddress: address, Region: "fes"},
 		Seeds:  seeds,
 		Table:  d.replica,
 		Client: e.network.client(address),
 
-		FirstContactTimeout: e.solo,
+		FirstContactTimeout: e.firstContactTimeout,
 		Params:              Params{Interval: 10 * time.Millisecond, SuspectAfter: 200 * time.Millisecond, DeadAfter: 300 * time.Millisecond},
 	})
 	server := &http.Server{Handler: peer.NewGossipServer(d.Service), ReadHeaderTimeout: time.Second}
@@ -142,12 +142,12 @@
 	return d
 }
 
-// eventually waits for a condition that comes without an event to wait for.
+// eventually polls a condition that no event announces.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for !condition() {
 		if t.Context().Err() != nil {
-			t.Fatal("never: " + what)
+			t.Fatal("not reached: " + what)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -162,8 +162,9 @@
 	return -1
 }
 
-// Three daemons on real connections find each other through one seed. Then one takes a
-// page of the table, one leaves and one is killed: the others see each of it.
+// TestServiceOverLoopback lets three daemons find each other over real connections through
+// one seed. Then one daemon merges a page of the table, one leaves and one is killed. The
+// others must detect each of these events.
 func TestServiceOverLoopback(t *testing.T) {
 	e := newEnvironment()
 	a := e.start(t, "a")
@@ -173,11 +174,11 @@
 		eventually(t, "three live daemons", func() bool { return len(d.Live()) == 3 })
 	}
 	if p, q := a.Owner("context"), c.Owner("context"); p.Id != q.Id {
-		t.Fatalf("places differ: %s and %s", p.Id, q.Id)
+		t.Fatalf("owners differ: %s and %s", p.Id, q.Id)
 	}
 	page := &peer.Page{Name: "models/000", Revision: 7, Value: []byte(`{"name":"models/000"}`)}
 	if b.replica.Merge([]*peer.Page{page}) != 1 {
-		t.Fatal("page not taken")
+		t.Fatal("page not merged")
 	}
 	for _, d := range []*daemon{a, c} {
 		eventually(t, "the page everywhere", func() bool { return d.replica.Current().Revision() == 7 })
@@ -190,8 +191,8 @@
 	eventually(t, "c dead", func() bool { return a.stateOf("c") == dead })
 }
 
-// TestWireBytes measures what HTTP adds to a message on real connections; the simulation
-// of large fleets counts with it.
+// TestWireBytes measures the bytes that HTTP adds to a message on real connections. The
+// simulation of large fleets assumes httpOverhead.
 func TestWireBytes(t *testing.T) {
 	e := newEnvironment()
 	a := New(Options{Self: &peer.Member{Id: "daemon-001", PeerAddress: "10.0.0.1:9000"}})
@@ -215,6 +216,6 @@
 	overhead := (int(total) - payload) / (2 * exchanges)
 	t.Logf("overhead=%d bytes a message", overhead)
 	if overhead > httpOverhead {
-		t.Fatalf("HTTP adds %d bytes a message, the simulation counts %d", overhead, httpOverhead)
+		t.Fatalf("HTTP adds %d bytes per message, the simulation assumes %d", overhead, httpOverhead)
 	}
 }
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -14,15 +14,15 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// Latencies one way, and the bytes that HTTP adds to a message (TestWireBytes measures
-// them on real connections).
+// One-way latencies, and the bytes that HTTP adds to a message (measured by TestWireBytes
+// on real connections).
 const (
 	nearLatency  = 2 * time.Millisecond
 	farLatency   = 75 * time.Millisecond
 	httpOverhead = 200
 )
 
-// event is something that happens at a time; seq keeps equal times in order.
+// event is a function call scheduled for a time; seq orders events of equal times.
 type event struct {
 	at  time.Time
 	seq int
@@ -43,40 +43,40 @@
 	return last
 }
 
-// sim runs nodes against simulated time and links. Its seed determines the run.
+// sim runs nodes on simulated time and connections. Its seed determines the run.
 type sim struct {
 	now   time.Time
 	seq   int
 	queue eventQueue
 	nodes []*simNode
 
-	byAddress map[string]*simNode
-	service   *kv.Fake // holds the table
-	reads     int      // calls of daemons to the service
-	rng       *rand.Rand
-	cut       func(a, b *simNode) bool
+	byAddress   map[string]*simNode
+	keyValue    *kv.Fake // stores the table
+	reads       int      // reads of daemons from the key-value service
+	rng         *rand.Rand
+	partitioned func(a, b *simNode) bool
 }
 
 // simNode is one daemon of a sim.
 type simNode struct {
 	*node
-	sim     *sim
-	id      string
-	address string
-	region  string
-	replica *table.Replica
-	down    bool
-	life    int // events of an earlier process are dropped
-	bytes   int64
-	urgent  bool // a round of urgent exchanges is scheduled
-	lastU   time.Time
-	readAt  time.Time // last read of the service
+	sim             *sim
+	id              string
+	address         string
+	region          string
+	replica         *table.Replica
+	down            bool
+	process         int // number of the current process; events of earlier ones are dropped
+	bytes           int64
+	urgentScheduled bool // a round of urgent exchanges is scheduled
+	lastUrgent      time.Time
+	lastRead        time.Time // last read from the key-value service
 }
 
 func newSim(seed uint64, size, regions int) *sim {
 	s := &sim{now: time.Unix(1_700_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), byAddress: make(map[string]*simNode)}
-	s.cut = func(_, _ *simNode) bool { return false }
-	s.service = kv.NewFake(func() time.Time { return s.now })
+	s.partitioned = func(_, _ *simNode) bool { return false }
+	s.keyValue = kv.NewFake(func() time.Time { return s.now })
 	for i := range size {
 		n := &simNode{sim: s, id: fmt.Sprintf("daemon-%03d", i), region: fmt.Sprintf("region-%d", i%regions)}
 		n.address = fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1)
@@ -87,12 +87,12 @@
 	return s
 }
 
-func (s *sim) after(d time.Duration, run func()) {
+func (s *sim) schedule(d time.Duration, run func()) {
 	s.seq++
 	heap.Push(&s.queue, event{at: s.now.Add(d), seq: s.seq, run: run})
 }
 
-// runFor lets simulated time pass.
+// runFor advances the simulated time and runs the events that fall due.
 func (s *sim) runFor(d time.Duration) {
 	end := s.now.Add(d)
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
@@ -103,8 +103,8 @@
 	s.now = end
 }
 
-// runUntil lets time pass until a condition holds and returns how long that took, or
-// false at the limit.
+// runUntil advances the time until a condition holds and returns how long that took, or
+// false if the condition does not hold within the limit.
 func (s *sim) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	begin := s.now
 	end := s.now.Add(limit)
@@ -119,47 +119,47 @@
 	return s.now.Sub(begin), true
 }
 
-// start begins a new process of the daemon; nothing of an earlier one is kept.
+// start starts a new process of the daemon, without any state of an earlier one.
 func (n *simNode) start() {
-	n.life++
+	n.process++
 	n.down = false
-	n.urgent = false
-	n.replica = table.NewReplica(table.ReplicaOptions{KV: n.sim.service.Client(n.id), Now: func() time.Time { return n.sim.now }})
+	n.urgentScheduled = false
+	n.replica = table.NewReplica(table.ReplicaOptions{KV: n.sim.keyValue.Client(n.id), Now: func() time.Time { return n.sim.now }})
 	seeds := []string{n.sim.nodes[0].address, n.sim.nodes[min(1, len(n.sim.nodes)-1)].address}
 	self := &peer.Member{Id: n.id, PeerAddress: n.address, Region: n.region, FailureDomain: "domain", CallerAddress: n.address}
 	self.Incarnation = uint64(n.sim.now.UnixNano())
 	core := NewCore(self, seeds, Params{Seed: n.sim.rng.Uint64()})
 	n.node = newNode(core, n.replica, nil)
-	n.after(time.Duration(n.sim.rng.Int64N(int64(time.Second))), n.tick)
-	n.after(time.Duration(n.sim.rng.Int64N(int64(time.Second))), n.poll)
+	n.schedule(time.Duration(n.sim.rng.Int64N(int64(time.Second))), n.tick)
+	n.schedule(time.Duration(n.sim.rng.Int64N(int64(time.Second))), n.poll)
 }
 
 // timing holds the periods in which daemons read the table.
 var timing = table.DefaultTiming()
 
-// poll reads the service as the table's Run does: a watcher in each wait, the others if
-// their proof is old.
+// poll reads the key-value service as the Run method of table.Replica does: a watcher reads
+// once per WatchWait, other daemons read if their proof is too old.
 func (n *simNode) poll() {
-	watched := n.watching() && n.sim.now.Sub(n.readAt) >= timing.WatchWait
+	watched := n.isWatcher() && n.sim.now.Sub(n.lastRead) >= timing.WatchWait
 	if watched || n.replica.Confirmed(n.sim.now) >= timing.ProofAge {
-		n.read()
+		n.readTable()
 	}
-	n.after(timing.Poll, n.poll)
+	n.schedule(timing.Poll, n.poll)
 }
 
-func (n *simNode) read() {
-	n.readAt = n.sim.now
+func (n *simNode) readTable() {
+	n.lastRead = n.sim.now
 	n.sim.reads++
 	before := n.replica.Current().Hash()
 	err := n.replica.Read(context.Background())
 	if err == nil && n.replica.Current().Hash() != before {
 		n.core.MarkUrgent()
-		n.settle()
+		n.scheduleUrgent()
 	}
 }
 
-// watching tells whether the daemon is among the two watchers of its region.
-func (n *simNode) watching() bool {
+// isWatcher reports whether the daemon is one of the two watchers of its region.
+func (n *simNode) isWatcher() bool {
 	region := []*peer.Member{n.core.Self()}
 	for _, e := range n.core.entries.sorted {
 		if state := e.state(); e.record.Region == n.region && (state == alive || state == suspect) {
@@ -174,9 +174,9 @@
 	return false
 }
 
-// edit writes a row of the table; the watches of the watchers that are up return.
+// edit writes a row of the table and completes the watches of the running watchers.
 func (s *sim) edit(loadCap int) error {
-	editor := table.NewEditor(table.EditorOptions{KV: s.service.Client("operator"), Who: "ana"})
+	editor := table.NewEditor(table.EditorOptions{KV: s.keyValue.Client("operator"), Who: "ana"})
 	data := fmt.Sprintf("id,default_version,bytes_per_token,load_cap\nverdict,v3,131072,%d\n", loadCap)
 	plan, err := editor.Plan(context.Background(), []table.File{{Name: "models.csv", Data: []byte(data)}})
 	if err != nil {
@@ -186,64 +186,64 @@
 		return err
 	}
 	for _, n := range s.nodes {
-		if !n.down && n.watching() {
-			n.after(nearLatency, n.read)
+		if !n.down && n.isWatcher() {
+			n.schedule(nearLatency, n.readTable)
 		}
 	}
 	return nil
 }
 
-// inForce tells whether every daemon that is up has the row.
-func (s *sim) inForce(loadCap int) bool {
-	return s.all(func(n *simNode) bool {
+// editApplied reports whether every running daemon has the row.
+func (s *sim) editApplied(loadCap int) bool {
+	return s.allUp(func(n *simNode) bool {
 		m, ok := n.replica.Current().Model("verdict")
 		return ok && m.LoadCap == loadCap
 	})
 }
 
-// after schedules an event of this process.
-func (n *simNode) after(d time.Duration, run func()) {
-	life := n.life
-	n.sim.after(d, func() {
-		if n.life == life && !n.down {
+// schedule schedules an event that runs only if this process is still running.
+func (n *simNode) schedule(d time.Duration, run func()) {
+	process := n.process
+	n.sim.schedule(d, func() {
+		if n.process == process && !n.down {
 			run()
 		}
 	})
 }
 
-// freeze stops the process without ending it; thaw lets it go on where it was.
-func (n *simNode) freeze() { n.down = true }
+// pause stalls the process without ending it; resume continues it with its state.
+func (n *simNode) pause() { n.down = true }
 
-func (n *simNode) thaw() {
+func (n *simNode) resume() {
 	n.down = false
-	n.after(0, n.tick)
-	n.after(0, n.poll)
+	n.schedule(0, n.tick)
+	n.schedule(0, n.poll)
 }
 
 func (n *simNode) tick() {
 	for _, to := range n.core.Tick(n.sim.now) {
 		n.exchange(to)
 	}
-	n.settle()
-	n.after(time.Second, n.tick)
+	n.scheduleUrgent()
+	n.schedule(time.Second, n.tick)
 }
 
-// settle schedules urgent exchanges as the shell does.
-func (n *simNode) settle() {
-	if !n.core.urgent || n.urgent {
+// scheduleUrgent schedules urgent exchanges as Service does.
+func (n *simNode) scheduleUrgent() {
+	if !n.core.urgent || n.urgentScheduled {
 		return
 	}
-	n.urgent = true
-	n.after(max(0, n.lastU.Add(urgentGap).Sub(n.sim.now)), func() {
-		n.urgent = false
-		n.lastU = n.sim.now
+	n.urgentScheduled = true
+	n.schedule(max(0, n.lastUrgent.Add(minUrgentInterval).Sub(n.sim.now)), func() {
+		n.urgentScheduled = false
+		n.lastUrgent = n.sim.now
 		for _, to := range n.core.TakeUrgent() {
 			n.exchange(to)
 		}
 	})
 }
 
-func (s *sim) at(address string) *simNode { return s.byAddress[address] }
+func (s *sim) nodeAt(address string) *simNode { return s.byAddress[address] }
 
 func (s *sim) latency(a, b *simNode) time.Duration {
 	base := farLatency
@@ -263,7 +263,7 @@
 	n.call(to, request, func(b *simNode) proto.Message {
 		response, p := b.onExchange(n.sim.now, request)
 		b.pull(p)
-		b.settle()
+		b.scheduleUrgent()
 		return response
 	}, func(m proto.Message) {
 		follow := n.onReply(n.sim.now, sent, to, request, m.(*peer.ExchangeResponse))
@@ -271,7 +271,7 @@
 		if follow.exchange != nil && mayFollow {
 			n.send(to, follow.exchange, false)
 		}
-		n.settle()
+		n.scheduleUrgent()
 	}, func() { n.core.OnFailure(n.sim.now, to) })
 }
 
@@ -288,25 +288,25 @@
 func (n *simNode) merge(pages []*peer.Page) {
 	if n.replica.Merge(pages) > 0 {
 		n.core.MarkUrgent()
-		n.settle()
+		n.scheduleUrgent()
 	}
 }
 
-// call carries a request to a peer and its answer back, and counts both.
+// call delivers a request to a peer and the response back, and counts the bytes of both.
 func (n *simNode) call(to Peer, request proto.Message, serve func(*simNode) proto.Message, reply func(proto.Message), fail func()) {
-	b := n.sim.at(to.Address)
+	b := n.sim.nodeAt(to.Address)
 	n.bytes += wireSize(request)
-	life := b.life
-	lost := func() bool { return b.down || b.life != life || n.sim.cut(n, b) }
-	n.sim.after(n.sim.latency(n, b), func() {
-		if lost() {
-			n.after(defaultExchangeTimeout, fail)
+	process := b.process
+	unreachable := func() bool { return b.down || b.process != process || n.sim.partitioned(n, b) }
+	n.sim.schedule(n.sim.latency(n, b), func() {
+		if unreachable() {
+			n.schedule(defaultExchangeTimeout, fail)
 			return
 		}
 		b.bytes += wireSize(request)
 		response := serve(b)
 		b.bytes += wireSize(response)
-		n.after(n.sim.latency(n, b), func() {
+		n.schedule(n.sim.latency(n, b), func() {
 			n.bytes += wireSize(response)
 			reply(response)
 		})
@@ -315,8 +315,8 @@
 
 func wireSize(m proto.Message) int64 { return int64(proto.Size(m)) + httpOverhead }
 
-// live returns how many members a daemon counts as live, itself included.
-func (n *simNode) live() int {
+// liveCount returns the number of live members in a daemon's view, including itself.
+func (n *simNode) liveCount() int {
 	count := 0
 	if n.core.self.State != leaving {
 		count++
@@ -338,8 +338,8 @@
 	return -1
 }
 
-// all tells whether a condition holds on every daemon that is up.
-func (s *sim) all(condition func(*simNode) bool) bool {
+// allUp reports whether a condition holds on every running daemon.
+func (s *sim) allUp(condition func(*simNode) bool) bool {
 	for _, n := range s.nodes {
 		if !n.down && !condition(n) {
 			return false
@@ -348,11 +348,12 @@
 	return true
 }
 
-// settled runs until every daemon that is up counts size live ones.
-func (s *sim) settled(size int) bool {
+// converge runs until every running daemon has size live members in its view, and returns
+// false if that takes longer than 5 minutes.
+func (s *sim) converge(size int) bool {
 	const limit = 5 * time.Minute
 	for end := s.now.Add(limit); s.now.Before(end); s.runFor(time.Second) {
-		if s.all(func(n *simNode) bool { return n.live() == size }) {
+		if s.allUp(func(n *simNode) bool { return n.liveCount() == size }) {
 			return true
 		}
 	}
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/peer"
 )
 
-// MemberInfo is one daemon in a state dump.
+// MemberInfo describes a daemon in a state dump.
 type MemberInfo struct {
 	ID            string `json:"id"`
 	State         string `json:"state"`
@@ -16,15 +16,15 @@
 	CallerAddress string `json:"caller_address"`
 	Region        string `json:"region"`
 	FailureDomain string `json:"failure_domain"`
-	Incarnation   string `json:"incarnation"` // decimal; JSON numbers are too short for it
+	Incarnation   string `json:"incarnation"` // decimal; JSON numbers lack the precision
 	Heartbeat     uint64 `json:"heartbeat"`
 	Self          bool   `json:"self"`
 }
 
-// stateNames are the states' names in dumps.
+// stateNames maps each member state to its name in a state dump.
 var stateNames = map[peer.MemberState]string{alive: "alive", suspect: "suspect", leaving: "leaving", dead: "dead"}
 
-// State returns the members for a state dump, as []MemberInfo.
+// State returns the members as []MemberInfo, for a state dump.
 func (s *Service) State() any { return s.infos() }
 
 // StateHandler serves the members as a JSON array of MemberInfo.
@@ -32,7 +32,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(s.infos()); err != nil {
-			s.log.Debug("Members not sent", "error", err)
+			s.log.Debug("Failed to send the members", "error", err)
 		}
 	})
 }
@@ -50,7 +50,7 @@
 	return infos
 }
 
-// IsLive tells whether the daemon may have a place.
+// IsLive reports whether the daemon may own keys.
 func (m MemberInfo) IsLive() bool {
 	return m.State == stateNames[alive] || m.State == stateNames[suspect]
 }
--- a/internal/membership/update_queue.go
+++ b/internal/membership/update_queue.go
@@ -2,44 +2,44 @@
 
 import "slices"
 
-// rumours is the news that a daemon still tells: ids of members whose record changed.
-// New ones go first, then those told longest ago.
-type rumours struct {
-	left  map[string]int // messages that still carry the record
-	queue []string
+// updateQueue holds the ids of members whose changed records a daemon still broadcasts.
+// New ids come first, followed by those sent longest ago.
+type updateQueue struct {
+	remaining map[string]int // messages that still carry the record
+	queue     []string
 }
 
-func newRumours() rumours { return rumours{left: make(map[string]int)} }
+func newUpdateQueue() updateQueue { return updateQueue{remaining: make(map[string]int)} }
 
-// add makes a record news for a number of messages.
-func (r *rumours) add(id string, messages int) {
-	if _, told := r.left[id]; !told {
+// add queues a record for a number of messages.
+func (r *updateQueue) add(id string, messages int) {
+	if _, queued := r.remaining[id]; !queued {
 		r.queue = slices.Insert(r.queue, 0, id)
 	}
-	r.left[id] = messages
+	r.remaining[id] = messages
 }
 
-// remove forgets a record; take drops its place in the queue.
-func (r *rumours) remove(id string) { delete(r.left, id) }
+// remove removes a record; take drops its id from the queue.
+func (r *updateQueue) remove(id string) { delete(r.remaining, id) }
 
-// take returns the ids for one message.
-func (r *rumours) take(limit int) []string {
-	var ids, again []string
+// take returns the ids of the records for one message.
+func (r *updateQueue) take(limit int) []string {
+	var ids, requeued []string
 	for len(r.queue) > 0 && len(ids) < limit {
 		id := r.queue[0]
 		r.queue = r.queue[1:]
-		left, told := r.left[id]
-		if !told {
+		remaining, queued := r.remaining[id]
+		if !queued {
 			continue
 		}
 		ids = append(ids, id)
-		if left > 1 {
-			r.left[id] = left - 1
-			again = append(again, id)
+		if remaining > 1 {
+			r.remaining[id] = remaining - 1
+			requeued = append(requeued, id)
 			continue
 		}
-		delete(r.left, id)
+		delete(r.remaining, id)
 	}
-	r.queue = append(r.queue, again...)
+	r.queue = append(r.queue, requeued...)
 	return ids
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -6,7 +6,8 @@
 	"github.com/bluebellscale/bluebellscale/internal/peer"
 )
 
-// view is what Members and Live return, made when the Core changes.
+// view holds the results of Members, Live and Self. refreshView replaces it when the Core
+// changes.
 type view struct {
 	changes uint64
 	self    *peer.Member
@@ -14,8 +15,8 @@
 	live    []*peer.Member
 }
 
-// refresh publishes the view if it changed and wakes the urgent exchanges. Callers hold
-// mu, but for New.
+// refresh publishes a new view if the Core changed, and signals pending urgent exchanges.
+// All callers except New hold mu.
 func (s *Service) refresh() {
 	core := s.node.core
 	if core.urgent {
@@ -25,7 +26,7 @@
 		}
 	}
 	s.refreshView(core)
-	s.met.Store(!core.contactAt.IsZero()) // after the view that the answer brought
+	s.contacted.Store(!core.lastContact.IsZero()) // set after the view that includes the response
 }
 
 func (s *Service) refreshView(core *Core) {
@@ -42,39 +43,40 @@
 	s.view.Store(fresh)
 	s.metrics.Gauge("members_live").Update(float64(len(fresh.live)))
 	if old != nil && len(old.live) != len(fresh.live) {
-		s.log.Info("Members changed", "live", len(fresh.live), "known", len(fresh.members))
+		s.log.Info("Live members changed", "live", len(fresh.live), "known", len(fresh.members))
 	}
 	if core.Replaced() {
-		s.log.Error("Another process runs under this id", "id", core.self.Id)
+		s.log.Error("Another process runs under the id of this daemon", "id", core.self.Id)
 	}
 }
 
-// Members returns all known daemons, ordered by id. The caller must not change them.
+// Members returns all known daemons, ordered by id. The caller must not modify them.
 func (s *Service) Members() []*peer.Member { return s.view.Load().members }
 
-// Live returns the daemons that may have a place, this one included, ordered by id: those
-// alive, and suspects, which get the benefit of the doubt until they are dead. Leaving
-// daemons are not among them. The caller must not change them.
+// Live returns the daemons that may own keys, including this one, ordered by id. These are
+// the alive and the suspect daemons: a suspect keeps its keys until it is dead. Leaving
+// daemons are not included. The caller must not modify the result.
 func (s *Service) Live() []*peer.Member { return s.view.Load().live }
 
 // Self returns this daemon's own record.
 func (s *Service) Self() *peer.Member { return s.view.Load().self }
 
-// Owner returns the live daemon that has a key's place; nil if none is live, which can
-// only be while this daemon leaves.
+// Owner returns the live daemon that owns a key. It returns nil if no daemon is live, which
+// occurs only while this daemon is leaving.
 func (s *Service) Owner(key string) *peer.Member { return Owner(s.Live(), key) }
 
-// Rank returns the first n live daemons for a key, the place first.
+// Rank returns the first n live daemons for a key, starting with its owner.
 func (s *Service) Rank(key string, n int) []*peer.Member { return Rank(s.Live(), key, n) }
 
-// RanksInRegion tells whether this daemon is one of the first n for a key among the live daemons
-// of its region. It chooses the few that watch the table.
+// RanksInRegion reports whether this daemon is one of the first n for a key among the live
+// daemons of its region. It selects the few daemons that watch the table.
 //
-// The failure: a fleet starts at once, or a daemon restarts, and each counts itself alone
-// and so among the first, until it meets a peer; all would read the whole table. So a
-// daemon that has addresses to try waits a moment for its first contact.
+// A daemon that has just started knows no other member and would rank first. When a fleet
+// starts at once or a daemon restarts, each started daemon would then read the complete
+// table. RanksInRegion therefore returns false until the first contact, or until
+// FirstContactTimeout has passed, if the daemon has addresses to contact.
 func (s *Service) RanksInRegion(key string, n int) bool {
-	if s.mayMeetPeers() {
+	if s.awaitsFirstContact() {
 		return false
 	}
 	self := s.Self()
@@ -92,18 +94,19 @@
 	return false
 }
 
-// mayMeetPeers tells whether this daemon has just started and no peer answered yet. The
-// first answer brings all members, as a small digest goes with each exchange.
-func (s *Service) mayMeetPeers() bool {
-	if s.met.Load() || s.now().Sub(s.started) >= s.options.FirstContactTimeout {
+// awaitsFirstContact reports whether this daemon has just started and no peer has answered
+// yet. The first response brings all members, because a daemon that knows few members sends
+// its digest with each exchange.
+func (s *Service) awaitsFirstContact() bool {
+	if s.contacted.Load() || s.now().Sub(s.started) >= s.options.FirstContactTimeout {
 		return false
 	}
 	others := slices.ContainsFunc(s.options.Seeds, func(seed string) bool { return seed != s.options.Self.PeerAddress })
 	return others || s.options.VMs != nil
 }
 
-// Leave announces that this daemon stops; it holds for the rest of the incarnation. Run
-// must go on for a few intervals, so that the peers hear of it.
+// Leave announces that this daemon is shutting down. The leaving state is permanent for the
+// incarnation. Run must continue for a few intervals so that the peers receive it.
 func (s *Service) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/membership/vms.go
+++ b/internal/membership/vms.go
@@ -8,30 +8,30 @@
 	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
-// runVMs reads the platform's VM list now and then. While it can't be read, the members
-// known so far stay.
+// runVMs reads the platform's VM list every VMInterval. While reads fail, the known members
+// stay.
 func (s *Service) runVMs(ctx context.Context) {
 	for ctx.Err() == nil {
 		vms, err := s.options.VMs.VMs(ctx)
 		if err == nil {
-			s.takeVMs(vms)
+			s.updateVMs(vms)
 		} else if ctx.Err() == nil {
-			s.log.Warn("VM list was not read", "error", err)
+			s.log.Warn("Failed to read the VM list", "error", err)
 		}
-		_ = sleep.For(ctx, s.options.VMInterval) // the loop asks the context itself
+		_ = sleep.For(ctx, s.options.VMInterval) // the loop checks ctx
 	}
 }
 
-func (s *Service) takeVMs(vms []platform.VM) {
+func (s *Service) updateVMs(vms []platform.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.node.core.SetVMs(s.now(), peerAddresses(vms, s.options.Self.PeerAddress))
 	s.refresh()
 }
 
-// peerAddresses returns the peer addresses of the entry VMs. The VM list has IP numbers;
-// all daemons of a deployment use the same peer port as this one. An address that brings
-// its own port keeps it.
+// peerAddresses returns the peer addresses of the entry VMs. The VM list holds IP addresses,
+// to which peerAddresses adds the peer port of this daemon, as all daemons of a deployment
+// use the same one. An address with a port keeps that port.
 func peerAddresses(vms []platform.VM, self string) []string {
 	_, port, err := net.SplitHostPort(self)
 	if err != nil {
