--- a/internal/actors/actors.go
+++ b/internal/actors/actors.go
@@ -1,4 +1,4 @@
-// Package actors starts actor systems that log like the rest of the daemon.
+// Package actors creates actor systems that log through the daemon's logger.
 package actors
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// NewSystem returns an actor system whose warnings go to log. Its clustering, remoting
-// and discovery stay unused.
+// NewSystem returns an actor system that writes its warnings to log. The daemon does not
+// use its clustering, remoting and discovery.
 func NewSystem(log hclog.Logger) *actor.ActorSystem {
 	writer := log.Named("actor").StandardWriter(&hclog.StandardLoggerOptions{ForceLevel: hclog.Warn})
 	handler := slog.NewTextHandler(writer, &slog.HandlerOptions{Level: slog.LevelWarn})
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -1,12 +1,12 @@
 // Package pipeline runs requests through a chain of filters. Each filter is an actor
-// with its own thread of work, and neighbours are joined by bounded rings.
+// that processes one job at a time, and a bounded mailbox queues the jobs of each actor.
 //
-// A bounded mailbox of the actor library blocks its sender when full, and the
-// dropping kind discards the oldest message in silence. Neither may happen to a
-// request, so a job takes a credit before it enters the first ring and keeps it until
-// it is settled. A job is in one ring at a time and every ring holds at least as many
-// messages as there are credits: no ring can be full. Without a credit, Submit fails
-// at once and the caller is told that its request did not run.
+// A bounded mailbox of the actor library blocks its sender when full, and the dropping
+// variant silently discards the oldest message. Neither may happen to a request. A job
+// therefore takes a credit before it enters the first mailbox and holds it until
+// ReleaseCredit. A job is in one mailbox at a time and every mailbox has room for at least
+// as many messages as there are credits, so no mailbox can be full. Without a free credit,
+// Submit fails at once and the caller learns that its request did not run.
 package pipeline
 
 import (
@@ -21,52 +21,54 @@
 	"github.com/bluebellscale/bluebellscale/internal/actors"
 )
 
-// ErrNoCredit reports that as many jobs as allowed are in flight.
+// ErrNoCredit reports that the maximum number of jobs is in flight.
 var ErrNoCredit = errors.New("pipeline: no credit left")
 
-// ErrPanic marks the failure of a filter that panicked.
+// ErrPanic marks the error of a job whose filter panicked.
 var ErrPanic = errors.New("pipeline: filter panicked")
 
-// systemSlack is room in each ring for the actor's own lifecycle messages.
+// systemSlack is the mailbox capacity reserved for the actor's own lifecycle messages.
 const systemSlack = 8
 
-// Work is a blocking part of a filter. It runs outside the actor and returns what
-// the filter would have returned.
+// Work is a blocking step of a filter. It runs outside the actor and returns the filter's
+// decision.
 type Work func(ctx context.Context) Decision
 
-// Decision is what a filter decided about a job.
+// Decision is a filter's decision about a job.
 type Decision struct {
-	kind verdictKind
+	kind decisionKind
 	work Work
 	err  error
 }
 
-type verdictKind int
+type decisionKind int
 
 const (
-	verdictPass verdictKind = iota
-	verdictFinish
-	verdictAwait
+	decisionPass decisionKind = iota
+	decisionFinish
+	decisionAwait
 )
 
-// Pass sends the job to the next filter; after the last one the job is finished.
-func Pass() Decision { return Decision{kind: verdictPass} }
+// Pass sends the job to the next filter. After the last filter, the chain ends without an
+// error.
+func Pass() Decision { return Decision{kind: decisionPass} }
 
-// Finish ends the chain for the job, with an error or, if nil, as decided early.
-func Finish(err error) Decision { return Decision{kind: verdictFinish, err: err} }
+// Finish ends the chain early for the job, with err or successfully if err is nil.
+func Finish(err error) Decision { return Decision{kind: decisionFinish, err: err} }
 
-// Await runs work outside the filter's thread and applies the verdict it returns.
-func Await(work Work) Decision { return Decision{kind: verdictAwait, work: work} }
+// Await runs work outside the filter's actor and applies the decision that work returns.
+func Await(work Work) Decision { return Decision{kind: decisionAwait, work: work} }
 
-// Job is one request on its way.
+// Job is a request in the pipeline.
 type Job interface {
-	// Context ends when the caller has gone or the request's deadline has passed.
+	// Context ends when the caller disconnects or the request's deadline passes.
 	Context() context.Context
 	// OnChainEnd is called once per Submit or Resubmit, when the chain has ended.
 	OnChainEnd(err error)
 }
 
-// Filter is one step of the chain. Process must not block; it returns Await to wait.
+// Filter is one step of the chain. Process must not block; it returns Await for work that
+// blocks.
 type Filter[J Job] interface {
 	Name() string
 	Process(j J) Decision
@@ -124,7 +126,8 @@
 	return nil
 }
 
-// Resubmit starts a decided job, which still holds its credit, again at the named filter.
+// Resubmit restarts, at the named filter, a job whose chain has ended and which still holds
+// its credit.
 func (p *Pipeline[J]) Resubmit(j J, filter string) {
 	for i, s := range p.stages {
 		if s.filter.Name() == filter {
@@ -135,13 +138,13 @@
 	j.OnChainEnd(errors.AssertionFailedf("pipeline: no filter %q", filter))
 }
 
-// ReleaseCredit returns the credit of a job that needs the chain no more.
+// ReleaseCredit returns the credit of a job that no longer needs the chain.
 func (p *Pipeline[J]) ReleaseCredit() { <-p.credits }
 
-// InFlight returns the number of credits taken.
+// InFlight returns the number of credits in use.
 func (p *Pipeline[J]) InFlight() int { return len(p.credits) }
 
-// Shutdown stops the actors. No job may be in flight.
+// Shutdown stops the actors. The caller must ensure that no job is in flight.
 func (p *Pipeline[J]) Shutdown() { p.system.Shutdown() }
 
 func (p *Pipeline[J]) enter(index int, j J) {
@@ -153,7 +156,7 @@
 	p.system.Root.Send(s.pid, &arrival[J]{job: j})
 }
 
-// arrival is a job that reaches a filter.
+// arrival is the message that delivers a job to a filter.
 type arrival[J Job] struct {
 	job J
 }
@@ -178,33 +181,34 @@
 }
 
 func (s *stage[J]) process(j J) Decision {
-	return s.guard(func() Decision { return s.filter.Process(j) })
+	return s.recoverPanic(func() Decision { return s.filter.Process(j) })
 }
 
-// guard turns a panic into a refusal. Without it the supervisor would restart the
-// actor and the job would vanish: its caller would wait until its own timeout.
-func (s *stage[J]) guard(f func() Decision) (v Decision) {
+// recoverPanic converts a panic into a decision that fails the job. Without it, the
+// supervisor would restart the actor and lose the job, and the caller would wait until its
+// own timeout.
+func (s *stage[J]) recoverPanic(f func() Decision) (d Decision) {
 	defer func() {
 		if r := recover(); r != nil {
 			s.pipeline.log.Error("Filter panicked", "filter", s.filter.Name(), "panic", r, "stack", string(debug.Stack()))
-			v = Finish(errors.Mark(errors.Newf("filter %s: %v", s.filter.Name(), r), ErrPanic))
+			d = Finish(errors.Mark(errors.Newf("filter %s: %v", s.filter.Name(), r), ErrPanic))
 		}
 	}()
 	return f()
 }
 
-func (s *stage[J]) apply(j J, v Decision) {
-	switch v.kind {
-	case verdictPass:
+func (s *stage[J]) apply(j J, d Decision) {
+	switch d.kind {
+	case decisionPass:
 		s.pipeline.enter(s.index+1, j)
-	case verdictFinish:
-		j.OnChainEnd(v.err)
-	case verdictAwait:
-		go s.await(j, v.work)
+	case decisionFinish:
+		j.OnChainEnd(d.err)
+	case decisionAwait:
+		go s.await(j, d.work)
 	}
 }
 
-// await runs blocking work; the number of these goroutines is bounded by the credits.
+// await runs blocking work. The credits limit the number of these goroutines.
 func (s *stage[J]) await(j J, work Work) {
-	s.apply(j, s.guard(func() Decision { return work(j.Context()) }))
+	s.apply(j, s.recoverPanic(func() Decision { return work(j.Context()) }))
 }
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -65,11 +65,11 @@
 	}
 }
 
-// A flood of requests arrives while a filter waits for a slow peer. With the
-// library's bounded mailbox alone the sender would block and callers would hang;
-// with the dropping one the oldest request would vanish. The cause is a ring
-// smaller than the number of jobs in flight: credits exclude it.
-func TestFloodIsRefusedAtOnce(t *testing.T) {
+// TestSubmitFailsWithoutCredit submits many jobs while a filter waits for a slow peer. If a
+// mailbox were smaller than the number of jobs in flight, the library's bounded mailbox
+// would block the sender and its dropping mailbox would lose the oldest job. The credits
+// prevent this, and Submit must refuse the excess jobs at once.
+func TestSubmitFailsWithoutCredit(t *testing.T) {
 	release := make(chan struct{})
 	hold := func(*job) pipeline.Decision {
 		return pipeline.Await(func(context.Context) pipeline.Decision {
@@ -105,10 +105,10 @@
 	}
 }
 
-// A filter panics on one request. The caller must get an error at once, and the
-// next request must be served. Without a guard the actor library restarts the actor
-// and drops the message, so the caller would wait for ever.
-func TestPanicIsAnsweredAndServiceGoesOn(t *testing.T) {
+// TestFilterPanicFailsOnlyItsJob lets a filter panic on one job. The job must fail at once,
+// and the next job must pass. Without the recovery, the actor library restarts the actor
+// and drops the message, and the caller would wait indefinitely.
+func TestFilterPanicFailsOnlyItsJob(t *testing.T) {
 	first := true
 	p := start(2, filter{"panics once", func(*job) pipeline.Decision {
 		if first {
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,8 +1,8 @@
-// Package testseed gives random tests the same seed in each run, so that CI's verdict does
-// not depend on luck. Tests that use rapid import it for its effect.
+// Package testseed sets the same seed for randomized tests in each run, so that CI results
+// are reproducible. Tests that use rapid import it for its side effect.
 //
-// With FRESH_SEEDS set, the seeds are new in each run: make seeds looks for new failures.
-// A seed that is found stays in its test as a case of its own.
+// With FRESH_SEEDS set, each run uses new seeds; make seeds uses this to search for new
+// failures. A seed that reproduces a failure becomes a test case of its own.
 package testseed
 
 import (
@@ -12,14 +12,14 @@
 	_ "pgregory.net/rapid" // defines the flag
 )
 
-// fixed is the seed of ordinary runs; any other would do.
-const fixed = "20261202"
+// fixedSeed is the seed of ordinary runs. Its value is arbitrary.
+const fixedSeed = "20261202"
 
 func init() {
 	if os.Getenv("FRESH_SEEDS") != "" {
 		return
 	}
-	if err := flag.Set("rapid.seed", fixed); err != nil {
-		panic(err) // rapid defines the flag, or has changed
+	if err := flag.Set("rapid.seed", fixedSeed); err != nil {
+		panic(err) // rapid no longer defines the flag
 	}
 }
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,12 +1,12 @@
-// Package version names the release.
+// Package version provides the release version.
 package version
 
 import "runtime/debug"
 
-// Release is the version of the source.
+// Release is the version of this source tree.
 const Release = "0.1.0-dev"
 
-// String returns the release with the revision that it was built from, if known.
+// String returns the release and, if known, the revision that the binary was built from.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
