--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -54,21 +54,19 @@
 	if !s.converge(size) {
 		t.Fatal("daemons did not find each other")
 	}
-	isolated := s.nodes[3]
-	s.partitioned = func(a, b *simNode) bool { return a == isolated || b == isolated }
+	victim := s.nodes[3]
+	s.partitioned = func(a, b *simNode) bool { return a == victim || b == victim }
 	s.runFor(time.Minute)
-	if isolated.liveCount() != 1 {
-		t.Fatalf("the partitioned daemon has %d live members in its view", isolated.liveCount())
-	}
-	others := func(n *simNode) bool {
-		return n == isolated || (n.stateOf(isolated.id) == dead && n.liveCount() == size-1)
+	if victim.numLive() != 1 {
+		t.Fatalf("the partitioned daemon has %d live members in its view", victim.numLive())
 	}
+	others := func(n *simNode) bool { return n == victim || (n.stateOf(victim.id) == dead && n.numLive() == size-1) }
 	if !s.allUp(others) {
 		t.Fatal("the others did not declare the partitioned daemon dead")
 	}
 
 	naive := make(map[string]peer.MemberState)
-	for _, m := range append(s.nodes[0].core.Members(), isolated.core.Members()...) {
+	for _, m := range append(s.nodes[0].core.Members(), victim.core.Members()...) {
 		naive[m.Id] = max(naive[m.Id], m.State)
 	}
 	if naive[s.nodes[1].id] != dead {
@@ -78,11 +76,11 @@
 	s.partitioned = func(_, _ *simNode) bool { return false }
 	rejoined, ok := s.runUntil(time.Minute, func() bool {
 		for _, n := range s.nodes {
-			if n != isolated && n.liveCount() < size-1 {
-				t.Fatalf("%s has only %d live members in its view after the partition", n.id, n.liveCount())
+			if n != victim && n.numLive() < size-1 {
+				t.Fatalf("%s has only %d live members in its view after the partition", n.id, n.numLive())
 			}
 		}
-		return s.allUp(func(n *simNode) bool { return n.liveCount() == size })
+		return s.allUp(func(n *simNode) bool { return n.numLive() == size })
 	})
 	if !ok {
 		t.Fatal("the daemon did not rejoin")
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -315,8 +315,8 @@
 
 func wireSize(m proto.Message) int64 { return int64(proto.Size(m)) + httpOverhead }
 
-// liveCount returns the number of live members in a daemon's view, including itself.
-func (n *simNode) liveCount() int {
+// numLive returns the number of live members in a daemon's view, including itself.
+func (n *simNode) numLive() int {
 	count := 0
 	if n.core.self.State != leaving {
 		count++
@@ -353,7 +353,7 @@
 func (s *sim) converge(size int) bool {
 	const limit = 5 * time.Minute
 	for end := s.now.Add(limit); s.now.Before(end); s.runFor(time.Second) {
-		if s.allUp(func(n *simNode) bool { return n.liveCount() == size }) {
+		if s.allUp(func(n *simNode) bool { return n.numLive() == size }) {
 			return true
 		}
 	}
