--- a/internal/coordinator/cache.go
+++ b/internal/coordinator/cache.go
@@ -28,7 +28,7 @@
 	if m, ok := p.coordinators[id]; ok {
 		return m
 	}
-	m := members.Place(assignmentKey(id))
+	m := members.Owner(assignmentKey(id))
 	if m == nil {
 		m = members.Self()
 	}
--- a/internal/coordinator/cache_test.go
+++ b/internal/coordinator/cache_test.go
@@ -14,7 +14,7 @@
 
 func (m *changingMembers) Self() *peer.Member            { return &peer.Member{Id: "self"} }
 func (m *changingMembers) Live() []*peer.Member          { return m.live }
-func (m *changingMembers) Place(key string) *peer.Member { return membership.Place(m.live, key) }
+func (m *changingMembers) Owner(key string) *peer.Member { return membership.Owner(m.live, key) }
 
 func daemons(n int) []*peer.Member {
 	out := make([]*peer.Member, n)
@@ -33,7 +33,7 @@
 		m.live = live
 		for i := range 200 {
 			id := request.TargetID(fmt.Sprint("engine-", i%100))
-			want := m.Place(assignmentKey(id))
+			want := m.Owner(assignmentKey(id))
 			if want == nil {
 				want = m.Self()
 			}
@@ -62,7 +62,7 @@
 	b.Run("computed", func(b *testing.B) {
 		for b.Loop() {
 			for _, id := range ids {
-				m.Place(assignmentKey(id))
+				m.Owner(assignmentKey(id))
 			}
 		}
 	})
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -40,7 +40,7 @@
 	// Live returns the same slice until the live daemons change.
 	Live() []*peer.Member
 	// Place returns the live daemon that a key is assigned to, nil if none is live.
-	Place(key string) *peer.Member
+	Owner(key string) *peer.Member
 }
 
 // Targets provides the client of a target.
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -38,7 +38,7 @@
 	Self() *peer.Member
 	Live() []*peer.Member
 	Members() []*peer.Member
-	Place(key string) *peer.Member
+	Owner(key string) *peer.Member
 }
 
 // PeerDialer provides the twirp client of a peer.
@@ -153,7 +153,7 @@
 }
 
 func (l *Limiter) requestSlice(ctx context.Context, req limit.SliceRequest) (limit.Slice, error) {
-	coordinator := l.opts.Members.Place(assignmentKey(req.Org))
+	coordinator := l.opts.Members.Owner(assignmentKey(req.Org))
 	if coordinator == nil || coordinator.Id == l.opts.Members.Self().Id {
 		return l.grantSlice(l.opts.Members.Self().Id, req), nil
 	}
@@ -261,7 +261,7 @@
 }
 
 func isCoordinator(live []*peer.Member, org request.OrgID, self string) bool {
-	coordinator := membership.Place(live, assignmentKey(org))
+	coordinator := membership.Owner(live, assignmentKey(org))
 	return coordinator != nil && coordinator.Id == self
 }
 
