--- a/internal/controlbench/slopes_test.go
+++ b/internal/controlbench/slopes_test.go
@@ -163,7 +163,7 @@
 	ctx := context.Background()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		grant, refusal := s.Acquire(ctx, gateway.Ask{
+		grant, refusal := s.Acquire(ctx, gateway.AcquireRequest{
 			Request: request.ID(strconv.Itoa(i)), Target: "engine-0001", Org: "org-00001", Tokens: 10, Deadline: time.Now().Add(time.Minute),
 		})
 		if refusal != nil {
--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -201,7 +201,7 @@
 	g.stats.accepted.Inc(1)
 	defer g.settle(j)
 	out := newSink(w, j, g.opts.WriteTimeout)
-	defer out.keepAlive(g.opts.HopSilentAfter / keepAlivesPerSilence)()
+	defer out.keepAlive(g.opts.HopIdleTimeout / keepAlivesPerSilence)()
 	if err := <-j.decided; err != nil {
 		g.fail(out, g.refusalOf(j, err))
 		return
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -92,7 +92,7 @@
 			targetFailed: true,
 		}
 	}
-	g.settleTicket(j, g.opts.Journal.Doubt)
+	g.settleTicket(j, g.opts.Journal.MarkInDoubt)
 	g.stats.inDoubt.Inc(1)
 	answer := &request.Error{Code: request.CodeInDoubt, Status: http.StatusBadGateway, Ran: request.InDoubt,
 		Message: "the service did not answer; the call may have run"}
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -94,9 +94,9 @@
 
 func (w *world) gateway(t testing.TB) *Gateway {
 	g := New(Options{
-		Tables: w.tables, Members: w.members, Limiter: w, Journal: w, Contexts: w, Stewards: w, Targets: w, Quarantine: register{w},
+		Tables: w.tables, Members: w.members, Limiter: w, Journal: w, Contexts: w, Coordinators: w, Targets: w, Quarantine: register{w},
 		Logger: hclog.NewNullLogger(), Credits: 8, MaxBody: 1 << 20, DefaultDeadline: time.Minute,
-		MaxResumes: 1, StreamSilentAfter: testSilent, FirstSilentAfter: testSilent, HopSilentAfter: testSilent,
+		MaxResumes: 1, StreamIdleTimeout: testSilent, FirstFrameTimeout: testSilent, HopIdleTimeout: testSilent,
 		WriteTimeout: testSilent,
 	})
 	t.Cleanup(g.Shutdown)
@@ -130,12 +130,12 @@
 func (m fakeMembers) Place(string) *peer.Member                       { return m.home }
 func (m fakeMembers) Rank(string, int) []*peer.Member                 { return []*peer.Member{m.self} }
 func (w *world) Partition(request.OrgID, string) int                  { return 0 }
-func (w *world) Misplaced(int)                                        {}
+func (w *world) OnHolderRefused(int)                                  {}
 func (w *world) Done(request.OrgID, int64)                            { w.give("slice") }
 func (w *world) Release(Grant, Release)                               { w.give("grant") }
 func (w *world) End(request.ID)                                       { w.give("flight") }
-func (w *world) Learn(Context, Answered)                              {}
-func (w *world) Bring(context.Context, Context, Choice)               {}
+func (w *world) OnAnswer(Context, CompletionStats)                    {}
+func (w *world) RunImport(context.Context, Context, Choice)           {}
 func (w *world) TargetDied(context.Context, request.TargetID, uint64) {}
 
 func (w *world) Admit(context.Context, *table.Organisation, int64) *request.Error {
@@ -151,11 +151,11 @@
 
 func (w *world) Serving(context.Context, request.Model) (request.Version, bool) { return "", false }
 
-func (w *world) Calls(context.Context, string, map[request.TargetID]bool) []table.Target {
+func (w *world) RankInstances(context.Context, string, map[request.TargetID]bool) []table.Target {
 	return []table.Target{{ID: "cards-1"}}
 }
 
-func (w *world) Acquire(_ context.Context, a Ask) (Grant, *request.Error) {
+func (w *world) Acquire(_ context.Context, a AcquireRequest) (Grant, *request.Error) {
 	if !w.step("queue", "grant") {
 		return Grant{}, request.Refuse(request.CodeOverloaded, http.StatusServiceUnavailable, time.Second, "queue")
 	}
@@ -188,8 +188,8 @@
 func (w *world) Finish(context.Context, *journal.Ticket, journal.Result) error {
 	return w.end("finish")
 }
-func (w *world) Abort(context.Context, *journal.Ticket) error { return w.end("abort") }
-func (w *world) Doubt(context.Context, *journal.Ticket) error { return w.end("doubt") }
+func (w *world) Abort(context.Context, *journal.Ticket) error       { return w.end("abort") }
+func (w *world) MarkInDoubt(context.Context, *journal.Ticket) error { return w.end("doubt") }
 
 func (w *world) Gate(context.Context, quarantine.Fingerprint) quarantine.Decision {
 	w.step("gate", "")
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -114,7 +114,7 @@
 		return f.engines(ctx, j)
 	}
 	var out []Choice
-	for _, t := range f.g.opts.Stewards.Calls(ctx, j.call.service, j.exclude) {
+	for _, t := range f.g.opts.Coordinators.RankInstances(ctx, j.call.service, j.exclude) {
 		out = append(out, Choice{Target: t})
 	}
 	return out
@@ -141,7 +141,7 @@
 			break
 		}
 		var grant Grant
-		grant, refusal = f.g.opts.Stewards.Acquire(ctx, f.g.ask(j, c))
+		grant, refusal = f.g.opts.Coordinators.Acquire(ctx, f.g.ask(j, c))
 		if refusal == nil {
 			j.choice = c
 			j.grant = &grant
@@ -153,8 +153,8 @@
 	return pipeline.Finish(refusal)
 }
 
-func (g *Gateway) ask(j *Job, c Choice) Ask {
-	return Ask{
+func (g *Gateway) ask(j *Job, c Choice) AcquireRequest {
+	return AcquireRequest{
 		Request:  j.work,
 		Target:   c.Target.ID,
 		Org:      j.org.ID,
@@ -252,7 +252,7 @@
 		return pipeline.Pass()
 	}
 	return pipeline.Await(func(ctx context.Context) pipeline.Verdict {
-		f.g.opts.Contexts.Bring(ctx, j.context, j.choice)
+		f.g.opts.Contexts.RunImport(ctx, j.context, j.choice)
 		return pipeline.Pass()
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -59,12 +59,12 @@
 type Journal interface {
 	Partition(org request.OrgID, key string) int
 	Holder(ctx context.Context, partition int) (journal.Holder, error)
-	// Misplaced is told that the daemon that Holder named refused a call.
-	Misplaced(partition int)
+	// OnHolderRefused is told that the daemon that Holder named refused a call.
+	OnHolderRefused(partition int)
 	Begin(ctx context.Context, call journal.Call) (*journal.Ticket, *journal.Result, error)
 	Finish(ctx context.Context, t *journal.Ticket, r journal.Result) error
 	Abort(ctx context.Context, t *journal.Ticket) error
-	Doubt(ctx context.Context, t *journal.Ticket) error
+	MarkInDoubt(ctx context.Context, t *journal.Ticket) error
 }
 
 // Choice is one target that a request may go to, best first.
@@ -102,8 +102,8 @@
 	Tokens int // prompt tokens
 }
 
-// Answered is what a target said about a finished completion.
-type Answered struct {
+// CompletionStats is what a target said about a finished completion.
+type CompletionStats struct {
 	Target       request.TargetID
 	CachedTokens int
 	PromptTokens int
@@ -117,14 +117,14 @@
 	Choose(ctx context.Context, c Context, exclude map[request.TargetID]bool) []Choice
 	// Serving returns the weight version that most of a model's targets have loaded.
 	Serving(ctx context.Context, model request.Model) (request.Version, bool)
-	// Bring carries out an import; a failure only means that the target prefills.
-	Bring(ctx context.Context, c Context, choice Choice)
-	// Learn takes the truth from an answer and decides what to keep.
-	Learn(c Context, a Answered)
+	// RunImport carries out an import; a failure only means that the target prefills.
+	RunImport(ctx context.Context, c Context, choice Choice)
+	// OnAnswer takes the truth from an answer and decides what to keep.
+	OnAnswer(c Context, a CompletionStats)
 }
 
-// Ask is a request for leave to use a target.
-type Ask struct {
+// AcquireRequest is a request for leave to use a target.
+type AcquireRequest struct {
 	Request  request.ID
 	Target   request.TargetID
 	Org      request.OrgID
@@ -149,12 +149,12 @@
 	TargetFailed  bool
 }
 
-// Stewards grants work on targets.
-type Stewards interface {
-	Acquire(ctx context.Context, ask Ask) (Grant, *request.Error)
+// Coordinators grants work on targets.
+type Coordinators interface {
+	Acquire(ctx context.Context, ask AcquireRequest) (Grant, *request.Error)
 	Release(g Grant, r Release)
-	// Calls ranks the instances of a plain service, least loaded first.
-	Calls(ctx context.Context, service string, exclude map[request.TargetID]bool) []table.Target
+	// RankInstances ranks the instances of a plain service, least loaded first.
+	RankInstances(ctx context.Context, service string, exclude map[request.TargetID]bool) []table.Target
 }
 
 // Targets gives the client of a target.
@@ -181,7 +181,7 @@
 	Limiter           Limiter
 	Journal           Journal
 	Contexts          Contexts
-	Stewards          Stewards
+	Coordinators      Coordinators
 	Targets           Targets
 	Quarantine        Quarantine
 	Logger            hclog.Logger
@@ -190,12 +190,12 @@
 	MaxBody           int
 	DefaultDeadline   time.Duration
 	Stale             func() bool   // tells whether the table can not be relied on; nil: it always can
-	RouteKeep         time.Duration // how long callers keep a route answer
+	RouteTTL          time.Duration // how long callers keep a route answer
 	MaxResumes        int
 	Seed              uint64        // of the jitter of retries
-	StreamSilentAfter time.Duration // no frame for this long makes a stream silent
-	FirstSilentAfter  time.Duration // the same for the first frame, which waits for the prefill
-	HopSilentAfter    time.Duration // no sign of life from a peer for this long fails the hop
+	StreamIdleTimeout time.Duration // no frame for this long makes a stream silent
+	FirstFrameTimeout time.Duration // the same for the first frame, which waits for the prefill
+	HopIdleTimeout    time.Duration // no sign of life from a peer for this long fails the hop
 	WriteTimeout      time.Duration // of one write to a caller
 	BodyTimeout       time.Duration // of reading a request's body; 0: 30 s
 }
--- a/internal/gateway/hop.go
+++ b/internal/gateway/hop.go
@@ -135,7 +135,7 @@
 func (g *Gateway) tryHop(out *sink, j *Job) error {
 	ctx, cancel := context.WithCancel(j.ctx)
 	defer cancel()
-	watch := time.AfterFunc(g.opts.HopSilentAfter, cancel)
+	watch := time.AfterFunc(g.opts.HopIdleTimeout, cancel)
 	defer watch.Stop()
 	answer, err := g.hops.send(ctx, j.forward, http.MethodPost, pathCompletions, j)
 	if err != nil {
@@ -145,7 +145,7 @@
 	if answer.StatusCode != http.StatusOK {
 		return hopRefused(answer)
 	}
-	source := newHopStream(answer.Body, func() { watch.Reset(g.opts.HopSilentAfter) })
+	source := newHopStream(answer.Body, func() { watch.Reset(g.opts.HopIdleTimeout) })
 	source.pause = func() { watch.Stop() }
 	return pumpHop(ctx, out, j, source)
 }
@@ -273,7 +273,7 @@
 		return
 	}
 	if refusedAs(request.CodeNotHolder, answer.StatusCode, body) {
-		g.opts.Journal.Misplaced(j.partition)
+		g.opts.Journal.OnHolderRefused(j.partition)
 	}
 	for _, name := range []string{"Content-Type", "Retry-After", headerReplayed} {
 		if v := answer.Header.Get(name); v != "" {
--- a/internal/gateway/pump.go
+++ b/internal/gateway/pump.go
@@ -48,8 +48,8 @@
 		assemble: stream.New(time.Now(), stream.Params{
 			RequestID:         attempt,
 			Version:           j.context.Scope.Version,
-			IdleTimeout:       g.opts.StreamSilentAfter,
-			FirstFrameTimeout: g.opts.FirstSilentAfter,
+			IdleTimeout:       g.opts.StreamIdleTimeout,
+			FirstFrameTimeout: g.opts.FirstFrameTimeout,
 			MaxResumes:        g.opts.MaxResumes,
 		}),
 	}
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -41,7 +41,7 @@
 		q := r.URL.Query()
 		key = routeKey(org.ID, q.Get("model"), q.Get("head"), q.Get("service"))
 	}
-	answer := routeAnswer{KeepMs: g.opts.RouteKeep.Milliseconds()}
+	answer := routeAnswer{KeepMs: g.opts.RouteTTL.Milliseconds()}
 	for _, m := range g.opts.Members.Rank(key, routeAddresses) {
 		answer.Addresses = append(answer.Addresses, m.CallerAddress)
 	}
--- a/internal/gateway/settle.go
+++ b/internal/gateway/settle.go
@@ -32,7 +32,7 @@
 // way may have run: freeing its key would let the next try run it twice.
 func (g *Gateway) leftOver(j *Job) func(context.Context, *journal.Ticket) error {
 	if j.sent {
-		return g.opts.Journal.Doubt
+		return g.opts.Journal.MarkInDoubt
 	}
 	return g.opts.Journal.Abort
 }
@@ -41,7 +41,7 @@
 	if j.grant == nil {
 		return
 	}
-	g.opts.Stewards.Release(*j.grant, Release{PrefillTokens: j.prefilled, TargetFailed: j.failed})
+	g.opts.Coordinators.Release(*j.grant, Release{PrefillTokens: j.prefilled, TargetFailed: j.failed})
 	j.grant = nil
 	j.failed = false
 }
@@ -62,7 +62,7 @@
 }
 
 func (g *Gateway) learn(j *Job, u engineapi.Usage, first time.Duration) {
-	g.opts.Contexts.Learn(j.context, Answered{
+	g.opts.Contexts.OnAnswer(j.context, CompletionStats{
 		Target:       j.choice.Target.ID,
 		CachedTokens: u.CachedTokens,
 		PromptTokens: u.PromptTokens,
--- a/internal/journal/call.go
+++ b/internal/journal/call.go
@@ -162,9 +162,9 @@
 	return s.wait(ctx, err)
 }
 
-// Doubt gives up a ticket whose outcome is unknown: its key stays in doubt. Nothing
+// MarkInDoubt gives up a ticket whose outcome is unknown: its key stays in doubt. Nothing
 // needs to be written, since the intent already is.
-func (j *Journal) Doubt(_ context.Context, t *Ticket) error {
+func (j *Journal) MarkInDoubt(_ context.Context, t *Ticket) error {
 	t.worker.mu.Lock()
 	defer t.worker.mu.Unlock()
 	t.worker.core.doubt(t)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Doubt(ctx, doubted); err != nil {
+	if err := a.MarkInDoubt(ctx, doubted); err != nil {
 		t.Error(err)
 	}
 	aborted, _, err := a.begin(ctx, call("aborted"))
--- a/internal/planner/import.go
+++ b/internal/planner/import.go
@@ -33,10 +33,10 @@
 	return to - (o.ImportBlocks - o.ReuseBlocks), to
 }
 
-// Bring implements gateway.Contexts. The caller waits no longer than the import is
+// RunImport implements gateway.Contexts. The caller waits no longer than the import is
 // worth; whatever has not come by then is prefilled by the target. It does not wait at
 // all if the target is to compute the blocks before those that are brought.
-func (p *Planner) Bring(ctx context.Context, c gateway.Context, choice gateway.Choice) {
+func (p *Planner) RunImport(ctx context.Context, c gateway.Context, choice gateway.Choice) {
 	if choice.Import.From == 0 {
 		p.bringNow(ctx, c, choice)
 		return
--- a/internal/planner/import_test.go
+++ b/internal/planner/import_test.go
@@ -64,7 +64,7 @@
 		"organisation": contextOf("temper", text("context", 10)),
 		"context":      contextOf(testScope, text("other", 10)),
 	} {
-		p.Bring(w.ctx, c, *choice)
+		p.RunImport(w.ctx, c, *choice)
 		if s := w.engines[1].Stats(); s.ImportedBlocks != 0 {
 			t.Fatalf("another %s was given %d blocks", name, s.ImportedBlocks)
 		}
@@ -119,7 +119,7 @@
 			choice.Import.Deadline = story.deadline
 			story.strike(w, c, p)
 
-			p.Bring(w.ctx, c, *choice)
+			p.RunImport(w.ctx, c, *choice)
 			if w.ctx.Err() != nil {
 				t.Fatal("the caller waited until the test's end")
 			}
@@ -148,7 +148,7 @@
 	choice := w.choice(p, c)
 	choice.Target.Address = full.Listener.Addr().String()
 	choice.Import.Deadline = testTimeout
-	p.Bring(w.ctx, c, *choice)
+	p.RunImport(w.ctx, c, *choice)
 	if copies := p.locate(c).Copies; len(copies) != 1 {
 		t.Fatal("the copy was forgotten")
 	}
@@ -210,13 +210,13 @@
 	choice := w.choice(p, c)
 	choice.Import.From = 7
 	choice.Import.Deadline = testTimeout
-	p.Bring(w.ctx, c, *choice)
+	p.RunImport(w.ctx, c, *choice)
 	w.await("the last blocks", func() bool { return w.engines[1].Stats().ImportedBlocks == 9 })
 
 	frozen := true
 	w.switches.Apply(fault.Command{Freeze: &frozen})
 	began := time.Now()
-	p.Bring(w.ctx, c, *choice)
+	p.RunImport(w.ctx, c, *choice)
 	if time.Since(began) > testTimeout/2 {
 		t.Fatal("the caller waited for a store that does not answer")
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -367,12 +367,12 @@
 	return nil
 }
 
-// Learn implements gateway.Contexts.
-func (p *Planner) Learn(c gateway.Context, a gateway.Answered) {
+// OnAnswer implements gateway.Contexts.
+func (p *Planner) OnAnswer(c gateway.Context, a gateway.CompletionStats) {
 	p.keep(c, a.Target, p.learn(c, a))
 }
 
-func (p *Planner) learn(c gateway.Context, a gateway.Answered) []contextdir.Action {
+func (p *Planner) learn(c gateway.Context, a gateway.CompletionStats) []contextdir.Action {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
--- a/internal/planner/world_test.go
+++ b/internal/planner/world_test.go
@@ -196,7 +196,7 @@
 	w.t.Helper()
 	c := contextOf(testScope, prompt)
 	w.compute(c, prompt)
-	p.learn(c, gateway.Answered{Target: "engine-1", PromptTokens: c.Tokens, FirstToken: time.Second})
+	p.learn(c, gateway.CompletionStats{Target: "engine-1", PromptTokens: c.Tokens, FirstToken: time.Second})
 	w.check(p.export(w.ctx, c, "engine-1"))
 	return c
 }
@@ -221,7 +221,7 @@
 	before := w.engines[1].Stats().ImportedBlocks
 	if choice := w.choice(p, c); choice != nil {
 		choice.Import.Deadline = testTimeout
-		p.Bring(w.ctx, c, *choice)
+		p.RunImport(w.ctx, c, *choice)
 	}
 	return int(w.engines[1].Stats().ImportedBlocks - before)
 }
--- a/internal/schedules/daemon.go
+++ b/internal/schedules/daemon.go
@@ -75,7 +75,7 @@
 }
 
 func (r *realOnce) Doubt(ctx context.Context, ticket any) {
-	_ = r.journal.Doubt(ctx, ticket.(*journal.Ticket))
+	_ = r.journal.MarkInDoubt(ctx, ticket.(*journal.Ticket))
 }
 
 func (r *realOnce) Shutdown(ctx context.Context) {
--- a/internal/steward/acquire.go
+++ b/internal/steward/acquire.go
@@ -29,7 +29,7 @@
 const maxMoves = 2
 
 // Acquire implements gateway.Stewards.
-func (s *Service) Acquire(ctx context.Context, ask gateway.Ask) (gateway.Grant, *request.Error) {
+func (s *Service) Acquire(ctx context.Context, ask gateway.AcquireRequest) (gateway.Grant, *request.Error) {
 	grant, refusal := s.acquireOnce(ctx, ask)
 	for range maxMoves {
 		if refusal == nil || refusal.Code != request.CodeNotHolder {
@@ -42,7 +42,7 @@
 
 // acquireOnce asks the present steward. If it can not be asked, this daemon decides by
 // itself: the queue's place is soft.
-func (s *Service) acquireOnce(ctx context.Context, ask gateway.Ask) (gateway.Grant, *request.Error) {
+func (s *Service) acquireOnce(ctx context.Context, ask gateway.AcquireRequest) (gateway.Grant, *request.Error) {
 	m := s.steward(ask.Target)
 	if s.isSelf(m) {
 		return s.acquireSelf(ctx, ask)
@@ -61,7 +61,7 @@
 	return s.acquireSelf(ctx, ask)
 }
 
-func (s *Service) acquireSelf(ctx context.Context, ask gateway.Ask) (gateway.Grant, *request.Error) {
+func (s *Service) acquireSelf(ctx context.Context, ask gateway.AcquireRequest) (gateway.Grant, *request.Error) {
 	self := s.opts.Members.Self()
 	grant, refusal := s.acquireHere(ctx, ask, self.Id)
 	if refusal == nil {
@@ -77,7 +77,7 @@
 // acquireAt asks a peer until it grants or refuses. The question is cut into short
 // ones: over a connection that has gone silent a long one would hold the request until
 // its deadline. Asking again is harmless, since an ask is known by its request.
-func (s *Service) acquireAt(ctx context.Context, m *peer.Member, ask gateway.Ask) (gateway.Grant, *request.Error, error) {
+func (s *Service) acquireAt(ctx context.Context, m *peer.Member, ask gateway.AcquireRequest) (gateway.Grant, *request.Error, error) {
 	silent := 0
 	for {
 		answer, err := s.acquireLegAt(ctx, m, ask)
@@ -107,7 +107,7 @@
 // withdraw ends an ask at a peer that is no longer wanted. Between two questions nobody
 // there sees the caller leave: the ask would be granted later and hold a place until it
 // lapses.
-func (s *Service) withdraw(m *peer.Member, ask gateway.Ask) {
+func (s *Service) withdraw(m *peer.Member, ask gateway.AcquireRequest) {
 	s.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
@@ -120,7 +120,7 @@
 	})
 }
 
-func (s *Service) acquireLegAt(ctx context.Context, m *peer.Member, ask gateway.Ask) (*peer.AcquireResponse, error) {
+func (s *Service) acquireLegAt(ctx context.Context, m *peer.Member, ask gateway.AcquireRequest) (*peer.AcquireResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, acquireLeg+legSlack)
 	defer cancel()
 	answer, err := s.opts.Peers.Steward(m).Acquire(ctx, &peer.AcquireRequest{
@@ -145,14 +145,14 @@
 }
 
 // acquireHere enters an ask into the queue of this daemon's keeper and waits.
-func (s *Service) acquireHere(ctx context.Context, ask gateway.Ask, from string) (gateway.Grant, *request.Error) {
+func (s *Service) acquireHere(ctx context.Context, ask gateway.AcquireRequest, from string) (gateway.Grant, *request.Error) {
 	grant, refusal, _ := s.acquireWithin(ctx, ask, from, nil)
 	return grant, refusal
 }
 
 // acquireWithin is acquireHere, but says that the ask still waits when leg fires.
 func (s *Service) acquireWithin(
-	ctx context.Context, ask gateway.Ask, from string, leg <-chan time.Time,
+	ctx context.Context, ask gateway.AcquireRequest, from string, leg <-chan time.Time,
 ) (g gateway.Grant, refusal *request.Error, waiting bool) {
 	row, ok := s.opts.Tables.Current().Target(ask.Target)
 	if !ok {
@@ -183,7 +183,7 @@
 	return 1
 }
 
-func (s *Service) coreAsk(ask gateway.Ask, from string) admission.Request {
+func (s *Service) coreAsk(ask gateway.AcquireRequest, from string) admission.Request {
 	return admission.Request{
 		ID:       ask.Request,
 		From:     request.DaemonID(from),
--- a/internal/steward/look.go
+++ b/internal/steward/look.go
@@ -168,8 +168,8 @@
 	return ok && v.granted == 0 && v.waiting == 0
 }
 
-// Calls implements gateway.Stewards: the instances of a service, least loaded first.
-func (s *Service) Calls(ctx context.Context, service string, exclude map[request.TargetID]bool) []table.Target {
+// RankInstances implements gateway.Stewards: the instances of a service, least loaded first.
+func (s *Service) RankInstances(ctx context.Context, service string, exclude map[request.TargetID]bool) []table.Target {
 	var rows []table.Target
 	var ids []request.TargetID
 	for _, t := range s.opts.Tables.Current().Services(service) {
--- a/internal/steward/server.go
+++ b/internal/steward/server.go
@@ -28,7 +28,7 @@
 	}
 	leg := time.NewTimer(acquireLeg)
 	defer leg.Stop()
-	grant, refusal, waiting := v.service.acquireWithin(ctx, gateway.Ask{
+	grant, refusal, waiting := v.service.acquireWithin(ctx, gateway.AcquireRequest{
 		Request:  request.ID(r.RequestId),
 		Target:   request.TargetID(r.Target),
 		Org:      request.OrgID(r.Organisation),
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -74,8 +74,8 @@
 	return s
 }
 
-func ask(id request.ID) gateway.Ask {
-	return gateway.Ask{Request: id, Target: "engine-1", Org: "atlas", Tokens: 10, Deadline: time.Now().Add(time.Minute)}
+func ask(id request.ID) gateway.AcquireRequest {
+	return gateway.AcquireRequest{Request: id, Target: "engine-1", Org: "atlas", Tokens: 10, Deadline: time.Now().Add(time.Minute)}
 }
 
 // Callers wait up to 15 s for a first token after one daemon was killed. The daemon
