--- a/internal/gateway/accept.go
+++ b/internal/gateway/accept.go
@@ -17,24 +17,24 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Headers of the callers' interface and of the hop between daemons.
+// Headers of the caller API and of requests that daemons forward to each other.
 const (
-	// HeaderIdempotencyKey names a call that must be produced at most once.
+	// HeaderIdempotencyKey identifies a call that must run at most once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderFirstSent says when the caller first sent its key (RFC 3339).
+	// HeaderFirstSent is the time at which the caller first sent its key (RFC 3339).
 	HeaderFirstSent = "Idempotency-First-Sent"
-	// HeaderDeadline is how long the caller waits, in milliseconds.
+	// HeaderDeadline is the time that the caller waits for the answer, in milliseconds.
 	HeaderDeadline = "X-Deadline-Ms"
-	// HeaderRequestID carries the id that the accepting daemon gave to a request.
+	// HeaderRequestID carries the id that the accepting daemon assigned to a request.
 	HeaderRequestID = "X-Request-Id"
 )
 
 const (
 	defaultMaxTokens = 16
-	maxMaxTokens     = 32768
+	maxTokensLimit   = 32768
 	maxKeyLength     = 256
 	retryWhenFull    = time.Second
-	// defaultBodyTimeout bounds reading a body.
+	// defaultBodyTimeout limits the time for reading a request body.
 	defaultBodyTimeout = 30 * time.Second
 )
 
@@ -53,7 +53,7 @@
 	return *b.MaxTokens
 }
 
-// Handler returns the callers' interface.
+// Handler returns the HTTP handler of the caller API.
 func (g *Gateway) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/route", g.handleRoute)
@@ -61,9 +61,9 @@
 	return mux
 }
 
-// HopHandler returns the interface for requests that peers forward. It must not be
-// reachable by callers: a forwarded request keeps the identity that the first daemon
-// gave it, and a caller that could choose one might meet another organisation's stream.
+// HopHandler returns the HTTP handler for requests that peers forward. It must not be
+// reachable by callers: a forwarded request keeps the id that the first daemon assigned,
+// and a caller that could choose an id could reach the stream of another organisation.
 func (g *Gateway) HopHandler() http.Handler {
 	mux := http.NewServeMux()
 	g.handleRequests(mux)
@@ -83,7 +83,7 @@
 	mux.HandleFunc(pathServices+"{name}/{rest...}", g.handleService)
 }
 
-// Paths of requests, the same for callers and for peers.
+// Request paths, the same for callers and for peers.
 const (
 	pathCompletions = "/v1/completions"
 	pathServices    = "/v1/services/"
@@ -133,13 +133,14 @@
 }
 
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *request.Error) {
-	// A body that never ends holds a connection and its memory, takes no credit, and
-	// keeps a planned stop waiting to its limit.
+	// A caller that never finishes its body would hold a connection and its memory
+	// without taking a credit, and would delay a planned shutdown up to its limit.
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(g.opts.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(g.opts.MaxBody)))
 	if err == nil {
-		// Else it stays: the server reads what is left of the body before it answers.
+		// After an error the deadline stays set, since the server reads the rest of the
+		// body before it answers.
 		_ = control.SetReadDeadline(time.Time{})
 	}
 	var tooLarge *http.MaxBytesError
@@ -167,8 +168,8 @@
 	if j.completion.Prompt == "" {
 		return badField("prompt", "is missing")
 	}
-	if n := j.completion.maxTokens(); n < 1 || n > maxMaxTokens {
-		return badField("max_tokens", "want 1 to %d, got %d", maxMaxTokens, n)
+	if n := j.completion.maxTokens(); n < 1 || n > maxTokensLimit {
+		return badField("max_tokens", "want 1 to %d, got %d", maxTokensLimit, n)
 	}
 	return nil
 }
@@ -187,13 +188,13 @@
 	return key
 }
 
-// run takes a job from acceptance to settlement.
+// run processes a job from acceptance to settlement.
 func (g *Gateway) run(w http.ResponseWriter, r *http.Request, j *Job) {
-	if refusal := g.bound(r, j); refusal != nil {
+	if refusal := g.initJob(r, j); refusal != nil {
 		g.writeError(w, refusal)
 		return
 	}
-	if err := g.line.Submit(j); err != nil {
+	if err := g.pipeline.Submit(j); err != nil {
 		g.writeError(w, request.Refuse(request.CodeOverloaded, http.StatusServiceUnavailable, retryWhenFull,
 			"this daemon has no room; ask for another address"))
 		return
@@ -201,7 +202,7 @@
 	g.stats.accepted.Inc(1)
 	defer g.settle(j)
 	out := newSink(w, j, g.opts.WriteTimeout)
-	defer out.keepAlive(g.opts.HopIdleTimeout / keepAlivesPerSilence)()
+	defer out.keepAlive(g.opts.HopIdleTimeout / keepAlivesPerTimeout)()
 	if err := <-j.decided; err != nil {
 		g.fail(out, g.refusalOf(j, err))
 		return
@@ -209,9 +210,9 @@
 	g.answer(out, r, j)
 }
 
-// bound gives the job its identity and deadline. A forwarded job keeps the identity
-// that the first daemon gave it.
-func (g *Gateway) bound(r *http.Request, j *Job) *request.Error {
+// initJob sets the id and the deadline of a job. A forwarded job keeps the id that the
+// first daemon assigned.
+func (g *Gateway) initJob(r *http.Request, j *Job) *request.Error {
 	wait := g.opts.DefaultDeadline
 	if text := r.Header.Get(HeaderDeadline); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
@@ -222,22 +223,22 @@
 	}
 	j.deadline = j.arrived.Add(wait)
 	j.id = request.ID(uuid.NewString())
-	j.work = j.id
-	if given := r.Header.Get(HeaderRequestID); j.hopped && given != "" {
+	j.localID = j.id
+	if given := r.Header.Get(HeaderRequestID); j.fromPeer && given != "" {
 		j.id = request.ID(given)
 	}
 	j.context.Tokens = block.Tokens(len(j.completion.Prompt))
 	return nil
 }
 
-// answer produces the answer of a job that the filters let through.
+// answer produces the answer to a job that the filters have admitted.
 func (g *Gateway) answer(out *sink, r *http.Request, j *Job) {
 	switch {
 	case j.replay != nil:
 		g.writeResult(out.w, *j.replay, true)
-	case j.forward != nil && j.kind == kindCompletion:
+	case j.forwardTo != nil && j.kind == kindCompletion:
 		g.relayHop(out, j)
-	case j.forward != nil:
+	case j.forwardTo != nil:
 		g.forwardCall(out.w, r, j)
 	case j.kind == kindCompletion:
 		g.relayCompletion(out, j)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -10,25 +10,26 @@
 	"github.com/bluebellscale/bluebellscale/internal/target"
 )
 
-// settleTimeout bounds the write of a call's outcome to the journal. It does not end
-// with the caller's connection: the outcome must be kept although the caller left.
+// settleTimeout limits the write of a call's outcome to the journal. The write is
+// independent of the caller's connection, because the outcome must be recorded even if
+// the caller has disconnected.
 const settleTimeout = 5 * time.Second
 
-// headerReplayed marks a stored answer.
+// headerReplayed marks an answer that was read from the journal.
 const headerReplayed = "Idempotent-Replayed"
 
-// relayCall sends a call to an instance of a plain service.
+// relayCall sends a call to an instance of a plain service and relays its answer.
 func (g *Gateway) relayCall(w http.ResponseWriter, j *Job) {
 	out := newSink(w, j, g.opts.WriteTimeout)
-	g.budgets.first(j)
+	g.retryBudgets.onFirstAttempt(j)
 	for {
-		failure := g.callOnce(w, j)
+		failure := g.attemptCall(w, j)
 		if failure == nil {
 			g.stats.answered.Inc(1)
 			return
 		}
-		g.endTry(j, failure)
-		if !g.again(out, j, failure) {
+		g.endAttempt(j, failure)
+		if !g.retryAttempt(out, j, failure) {
 			return
 		}
 		if j.replay != nil {
@@ -38,15 +39,15 @@
 	}
 }
 
-// callOnce makes one try. A call that is not repeatable is tried again only if it
-// surely did not start.
-func (g *Gateway) callOnce(w http.ResponseWriter, j *Job) *tryError {
-	// The call goes on when its caller leaves: a call that must run at most once and
-	// was cut in the middle would be in doubt for ever.
+// attemptCall makes one attempt at a call. A call that is not repeatable is retried only
+// if it certainly did not start.
+func (g *Gateway) attemptCall(w http.ResponseWriter, j *Job) *attemptError {
+	// The call continues after its caller disconnects: a call that must run at most once
+	// and was interrupted would stay in doubt permanently.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(j.ctx), j.deadline)
 	defer cancel()
 	client := g.opts.Targets.Client(j.choice.Target)
-	j.sent = true
+	j.maybeSent = true
 	answer, err := client.CallService(ctx, target.ServiceCall{
 		Method: j.call.method,
 		Path:   j.call.path,
@@ -54,7 +55,7 @@
 		Body:   j.body,
 	})
 	if err != nil {
-		return g.callFailed(j, client, err)
+		return g.classifyCallError(j, client, err)
 	}
 	result := journal.Result{
 		Status:      answer.Status,
@@ -62,8 +63,8 @@
 		Body:        answer.Body,
 	}
 	g.finishTicket(j, result)
-	// The target is done: a caller that reads slowly must not hold its place there.
-	g.endFlight(j, false)
+	// The target has finished: a caller that reads slowly must not hold a slot there.
+	g.endInFlight(j, false)
 	g.releaseGrant(j)
 	g.writeResult(w, result, false)
 	return nil
@@ -81,12 +82,12 @@
 	return h
 }
 
-func (g *Gateway) callFailed(j *Job, client *target.Client, err error) *tryError {
+func (g *Gateway) classifyCallError(j *Job, client *target.Client, err error) *attemptError {
 	g.log.Warn("Call failed", "target", j.choice.Target.ID, "request", j.id, "error", err)
 	if target.NotStarted(err) {
-		j.sent = false
+		j.maybeSent = false
 		g.settleTicket(j, g.opts.Journal.Abort)
-		return &tryError{
+		return &attemptError{
 			answer: request.Refuse(request.CodeTargetFailed, http.StatusBadGateway, retryTargetFailed,
 				"the service could not be reached"),
 			targetFailed: true,
@@ -100,10 +101,10 @@
 		answer.Code = request.CodeTargetFailed
 		answer.RetryAfter = retryTargetFailed
 	}
-	return &tryError{
+	return &attemptError{
 		answer:       answer,
 		targetFailed: true,
-		targetDied:   g.died(j, client),
+		targetDied:   g.hasDied(j, client),
 	}
 }
 
@@ -113,8 +114,9 @@
 	})
 }
 
-// settleTicket writes the outcome of a call. If that fails, the intent stays without
-// a result and a repeat of the key is answered "in doubt": never run again.
+// settleTicket writes the outcome of a call to the journal. If the write fails, the
+// intent remains without a result, and a repeated key is answered as in doubt instead
+// of being run again.
 func (g *Gateway) settleTicket(j *Job, write func(context.Context, *journal.Ticket) error) {
 	if j.ticket == nil {
 		return
@@ -124,7 +126,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
 	if err := write(ctx, ticket); err != nil {
-		g.log.Warn("Outcome of a call was not kept", "request", j.id, "error", err)
+		g.log.Warn("Could not write the outcome of a call to the journal", "request", j.id, "error", err)
 	}
 }
 
@@ -139,12 +141,12 @@
 	writeBounded(w, r.Body, g.opts.WriteTimeout)
 }
 
-// maxWrite is how much is written to a caller under one deadline.
+// maxWrite is the number of bytes written to a caller under one deadline.
 const maxWrite = 64 << 10
 
-// writeBounded writes a body as far as the caller takes it. A caller that stops reading
-// without closing its connection would hold a credit for ever; the deadline of each
-// write ends it, and a slow reader of a large body is not cut.
+// writeBounded writes a body until the caller stops accepting it. Each write has its own
+// deadline, because a caller that stops reading without closing its connection would
+// otherwise hold a credit indefinitely. A slow reader of a large body is not disconnected.
 func writeBounded(w http.ResponseWriter, body []byte, timeout time.Duration) {
 	control := http.NewResponseController(w)
 	for len(body) > 0 {
--- a/internal/gateway/errors.go
+++ b/internal/gateway/errors.go
@@ -13,10 +13,11 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// statusClientGone is logged for a caller that closed its connection; nobody reads it.
-const statusClientGone = 499
+// statusClientClosedRequest is the status for a caller that closed its connection. It is
+// only logged, since no client receives it.
+const statusClientClosedRequest = 499
 
-// errorBody is the answer to a request that did not succeed.
+// errorBody is the body of the answer to a request that failed.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -48,17 +49,17 @@
 	}
 	w.WriteHeader(e.Status)
 	if err := json.NewEncoder(w).Encode(errorBody{Error: detailOf(e)}); err != nil {
-		g.log.Debug("Caller left before its refusal", "error", err)
+		g.log.Debug("Caller disconnected before its refusal was written", "error", err)
 	}
 }
 
-// retryAfterSeconds rounds up, since the header knows whole seconds only.
+// retryAfterSeconds rounds up, since the header allows only whole seconds.
 func retryAfterSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64(math.Ceil(d.Seconds())), 10)
 }
 
-// refusalOf turns an error of the filters into the answer for the caller. An error
-// that no filter classified is answered as in doubt if a target may have been asked.
+// refusalOf converts an error of the filters to the answer for the caller. An error that
+// no filter classified is answered as in doubt if a target may have received the request.
 func (g *Gateway) refusalOf(j *Job, err error) *request.Error {
 	var refusal *request.Error
 	if errors.As(err, &refusal) {
@@ -69,23 +70,24 @@
 		ran = request.InDoubt
 	}
 	if errors.Is(err, context.Canceled) {
-		return &request.Error{Code: request.CodeCancelled, Status: statusClientGone, Message: "the caller left", Ran: ran}
+		return &request.Error{Code: request.CodeCancelled, Status: statusClientClosedRequest, Message: "the caller left", Ran: ran}
 	}
 	g.log.Error("Filter failed", "request", j.id, "error", err)
 	return &request.Error{Code: request.CodeInternal, Status: http.StatusInternalServerError, Message: "internal error", Ran: ran, RetryAfter: retryWhenFull}
 }
 
-// fail ends an answer: with a status if nothing has been written, else with an event.
+// fail ends an answer with an HTTP status if nothing has been written, otherwise with an
+// error event.
 //
-// A refusal of a later try must not say "not run" of a request whose earlier try may
-// have run: what is known of those goes first.
+// The refusal of a retry must not report "not run" if an earlier attempt may have run, so
+// the outcome of the earlier attempts takes precedence.
 func (g *Gateway) fail(out *sink, e *request.Error) {
-	if e.Ran == request.NotRun && out.j.ran != "" && out.j.ran != request.NotRun {
+	if e.Ran == request.NotRun && out.j.priorOutcome != "" && out.j.priorOutcome != request.NotRun {
 		copied := *e
-		copied.Ran = out.j.ran
+		copied.Ran = out.j.priorOutcome
 		e = &copied
 	}
-	if !out.started {
+	if !out.headerWritten {
 		g.writeError(out.w, e)
 		return
 	}
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -28,42 +28,42 @@
 )
 
 const (
-	testKey    = "atlas-key"
-	wholeText  = "one two three "
-	testSilent = 2 * time.Second
+	testKey      = "atlas-key"
+	completeText = "one two three "
+	testTimeout  = 2 * time.Second
 )
 
-// outcome is how a step before the relay, or a try at a target, ends.
+// outcome is the result of a step before the relay, or of an attempt at a target.
 type outcome string
 
 const (
-	passes       outcome = "passes"
-	refuses      outcome = "refuses"
-	panics       outcome = "panics"
-	dialRefused  outcome = "dial refused"
-	cutAtOnce    outcome = "cut before bytes"
-	cutAfter     outcome = "cut after bytes"
-	serverError  outcome = "5xx"
-	wrongVersion outcome = "wrong version"
-	silent       outcome = "timeout"
+	passes            outcome = "passes"
+	refuses           outcome = "refuses"
+	panics            outcome = "panics"
+	dialRefused       outcome = "dial refused"
+	closedBeforeBytes outcome = "closed before bytes"
+	closedAfterBytes  outcome = "closed after bytes"
+	serverError       outcome = "5xx"
+	wrongVersion      outcome = "wrong version"
+	silent            outcome = "timeout"
 )
 
-// world is everything around a gateway. It counts what is taken and given back, and
-// the first step named in fail ends as said there.
-type world struct {
-	tables  *table.Replica
-	members fakeMembers
-	holder  journal.Holder
-	fail    map[string]outcome
-	tries   []outcome // at the target, one after the other; then passes
-
-	mu       sync.Mutex
-	taken    map[string]int // what is held now, by kind
-	received int            // requests that the target read
-	attempts []request.ID   // names of tries at the target
-	works    []request.ID   // names of asks for grants
-	settled  string         // how the last ticket was settled
-	target   string         // address
+// testEnv implements all dependencies of a gateway. It counts acquired and released
+// resources. A step named in fail ends with the outcome given there.
+type testEnv struct {
+	tables          *table.Replica
+	members         fakeMembers
+	holder          journal.Holder
+	fail            map[string]outcome
+	attemptOutcomes []outcome // of successive attempts at the target; passes after the last
+
+	mu         sync.Mutex
+	taken      map[string]int // resources currently held, by kind
+	received   int            // number of requests that the target received
+	attempts   []request.ID   // ids of the attempts at the target
+	acquireIDs []request.ID   // request ids of the acquire requests
+	settled    string         // the outcome of the last ticket
+	target     string         // address of the target
 }
 
 func newTables(t *testing.T) *table.Replica {
@@ -76,182 +76,183 @@
 	})
 }
 
-func newWorld(tables *table.Replica) *world {
-	return &world{
+func newTestEnv(tables *table.Replica) *testEnv {
+	return &testEnv{
 		tables: tables, members: fakeMembers{self: &peer.Member{Id: "d1"}}, holder: journal.Holder{ID: "d1"},
 		fail: map[string]outcome{}, taken: map[string]int{},
 	}
 }
 
-// serve starts the target.
-func (w *world) serve(t testing.TB) *httptest.Server {
-	s := httptest.NewServer(http.HandlerFunc(w.serveTarget))
+// startTarget starts the fake target.
+func (e *testEnv) startTarget(t testing.TB) *httptest.Server {
+	s := httptest.NewServer(http.HandlerFunc(e.serveTarget))
 	s.Config.ErrorLog = hclog.NewNullLogger().StandardLogger(nil)
 	t.Cleanup(s.Close)
-	w.target = s.Listener.Addr().String()
+	e.target = s.Listener.Addr().String()
 	return s
 }
 
-func (w *world) gateway(t testing.TB) *Gateway {
+func (e *testEnv) gateway(t testing.TB) *Gateway {
 	g := New(Options{
-		Tables: w.tables, Members: w.members, Limiter: w, Journal: w, Contexts: w, Coordinators: w, Targets: w, Quarantine: register{w},
+		Tables: e.tables, Members: e.members, Limiter: e, Journal: e, Contexts: e, Coordinators: e, Targets: e, Quarantine: fakeQuarantine{e},
 		Logger: hclog.NewNullLogger(), Credits: 8, MaxBody: 1 << 20, DefaultDeadline: time.Minute,
-		MaxResumes: 1, StreamIdleTimeout: testSilent, FirstFrameTimeout: testSilent, HopIdleTimeout: testSilent,
-		WriteTimeout: testSilent,
+		MaxResumes: 1, StreamIdleTimeout: testTimeout, FirstFrameTimeout: testTimeout, HopIdleTimeout: testTimeout,
+		WriteTimeout: testTimeout,
 	})
 	t.Cleanup(g.Shutdown)
 	return g
 }
 
-// step ends as the test wants, and notes what was taken if it passes.
-func (w *world) step(name, takes string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	switch w.fail[name] {
+// step returns or panics according to fail, and counts the resource if it passes.
+func (e *testEnv) step(name, resource string) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	switch e.fail[name] {
 	case panics:
 		panic(name)
 	case refuses:
 		return false
 	}
-	w.taken[takes]++
+	e.taken[resource]++
 	return true
 }
 
-func (w *world) give(takes string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.taken[takes]--
+func (e *testEnv) release(resource string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.taken[resource]--
 }
 
 type fakeMembers struct{ self, home *peer.Member }
 
-func (m fakeMembers) Self() *peer.Member                              { return m.self }
-func (m fakeMembers) Live() []*peer.Member                            { return nil }
-func (m fakeMembers) Place(string) *peer.Member                       { return m.home }
-func (m fakeMembers) Rank(string, int) []*peer.Member                 { return []*peer.Member{m.self} }
-func (w *world) Partition(request.OrgID, string) int                  { return 0 }
-func (w *world) OnHolderRefused(int)                                  {}
-func (w *world) Done(request.OrgID, int64)                            { w.give("slice") }
-func (w *world) Release(Grant, Release)                               { w.give("grant") }
-func (w *world) End(request.ID)                                       { w.give("flight") }
-func (w *world) OnAnswer(Context, CompletionStats)                    {}
-func (w *world) RunImport(context.Context, Context, Choice)           {}
-func (w *world) TargetDied(context.Context, request.TargetID, uint64) {}
-
-func (w *world) Admit(context.Context, *table.Organisation, int64) *request.Error {
-	if !w.step("limit", "slice") {
+func (m fakeMembers) Self() *peer.Member                                { return m.self }
+func (m fakeMembers) Live() []*peer.Member                              { return nil }
+func (m fakeMembers) Place(string) *peer.Member                         { return m.home }
+func (m fakeMembers) Rank(string, int) []*peer.Member                   { return []*peer.Member{m.self} }
+func (e *testEnv) Partition(request.OrgID, string) int                  { return 0 }
+func (e *testEnv) OnHolderRefused(int)                                  {}
+func (e *testEnv) Done(request.OrgID, int64)                            { e.release("slice") }
+func (e *testEnv) Release(Grant, Release)                               { e.release("grant") }
+func (e *testEnv) End(request.ID)                                       { e.release("flight") }
+func (e *testEnv) OnAnswer(Context, CompletionStats)                    {}
+func (e *testEnv) RunImport(context.Context, Context, Choice)           {}
+func (e *testEnv) TargetDied(context.Context, request.TargetID, uint64) {}
+
+func (e *testEnv) Admit(context.Context, *table.Organisation, int64) *request.Error {
+	if !e.step("limit", "slice") {
 		return request.Refuse(request.CodeOverLimit, http.StatusTooManyRequests, time.Second, "limit")
 	}
 	return nil
 }
 
-func (w *world) Choose(context.Context, Context, map[request.TargetID]bool) []Choice {
+func (e *testEnv) Choose(context.Context, Context, map[request.TargetID]bool) []Choice {
 	return []Choice{{Target: table.Target{ID: "engine-1"}}}
 }
 
-func (w *world) Serving(context.Context, request.Model) (request.Version, bool) { return "", false }
+func (e *testEnv) Serving(context.Context, request.Model) (request.Version, bool) { return "", false }
 
-func (w *world) RankInstances(context.Context, string, map[request.TargetID]bool) []table.Target {
+func (e *testEnv) RankInstances(context.Context, string, map[request.TargetID]bool) []table.Target {
 	return []table.Target{{ID: "cards-1"}}
 }
 
-func (w *world) Acquire(_ context.Context, a AcquireRequest) (Grant, *request.Error) {
-	if !w.step("queue", "grant") {
+func (e *testEnv) Acquire(_ context.Context, a AcquireRequest) (Grant, *request.Error) {
+	if !e.step("queue", "grant") {
 		return Grant{}, request.Refuse(request.CodeOverloaded, http.StatusServiceUnavailable, time.Second, "queue")
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.works = append(w.works, a.Request)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.acquireIDs = append(e.acquireIDs, a.Request)
 	return Grant{ID: "g"}, nil
 }
 
-func (w *world) Holder(context.Context, int) (journal.Holder, error) { return w.holder, nil }
+func (e *testEnv) Holder(context.Context, int) (journal.Holder, error) { return e.holder, nil }
 
-func (w *world) Begin(context.Context, journal.Call) (*journal.Ticket, *journal.Result, error) {
-	if !w.step("once", "ticket") {
-		return nil, nil, errors.New("service down")
+func (e *testEnv) Begin(context.Context, journal.Call) (*journal.Ticket, *journal.Result, error) {
+	if !e.step("once", "ticket") {
+		return nil, nil, errors.New("key-value service unavailable")
 	}
 	return &journal.Ticket{}, nil, nil
 }
 
-func (w *world) end(how string) error {
-	w.give("ticket")
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.settled = how
-	if w.fail["settle"] == panics {
+func (e *testEnv) settleAs(result string) error {
+	e.release("ticket")
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.settled = result
+	if e.fail["settle"] == panics {
 		panic("settle")
 	}
 	return nil
 }
 
-func (w *world) Finish(context.Context, *journal.Ticket, journal.Result) error {
-	return w.end("finish")
+func (e *testEnv) Finish(context.Context, *journal.Ticket, journal.Result) error {
+	return e.settleAs("finish")
 }
-func (w *world) Abort(context.Context, *journal.Ticket) error       { return w.end("abort") }
-func (w *world) MarkInDoubt(context.Context, *journal.Ticket) error { return w.end("doubt") }
+func (e *testEnv) Abort(context.Context, *journal.Ticket) error       { return e.settleAs("abort") }
+func (e *testEnv) MarkInDoubt(context.Context, *journal.Ticket) error { return e.settleAs("doubt") }
 
-func (w *world) Gate(context.Context, quarantine.Fingerprint) quarantine.Decision {
-	w.step("gate", "")
+func (e *testEnv) Gate(context.Context, quarantine.Fingerprint) quarantine.Decision {
+	e.step("gate", "")
 	return quarantine.Decision{}
 }
 
-// register makes the world a Quarantine: Journal has a Begin of its own.
-type register struct{ *world }
+// fakeQuarantine adapts testEnv to Quarantine, since testEnv.Begin implements Journal.
+type fakeQuarantine struct{ *testEnv }
 
-func (r register) Begin(quarantine.Fingerprint, request.ID, request.TargetID, bool) bool {
+func (r fakeQuarantine) Begin(quarantine.Fingerprint, request.ID, request.TargetID, bool) bool {
 	return r.step("dispatch", "flight")
 }
 
-// Client gives the target, or one that refuses connections if the next try wants that.
-func (w *world) Client(t table.Target) *target.Client {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	address := w.target
-	if len(w.tries) > 0 && w.tries[0] == dialRefused {
-		w.tries = w.tries[1:]
+// Client returns the client of the target, or of an address that refuses connections if
+// that is the next attempt's outcome.
+func (e *testEnv) Client(t table.Target) *target.Client {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	address := e.target
+	if len(e.attemptOutcomes) > 0 && e.attemptOutcomes[0] == dialRefused {
+		e.attemptOutcomes = e.attemptOutcomes[1:]
 		address = "127.0.0.1:1"
 	}
-	if w.fail["relay"] == panics {
+	if e.fail["relay"] == panics {
 		panic("relay")
 	}
-	if w.fail["sent"] == panics {
-		return nil // used by a call that is taken for sent
+	if e.fail["sent"] == panics {
+		return nil // the call panics after it has been marked as sent
 	}
 	return target.New(target.Options{
 		ID: t.ID, Address: address, HeaderTimeout: 200 * time.Millisecond, ServiceTimeout: 200 * time.Millisecond, MaxIdle: -1,
 	})
 }
 
-func (w *world) nextTry() outcome {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.received++
-	if len(w.tries) == 0 {
+func (e *testEnv) nextOutcome() outcome {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.received++
+	if len(e.attemptOutcomes) == 0 {
 		return passes
 	}
-	next := w.tries[0]
-	w.tries = w.tries[1:]
+	next := e.attemptOutcomes[0]
+	e.attemptOutcomes = e.attemptOutcomes[1:]
 	return next
 }
 
-func (w *world) serveTarget(out http.ResponseWriter, r *http.Request) {
+func (e *testEnv) serveTarget(out http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == engineapi.PathState || r.Method == http.MethodDelete:
 		_ = json.NewEncoder(out).Encode(engineapi.State{})
 		return
-	case r.Method == http.MethodGet: // a stream that is resumed after a cut is gone
+	case r.Method == http.MethodGet: // a stream can not be resumed after its connection closes
 		out.WriteHeader(http.StatusNotFound)
 		return
 	}
 	var req engineapi.CompletionRequest
 	_ = json.NewDecoder(r.Body).Decode(&req)
-	w.mu.Lock()
-	w.attempts = append(w.attempts, req.RequestID)
-	w.mu.Unlock()
-	how := w.nextTry()
-	switch how {
-	case cutAtOnce:
+	e.mu.Lock()
+	e.attempts = append(e.attempts, req.RequestID)
+	e.mu.Unlock()
+	result := e.nextOutcome()
+	switch result {
+	case closedBeforeBytes:
 		panic(http.ErrAbortHandler)
 	case serverError:
 		out.WriteHeader(http.StatusInternalServerError)
@@ -261,28 +262,28 @@
 		return
 	}
 	if r.URL.Path != engineapi.PathCompletions {
-		w.serveCall(out, how)
+		e.serveCall(out, result)
 		return
 	}
 	frames := []engineapi.Frame{
-		{Text: wholeText[:4]}, {Text: wholeText[4:]}, {Done: true, Usage: &engineapi.Usage{OutputTokens: 3}},
+		{Text: completeText[:4]}, {Text: completeText[4:]}, {Done: true, Usage: &engineapi.Usage{OutputTokens: 3}},
 	}
 	for i, f := range frames {
 		f.RequestID, f.Seq, f.Version = req.RequestID, i, req.Version
-		if how == wrongVersion {
+		if result == wrongVersion {
 			f.Version = "v0"
 		}
 		data, _ := json.Marshal(f)
 		_, _ = fmt.Fprintf(out, "data: %s\n\n", data)
 		_ = http.NewResponseController(out).Flush()
-		if how == cutAfter {
+		if result == closedAfterBytes {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-func (w *world) serveCall(out http.ResponseWriter, how outcome) {
-	if how == cutAfter {
+func (e *testEnv) serveCall(out http.ResponseWriter, result outcome) {
+	if result == closedAfterBytes {
 		out.Header().Set("Content-Length", "100")
 		_, _ = out.Write([]byte("half"))
 		panic(http.ErrAbortHandler)
@@ -292,13 +293,13 @@
 
 var nopScope = tally.NoopScope
 
-// staticTables is a table without rows.
+// staticTables provides a table without rows.
 type staticTables struct{}
 
 func (staticTables) Current() *table.Snapshot          { return &table.Snapshot{} }
 func (staticTables) Confirmed(time.Time) time.Duration { return 0 }
 
-// newRefusingLine returns a pipeline without credits.
-func newRefusingLine() *pipeline.Pipeline[*Job] {
+// newPipelineWithoutCredits returns a pipeline without credits.
+func newPipelineWithoutCredits() *pipeline.Pipeline[*Job] {
 	return pipeline.New(pipeline.Options[*Job]{Logger: hclog.NewNullLogger()})
 }
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -23,7 +23,7 @@
 	retryWhenSuspect  = time.Second
 )
 
-// limit keeps the organisation within its limits.
+// limit enforces the limits of the organisation.
 type limit struct{ g *Gateway }
 
 // Name implements pipeline.Filter.
@@ -36,7 +36,7 @@
 		if refusal != nil {
 			return pipeline.Finish(refusal)
 		}
-		j.limited = true
+		j.admitted = true
 		return pipeline.Pass()
 	})
 }
@@ -47,20 +47,20 @@
 // Name implements pipeline.Filter.
 func (f *place) Name() string { return filterPlace }
 
-// filterPlace is where a retried job starts again.
+// filterPlace is the filter at which a retried job restarts.
 const filterPlace = "place"
 
 // Process implements pipeline.Filter.
 func (f *place) Process(j *Job) pipeline.Verdict {
 	return pipeline.Await(func(ctx context.Context) pipeline.Verdict {
-		verdict := f.g.opts.Quarantine.Gate(ctx, j.fingerprint)
-		if refusal := gateRefusal(verdict); refusal != nil {
+		decision := f.g.opts.Quarantine.Gate(ctx, j.fingerprint)
+		if refusal := quarantineRefusal(decision); refusal != nil {
 			return pipeline.Finish(refusal)
 		}
-		j.suspect = verdict.Mode == quarantine.Alone
-		j.choices = f.choices(ctx, j)
-		if verdict.Mode == quarantine.SameTarget {
-			j.choices = onlyAt(j.choices, verdict.Target)
+		j.suspect = decision.Mode == quarantine.Alone
+		j.choices = f.rankTargets(ctx, j)
+		if decision.Mode == quarantine.SameTarget {
+			j.choices = choicesAt(j.choices, decision.Target)
 		}
 		if len(j.choices) == 0 {
 			return pipeline.Finish(request.Refuse(request.CodeNoTarget, http.StatusServiceUnavailable, retryWhenNoTarget,
@@ -70,11 +70,11 @@
 	})
 }
 
-// engines ranks the targets that have the wanted weight version. While a new default
-// version is rolled out, targets change one after the other; until the first has it,
-// an organisation that names no version of its own is served with the one that is
-// loaded, under that version's own cache names.
-func (f *place) engines(ctx context.Context, j *Job) []Choice {
+// rankEngines ranks the targets that have loaded the required weight version. During the
+// rollout of a new default version, targets are updated one by one. Until the first target
+// has the new version, an organisation that requests no specific version is served with
+// the version that is loaded, under the cache salt of that version.
+func (f *place) rankEngines(ctx context.Context, j *Job) []Choice {
 	choices := f.g.opts.Contexts.Choose(ctx, j.context, j.exclude)
 	if len(choices) > 0 || j.org.Models[j.model] != "" {
 		return choices
@@ -88,30 +88,31 @@
 	return f.g.opts.Contexts.Choose(ctx, j.context, j.exclude)
 }
 
-// gateRefusal answers a request that the quarantine does not let run now.
-func gateRefusal(v quarantine.Decision) *request.Error {
-	switch v.Mode {
+// quarantineRefusal returns the refusal of a request that the quarantine does not allow to
+// run now, or nil.
+func quarantineRefusal(d quarantine.Decision) *request.Error {
+	switch d.Mode {
 	case quarantine.Refuse:
-		return v.Err
+		return d.Err
 	case quarantine.Wait:
-		return errSuspectRuns()
+		return suspectRunningRefusal()
 	default:
 		return nil
 	}
 }
 
-func errSuspectRuns() *request.Error {
+func suspectRunningRefusal() *request.Error {
 	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, retryWhenSuspect,
 		"a target died while it ran this request, and the request runs alone now")
 }
 
-func onlyAt(choices []Choice, t request.TargetID) []Choice {
+func choicesAt(choices []Choice, t request.TargetID) []Choice {
 	return slices.DeleteFunc(choices, func(c Choice) bool { return c.Target.ID != t })
 }
 
-func (f *place) choices(ctx context.Context, j *Job) []Choice {
+func (f *place) rankTargets(ctx context.Context, j *Job) []Choice {
 	if j.kind == kindCompletion {
-		return f.engines(ctx, j)
+		return f.rankEngines(ctx, j)
 	}
 	var out []Choice
 	for _, t := range f.g.opts.Coordinators.RankInstances(ctx, j.call.service, j.exclude) {
@@ -120,14 +121,15 @@
 	return out
 }
 
-// queue waits for leave to use a target.
+// queue waits for a grant from the coordinator of a target.
 type queue struct{ g *Gateway }
 
 // Name implements pipeline.Filter.
 func (f *queue) Name() string { return "queue" }
 
-// maxAsked is how many targets are asked for room before a job is refused.
-const maxAsked = 2
+// maxAcquireTargets is the number of targets at which a grant is requested before a job is
+// refused.
+const maxAcquireTargets = 2
 
 // Process implements pipeline.Filter.
 func (f *queue) Process(j *Job) pipeline.Verdict {
@@ -137,11 +139,11 @@
 func (f *queue) acquire(ctx context.Context, j *Job) pipeline.Verdict {
 	var refusal *request.Error
 	for i, c := range j.choices {
-		if i == maxAsked {
+		if i == maxAcquireTargets {
 			break
 		}
 		var grant Grant
-		grant, refusal = f.g.opts.Coordinators.Acquire(ctx, f.g.ask(j, c))
+		grant, refusal = f.g.opts.Coordinators.Acquire(ctx, f.g.acquireRequest(j, c))
 		if refusal == nil {
 			j.choice = c
 			j.grant = &grant
@@ -153,9 +155,9 @@
 	return pipeline.Finish(refusal)
 }
 
-func (g *Gateway) ask(j *Job, c Choice) AcquireRequest {
+func (g *Gateway) acquireRequest(j *Job, c Choice) AcquireRequest {
 	return AcquireRequest{
-		Request:  j.work,
+		Request:  j.localID,
 		Target:   c.Target.ID,
 		Org:      j.org.ID,
 		Tokens:   int64(c.Recompute),
@@ -166,7 +168,7 @@
 	}
 }
 
-// once records the intent of a call that must run at most once.
+// once records in the journal the intent of a call that must run at most once.
 type once struct{ g *Gateway }
 
 // Name implements pipeline.Filter.
@@ -205,7 +207,7 @@
 	return sha256.Sum256([]byte(j.fingerprint))
 }
 
-// journalRefusal turns the journal's errors into answers.
+// journalRefusal converts an error of the journal to a refusal.
 func journalRefusal(err error) *request.Error {
 	var full *journal.FullError
 	switch {
@@ -236,7 +238,7 @@
 	}
 }
 
-// dispatch prepares the chosen target; the relay then sends the request.
+// dispatch prepares the chosen target for the request, which the relay then sends.
 type dispatch struct{ g *Gateway }
 
 // Name implements pipeline.Filter.
@@ -245,9 +247,9 @@
 // Process implements pipeline.Filter.
 func (f *dispatch) Process(j *Job) pipeline.Verdict {
 	if !f.g.opts.Quarantine.Begin(j.fingerprint, attemptID(j), j.choice.Target.ID, j.suspect) {
-		return pipeline.Finish(errSuspectRuns())
+		return pipeline.Finish(suspectRunningRefusal())
 	}
-	j.inFlight = attemptID(j)
+	j.inFlightAttempt = attemptID(j)
 	if j.choice.Import == nil {
 		return pipeline.Pass()
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,16 +1,17 @@
-// Package gateway serves callers: it answers which address to use, runs each request
-// through the filters, relays answers and settles what a request has taken.
+// Package gateway implements the caller API. It answers route queries, runs each request
+// through the filters, relays the answer and releases the resources of the request.
 //
-// The way of a request:
+// A request passes through these steps:
 //
 //	accept -> identify -> limit -> place -> queue -> once -> dispatch -> relay -> settle
 //
-// The steps from identify to dispatch are filters of package pipeline and decide;
-// accept, relay and settle run on the goroutine of the caller's connection, so token
-// bytes never pass through an actor.
+// The steps from identify to dispatch are filters of package pipeline, which make the
+// decisions. The steps accept, relay and settle run on the goroutine of the caller's
+// connection, so token bytes never pass through an actor.
 //
-// The journal step comes after the queue: a call that is refused for want of room then
-// has no intent, so "not run" is certain and costs the key-value service nothing.
+// The journal step (once) follows the queue step. A call that is refused for lack of
+// capacity therefore has no recorded intent: it certainly did not run, and the refusal
+// causes no load on the key-value service.
 package gateway
 
 import (
@@ -32,34 +33,35 @@
 	"github.com/bluebellscale/bluebellscale/internal/target"
 )
 
-// Tables gives the operators' table in force.
+// Tables provides the effective version of the operators' table.
 type Tables interface {
 	Current() *table.Snapshot
 }
 
-// Members gives the live daemons and the soft places among them.
+// Members provides the live daemons and the hashed assignment of keys to them.
 type Members interface {
 	Self() *peer.Member
 	Live() []*peer.Member
-	// Place returns the daemon that key belongs to.
+	// Place returns the daemon to which key is assigned.
 	Place(key string) *peer.Member
-	// Rank returns the n daemons that come first for key.
+	// Rank returns the n daemons that rank highest for key.
 	Rank(key string, n int) []*peer.Member
 }
 
-// Limiter keeps an organisation within its limits over all daemons.
+// Limiter enforces the limits of an organisation across all daemons.
 type Limiter interface {
-	// Admit asks for one request of the given prompt tokens. It may ask a peer.
+	// Admit requests admission of one request with the given number of prompt tokens. It
+	// may send a request to a peer.
 	Admit(ctx context.Context, org *table.Organisation, tokens int64) *request.Error
-	// Done ends an admitted request and counts its output tokens.
+	// Done reports the end of an admitted request and its output tokens.
 	Done(org request.OrgID, outputTokens int64)
 }
 
-// Journal keeps calls that are not idempotent at most once.
+// Journal ensures that a call that is not idempotent runs at most once.
 type Journal interface {
 	Partition(org request.OrgID, key string) int
 	Holder(ctx context.Context, partition int) (journal.Holder, error)
-	// OnHolderRefused is told that the daemon that Holder named refused a call.
+	// OnHolderRefused reports that the daemon returned by Holder refused a call.
 	OnHolderRefused(partition int)
 	Begin(ctx context.Context, call journal.Call) (*journal.Ticket, *journal.Result, error)
 	Finish(ctx context.Context, t *journal.Ticket, r journal.Result) error
@@ -67,27 +69,27 @@
 	MarkInDoubt(ctx context.Context, t *journal.Ticket) error
 }
 
-// Choice is one target that a request may go to, best first.
+// Choice is a target to which a request may be sent.
 type Choice struct {
 	Target table.Target
-	// Recompute is how many prompt tokens the target is expected to compute.
+	// Recompute is the number of prompt tokens that the target is expected to compute.
 	Recompute int
-	// Import names what to bring from a store before dispatch; nil for nothing.
+	// Import describes the blocks to import from a store before dispatch; nil if none.
 	Import *Import
 }
 
-// Import is a copy of leading blocks in a store.
+// Import describes leading blocks to import from a copy in a store.
 type Import struct {
 	Copy   Copy
-	Blocks int // leading blocks that the copy is to provide
-	// From is the first of them that is brought. If it is not 0, the target computes the
-	// blocks before it meanwhile, and Bring returns at once.
+	Blocks int // number of leading blocks that the copy provides
+	// From is the first block to import. If it is not 0, the target computes the preceding
+	// blocks in the meantime, and RunImport returns immediately.
 	From     int
-	Bytes    int64         // of those that the target does not seem to have
-	Deadline time.Duration // after this long the target prefills instead
+	Bytes    int64         // size of the blocks that are not estimated to be cached at the target
+	Deadline time.Duration // time after which the target prefills instead
 }
 
-// Copy names a committed manifest in a store.
+// Copy identifies a committed manifest in a store.
 type Copy struct {
 	Store    request.StoreID
 	Address  string // host:port
@@ -102,45 +104,45 @@
 	Tokens int // prompt tokens
 }
 
-// CompletionStats is what a target said about a finished completion.
+// CompletionStats is what a target reported about a finished completion.
 type CompletionStats struct {
 	Target       request.TargetID
 	CachedTokens int
 	PromptTokens int
 	FirstToken   time.Duration // from dispatch to the first frame
-	QueuedTokens int64         // prefill work seen ahead at placement
+	QueuedTokens int64         // prefill work queued ahead of it at placement
 }
 
-// Contexts knows where contexts lie and decides where a prompt goes.
+// Contexts tracks where contexts are cached or stored, and selects targets for prompts.
 type Contexts interface {
-	// Choose ranks the targets that may serve the prompt.
+	// Choose ranks the targets that may serve the prompt, best first.
 	Choose(ctx context.Context, c Context, exclude map[request.TargetID]bool) []Choice
 	// Serving returns the weight version that most of a model's targets have loaded.
 	Serving(ctx context.Context, model request.Model) (request.Version, bool)
-	// RunImport carries out an import; a failure only means that the target prefills.
+	// RunImport executes the import of a choice. If it fails, the target prefills instead.
 	RunImport(ctx context.Context, c Context, choice Choice)
-	// OnAnswer takes the truth from an answer and decides what to keep.
+	// OnAnswer updates the estimates from a target's answer and decides what to store.
 	OnAnswer(c Context, a CompletionStats)
 }
 
-// AcquireRequest is a request for leave to use a target.
+// AcquireRequest is a request for a grant to use a target.
 type AcquireRequest struct {
 	Request  request.ID
 	Target   request.TargetID
 	Org      request.OrgID
 	Tokens   int64
 	Deadline time.Time
-	Suspect  bool // run it with nothing beside it
-	// Fingerprint names the request's content, for the case that the target dies.
+	Suspect  bool // run it exclusively
+	// Fingerprint identifies the content of the request, in case the target dies.
 	Fingerprint quarantine.Fingerprint
 }
 
-// Grant is leave to use a target.
+// Grant is the permission to send one request to a target.
 type Grant struct {
 	ID          string
 	Target      request.TargetID
-	Incarnation uint64 // of the target, as its steward knows it; 0: unknown
-	Priority    int    // for the engine; lower runs first
+	Incarnation uint64 // of the target, as known to its coordinator; 0 if unknown
+	Priority    int    // at the engine; lower values run first
 }
 
 // Release ends a grant.
@@ -149,28 +151,29 @@
 	TargetFailed  bool
 }
 
-// Coordinators grants work on targets.
+// Coordinators requests grants from the coordinators of targets.
 type Coordinators interface {
-	Acquire(ctx context.Context, ask AcquireRequest) (Grant, *request.Error)
+	Acquire(ctx context.Context, req AcquireRequest) (Grant, *request.Error)
 	Release(g Grant, r Release)
 	// RankInstances ranks the instances of a plain service, least loaded first.
 	RankInstances(ctx context.Context, service string, exclude map[request.TargetID]bool) []table.Target
 }
 
-// Targets gives the client of a target.
+// Targets provides the client of a target.
 type Targets interface {
 	Client(t table.Target) *target.Client
 }
 
-// Quarantine keeps a request that crashes targets from crashing many.
+// Quarantine limits the number of targets that one request can crash.
 type Quarantine interface {
-	// Gate says how a request may run, before it is placed.
+	// Gate decides, before placement, how a request may run.
 	Gate(ctx context.Context, fp quarantine.Fingerprint) quarantine.Decision
-	// Begin enters a try that is about to be sent; false: it must not be sent now.
+	// Begin registers an attempt that is about to be sent. If it returns false, the
+	// attempt must not be sent now.
 	Begin(fp quarantine.Fingerprint, id request.ID, t request.TargetID, alone bool) bool
-	// End is told that a try is no longer in flight.
+	// End reports that an attempt is no longer in flight.
 	End(id request.ID)
-	// TargetDied makes suspects of all that is in flight at a target.
+	// TargetDied marks all requests in flight at a target as suspects.
 	TargetDied(ctx context.Context, t request.TargetID, incarnation uint64)
 }
 
@@ -189,29 +192,29 @@
 	Credits           int
 	MaxBody           int
 	DefaultDeadline   time.Duration
-	Stale             func() bool   // tells whether the table can not be relied on; nil: it always can
-	RouteTTL          time.Duration // how long callers keep a route answer
+	Stale             func() bool   // reports whether the table may be outdated; nil if it never is
+	RouteTTL          time.Duration // how long callers may cache a route answer
 	MaxResumes        int
-	Seed              uint64        // of the jitter of retries
-	StreamIdleTimeout time.Duration // no frame for this long makes a stream silent
-	FirstFrameTimeout time.Duration // the same for the first frame, which waits for the prefill
-	HopIdleTimeout    time.Duration // no sign of life from a peer for this long fails the hop
-	WriteTimeout      time.Duration // of one write to a caller
-	BodyTimeout       time.Duration // of reading a request's body; 0: 30 s
+	Seed              uint64        // seed of the retry jitter
+	StreamIdleTimeout time.Duration // time without a frame after which a stream is idle
+	FirstFrameTimeout time.Duration // the same for the first frame, which includes the prefill
+	HopIdleTimeout    time.Duration // time without data from a peer after which the hop fails
+	WriteTimeout      time.Duration // timeout of one write to a caller
+	BodyTimeout       time.Duration // timeout for reading a request body; 0 means 30 s
 }
 
-// Gateway serves callers.
+// Gateway serves the caller API.
 type Gateway struct {
-	opts    Options
-	log     hclog.Logger
-	line    *pipeline.Pipeline[*Job]
-	hops    *hopClient
-	stats   stats
-	budgets *budgets
-	cancels sync.WaitGroup // orders to targets to stop a stream
+	opts         Options
+	log          hclog.Logger
+	pipeline     *pipeline.Pipeline[*Job]
+	hops         *hopClient
+	stats        stats
+	retryBudgets *retryBudgets
+	cancels      sync.WaitGroup // pending cancellations of streams at targets
 }
 
-// New starts a gateway.
+// New starts a Gateway.
 func New(opts Options) *Gateway {
 	if opts.Metrics == nil {
 		opts.Metrics = tally.NoopScope
@@ -220,13 +223,13 @@
 		opts.BodyTimeout = defaultBodyTimeout
 	}
 	g := &Gateway{
-		opts:    opts,
-		log:     opts.Logger.Named("gateway"),
-		hops:    newHopClient(),
-		stats:   newStats(opts.Metrics),
-		budgets: newBudgets(opts.Seed),
+		opts:         opts,
+		log:          opts.Logger.Named("gateway"),
+		hops:         newHopClient(),
+		stats:        newStats(opts.Metrics),
+		retryBudgets: newRetryBudgets(opts.Seed),
 	}
-	g.line = pipeline.New(pipeline.Options[*Job]{
+	g.pipeline = pipeline.New(pipeline.Options[*Job]{
 		Filters: g.filters(),
 		Credits: opts.Credits,
 		Logger:  opts.Logger.Named("pipeline"),
@@ -247,11 +250,11 @@
 }
 
 // InFlight returns the number of requests that hold a credit.
-func (g *Gateway) InFlight() int { return g.line.InFlight() }
+func (g *Gateway) InFlight() int { return g.pipeline.InFlight() }
 
-// Shutdown stops the filters. No request may be in flight.
+// Shutdown stops the filters. It must be called only when no request is in flight.
 func (g *Gateway) Shutdown() {
 	g.cancels.Wait()
-	g.line.Shutdown()
+	g.pipeline.Shutdown()
 	g.hops.close()
 }
--- a/internal/gateway/hop.go
+++ b/internal/gateway/hop.go
@@ -22,25 +22,25 @@
 
 const (
 	hopDialTimeout = time.Second
-	// maxEvent is the longest event that a peer sends.
-	maxEvent = 1 << 20
-	// hopIdle closes pooled connections to peers that are not used.
-	hopIdle = 30 * time.Second
-	// maxIdlePerHop bounds the pooled connections to one peer.
+	// maxEventBytes is the size limit of an event from a peer.
+	maxEventBytes = 1 << 20
+	// hopIdleConnTimeout is the time after which an unused pooled connection is closed.
+	hopIdleConnTimeout = 30 * time.Second
+	// maxIdlePerHop limits the pooled connections to one peer.
 	maxIdlePerHop = 64
 )
 
-// hopFailure ends a forwarded stream that could not be completed.
+// hopFailure is the event that ends a forwarded stream that could not be completed.
 type hopFailure struct {
 	Error  errorDetail `json:"error"`
 	Status int         `json:"status"`
 }
 
-// hopClient forwards requests to peers, at most one hop.
+// hopClient forwards requests to peers. A request makes at most one hop.
 type hopClient struct {
 	pooled *http.Transport
-	// fresh carries calls of plain services over a connection each: over a pooled one
-	// that has gone silent a call would wait until its deadline and be in doubt.
+	// fresh opens a connection for each call of a plain service. On a pooled connection
+	// that no longer delivers data, a call would wait until its deadline and be in doubt.
 	fresh *http.Transport
 }
 
@@ -54,12 +54,12 @@
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: hopDialTimeout}).DialContext,
 		MaxIdleConnsPerHost: maxIdlePerHop,
-		IdleConnTimeout:     hopIdle,
+		IdleConnTimeout:     hopIdleConnTimeout,
 		DisableCompression:  true,
 	}
 }
 
-// close drops idle connections.
+// close closes idle connections.
 func (c *hopClient) close() { c.pooled.CloseIdleConnections() }
 
 func (c *hopClient) transport(j *Job) *http.Transport {
@@ -69,9 +69,9 @@
 	return c.pooled
 }
 
-// send forwards a request. The body can not be rewound, so the HTTP library never
-// repeats the request by itself on a connection that died: a call that must run at
-// most once would otherwise reach the journal twice without our knowing.
+// send forwards a request. Its body can not be rewound, which keeps the HTTP library
+// from repeating the request when a connection breaks: a call that must run at most once
+// could otherwise reach the journal twice without the gateway's knowledge.
 func (c *hopClient) send(ctx context.Context, to *peer.Member, method, path string, j *Job) (*http.Response, error) {
 	body := io.NopCloser(bytes.NewReader(j.body))
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+to.PeerAddress+path, body)
@@ -97,18 +97,19 @@
 	return answer, nil
 }
 
-// dialFailed tells whether a connection was never made, so the peer got nothing.
+// dialFailed reports whether no connection was established, so that the peer certainly
+// received nothing.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// relayHop relays a completion that the context's home serves. If the home fails,
-// this daemon serves the request itself: a soft place costs efficiency only. A refusal
-// by the home is final.
+// relayHop relays a completion that the home daemon of the context serves. If the home
+// fails, this daemon serves the request itself: the home is a hashed assignment, and
+// serving elsewhere only costs efficiency. A refusal by the home is final.
 func (g *Gateway) relayHop(out *sink, j *Job) {
 	g.stats.forwarded.Inc(1)
-	err := g.tryHop(out, j)
+	err := g.attemptHop(out, j)
 	if err == nil {
 		g.stats.answered.Inc(1)
 		return
@@ -123,38 +124,39 @@
 		return
 	}
 	if !dialFailed(err) {
-		j.noteRan(request.InDoubt)
+		j.recordOutcome(request.InDoubt)
 		g.hops.close()
 	}
-	g.log.Warn("Home did not serve a request; it is served here", "home", j.forward.Id, "request", j.id, "error", err)
-	g.serveHere(out, j)
+	g.log.Warn("Home daemon failed to serve a request; serving it locally", "home", j.forwardTo.Id, "request", j.id, "error", err)
+	g.serveAfterHopFailure(out, j)
 }
 
-// tryHop relays what the home sends. The hop ends when the home shows no sign of
-// life: without this a frozen home would hold the caller until the home is found dead.
-func (g *Gateway) tryHop(out *sink, j *Job) error {
+// attemptHop relays the frames that the home daemon sends. The hop fails when the home
+// sends nothing for HopIdleTimeout: otherwise a frozen home would block the caller until
+// membership declares the home dead.
+func (g *Gateway) attemptHop(out *sink, j *Job) error {
 	ctx, cancel := context.WithCancel(j.ctx)
 	defer cancel()
-	watch := time.AfterFunc(g.opts.HopIdleTimeout, cancel)
-	defer watch.Stop()
-	answer, err := g.hops.send(ctx, j.forward, http.MethodPost, pathCompletions, j)
+	idleTimer := time.AfterFunc(g.opts.HopIdleTimeout, cancel)
+	defer idleTimer.Stop()
+	answer, err := g.hops.send(ctx, j.forwardTo, http.MethodPost, pathCompletions, j)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.StatusCode != http.StatusOK {
-		return hopRefused(answer)
+		return decodeHopRefusal(answer)
 	}
-	source := newHopStream(answer.Body, func() { watch.Reset(g.opts.HopIdleTimeout) })
-	source.pause = func() { watch.Stop() }
-	return pumpHop(ctx, out, j, source)
+	source := newHopStream(answer.Body, func() { idleTimer.Reset(g.opts.HopIdleTimeout) })
+	source.suspendTimeout = func() { idleTimer.Stop() }
+	return relayHopFrames(ctx, out, j, source)
 }
 
-// hopRefused reads the refusal of a peer.
-func hopRefused(answer *http.Response) error {
+// decodeHopRefusal decodes the refusal that a peer sent.
+func decodeHopRefusal(answer *http.Response) error {
 	var body errorBody
-	if err := json.NewDecoder(io.LimitReader(answer.Body, maxEvent)).Decode(&body); err != nil {
-		return errors.Wrapf(err, "gateway: status %d of a peer", answer.StatusCode)
+	if err := json.NewDecoder(io.LimitReader(answer.Body, maxEventBytes)).Decode(&body); err != nil {
+		return errors.Wrapf(err, "gateway: decode refusal of a peer with status %d", answer.StatusCode)
 	}
 	return refusalFrom(body.Error, answer.StatusCode)
 }
@@ -170,69 +172,70 @@
 	}
 }
 
-func pumpHop(ctx context.Context, out *sink, j *Job, source *hopStream) error {
+func relayHopFrames(ctx context.Context, out *sink, j *Job, source *hopStream) error {
 	for next := 0; ; next++ {
 		f, err := source.Next(ctx)
 		if err != nil {
 			return err
 		}
 		if f.RequestID != j.id || f.Seq != next {
-			return errors.Newf("gateway: frame %d of %s where %d of %s was due", f.Seq, f.RequestID, next, j.id)
+			return errors.Newf("gateway: peer sent frame %d of request %s, want frame %d of request %s", f.Seq, f.RequestID, next, j.id)
 		}
 		if f.Done {
-			j.output = int64(f.Usage.OutputTokens)
-			out.done(*f.Usage)
+			j.outputTokens = int64(f.Usage.OutputTokens)
+			out.finish(*f.Usage)
 			return nil
 		}
-		if err := out.text(f.Text, f.Version); err != nil {
+		if err := out.writeText(f.Text, f.Version); err != nil {
 			return err
 		}
 	}
 }
 
-// serveHere takes a job whose home failed through the filters as if it had been
-// forwarded to this daemon.
-func (g *Gateway) serveHere(out *sink, j *Job) {
-	j.forward = nil
-	j.stay = true
-	g.line.Resubmit(j, filterIdentify)
+// serveAfterHopFailure submits a job whose home daemon failed to the filters again, as if
+// the job had been forwarded to this daemon.
+func (g *Gateway) serveAfterHopFailure(out *sink, j *Job) {
+	j.forwardTo = nil
+	j.serveLocally = true
+	g.pipeline.Resubmit(j, filterIdentify)
 	if err := <-j.decided; err != nil {
 		g.fail(out, g.refusalOf(j, err))
 		return
 	}
-	out.restart()
+	out.beginRetry()
 	g.relayCompletion(out, j)
 }
 
 // hopStream reads the frames that a peer relays.
 type hopStream struct {
-	lines *bufio.Scanner
-	alive func()
-	// pause is called when no sign of life is waited for, since a frame is being written
-	// to the caller: a caller that reads slowly must not make its home look frozen.
-	pause func()
+	lines      *bufio.Scanner
+	onActivity func()
+	// suspendTimeout is called while a frame is written to the caller, when nothing is
+	// expected from the peer: a slow caller must not make its home daemon appear frozen.
+	suspendTimeout func()
 }
 
-// newHopStream reads from body and calls alive at each sign of life.
-func newHopStream(body io.Reader, alive func()) *hopStream {
+// newHopStream reads frames from body and calls onActivity for each line received.
+func newHopStream(body io.Reader, onActivity func()) *hopStream {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, 4096), maxEvent)
-	return &hopStream{lines: lines, alive: alive, pause: func() {}}
+	lines.Buffer(make([]byte, 0, 4096), maxEventBytes)
+	return &hopStream{lines: lines, onActivity: onActivity, suspendTimeout: func() {}}
 }
 
-// hopEvent is a frame or the failure that ends the stream.
+// hopEvent is a frame, or the failure that ends the stream.
 type hopEvent struct {
 	engineapi.Frame
 	Error  *errorDetail `json:"error,omitempty"`
 	Status int          `json:"status,omitempty"`
 }
 
-// Next returns the next frame. A failure that the peer reports is a *request.Error.
+// Next returns the next frame. A failure that the peer reports is returned as a
+// *request.Error.
 func (s *hopStream) Next(context.Context) (engineapi.Frame, error) {
-	s.alive()
-	defer s.pause()
+	s.onActivity()
+	defer s.suspendTimeout()
 	for s.lines.Scan() {
-		s.alive()
+		s.onActivity()
 		data, ok := strings.CutPrefix(s.lines.Text(), "data: ")
 		if !ok {
 			continue
@@ -245,34 +248,35 @@
 func decodeHopEvent(data []byte) (engineapi.Frame, error) {
 	var e hopEvent
 	if err := json.Unmarshal(data, &e); err != nil {
-		return engineapi.Frame{}, errors.Wrap(err, "gateway: frame of a peer")
+		return engineapi.Frame{}, errors.Wrap(err, "gateway: decode frame of a peer")
 	}
 	if e.Error != nil {
 		return engineapi.Frame{}, refusalFrom(*e.Error, e.Status)
 	}
 	if e.Done && e.Usage == nil {
-		return engineapi.Frame{}, errors.New("gateway: last frame of a peer without usage")
+		return engineapi.Frame{}, errors.New("gateway: last frame of a peer has no usage")
 	}
 	return e.Frame, nil
 }
 
-// forwardCall forwards a call of a plain service to the holder of its key.
+// forwardCall forwards a call of a plain service to the daemon that holds the journal
+// partition of its key.
 func (g *Gateway) forwardCall(w http.ResponseWriter, r *http.Request, j *Job) {
 	g.stats.forwarded.Inc(1)
 	ctx, cancel := context.WithDeadline(j.ctx, j.deadline.Add(hopDialTimeout))
 	defer cancel()
-	answer, err := g.hops.send(ctx, j.forward, r.Method, r.URL.RequestURI(), j)
+	answer, err := g.hops.send(ctx, j.forwardTo, r.Method, r.URL.RequestURI(), j)
 	if err != nil {
-		g.writeError(w, hopRefusal(err))
+		g.writeError(w, holderUnreachable(err))
 		return
 	}
 	defer func() { _ = answer.Body.Close() }()
-	body, err := readWhole(answer.Body)
+	body, err := readComplete(answer.Body)
 	if err != nil {
-		g.writeError(w, hopRefusal(err))
+		g.writeError(w, holderUnreachable(err))
 		return
 	}
-	if refusedAs(request.CodeNotHolder, answer.StatusCode, body) {
+	if isRefusalWithCode(request.CodeNotHolder, answer.StatusCode, body) {
 		g.opts.Journal.OnHolderRefused(j.partition)
 	}
 	for _, name := range []string{"Content-Type", "Retry-After", headerReplayed} {
@@ -284,18 +288,18 @@
 	writeBounded(w, body, g.opts.WriteTimeout)
 }
 
-// readWhole reads an answer to its end. One that is too long is an error: cut at the
-// limit it would reach the caller as if it were whole.
-func readWhole(body io.Reader) ([]byte, error) {
-	whole, err := io.ReadAll(io.LimitReader(body, target.DefaultMaxBody+1))
-	if err == nil && len(whole) > target.DefaultMaxBody {
-		err = errors.Newf("gateway: answer of a peer above %d bytes", target.DefaultMaxBody)
+// readComplete reads an answer to its end. It fails if the answer exceeds the limit,
+// because a truncated answer would appear complete to the caller.
+func readComplete(body io.Reader) ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(body, target.DefaultMaxBody+1))
+	if err == nil && len(data) > target.DefaultMaxBody {
+		err = errors.Newf("gateway: answer of a peer exceeds %d bytes", target.DefaultMaxBody)
 	}
-	return whole, err
+	return data, err
 }
 
-// refusedAs tells whether a peer's answer is a refusal with a code.
-func refusedAs(code request.Code, status int, body []byte) bool {
+// isRefusalWithCode reports whether a peer's answer is a refusal with the given code.
+func isRefusalWithCode(code request.Code, status int, body []byte) bool {
 	if status != http.StatusServiceUnavailable {
 		return false
 	}
@@ -303,10 +307,10 @@
 	return json.Unmarshal(body, &refusal) == nil && refusal.Error.Code == code
 }
 
-// hopRefusal answers a call whose holder could not be asked. If the holder may have
-// got the call it is in doubt here, but the journal knows: the same key asked again
-// gets the answer.
-func hopRefusal(err error) *request.Error {
+// holderUnreachable returns the answer to a call whose holder could not be reached. If
+// the holder may have received the call, its outcome is in doubt here but recorded in the
+// journal: the caller gets the answer by sending the same key again.
+func holderUnreachable(err error) *request.Error {
 	if dialFailed(err) {
 		return request.Refuse(request.CodeNotHolder, http.StatusServiceUnavailable, retryWhenNoHolder,
 			"the holder of this key can not be reached")
--- a/internal/gateway/identify.go
+++ b/internal/gateway/identify.go
@@ -24,21 +24,21 @@
 	retryWhenNoHolder = time.Second
 )
 
-// identify finds the caller's organisation, checks what it may use, and decides
-// whether a peer should serve the request.
+// identify determines the caller's organisation, checks its permissions, and decides
+// whether a peer serves the request.
 type identify struct{ g *Gateway }
 
 // Name implements pipeline.Filter.
 func (f *identify) Name() string { return filterIdentify }
 
-// filterIdentify is where a job starts again that a peer did not serve.
+// filterIdentify is the filter at which a job restarts if a peer failed to serve it.
 const filterIdentify = "identify"
 
 // Process implements pipeline.Filter.
 func (f *identify) Process(j *Job) pipeline.Verdict {
-	// A daemon cut off from the service and from its peers would go on with rules that
-	// operators have long changed. It shows as two answers to one question, depending on
-	// the daemon asked. Refusing bounds the time for which an old rule can be used.
+	// A daemon partitioned from the key-value service and from its peers would continue
+	// to apply rules that operators have changed, and callers would get different answers
+	// from different daemons. Refusing limits the time for which an old rule is applied.
 	if f.g.opts.Stale != nil && f.g.opts.Stale() {
 		return pipeline.Finish(request.Refuse(request.CodeStale, http.StatusServiceUnavailable, retryWhenStale,
 			"this daemon can not be sure of the table; ask for another address"))
@@ -79,13 +79,14 @@
 	}
 	j.context.Scope = block.Scope{Org: j.org.ID, Model: j.model, Version: version}
 	head := HeadDigest(j.completion.Prompt)
-	if home := f.g.opts.Members.Place(homeKey(j.org.ID, j.model, head)); f.g.elsewhere(j, home) {
-		return f.g.forwardTo(j, home)
+	if home := f.g.opts.Members.Place(homeKey(j.org.ID, j.model, head)); f.g.shouldForward(j, home) {
+		return f.g.forwardToHome(j, home)
 	}
 	return pipeline.Await(func(context.Context) pipeline.Verdict { return f.hash(j) })
 }
 
-// hash runs outside the filter's thread: a long prompt takes milliseconds to hash.
+// hash computes the block hashes and the fingerprint of a prompt. It runs outside the
+// filter's actor, since hashing a long prompt takes milliseconds.
 func (f *identify) hash(j *Job) pipeline.Verdict {
 	prompt := []byte(j.completion.Prompt)
 	j.context.Chain = block.Chain(j.context.Scope.Salt(), prompt)
@@ -111,12 +112,12 @@
 	if j.call.key == "" {
 		return pipeline.Finish(badField(HeaderIdempotencyKey, "is missing; service %s is not repeatable", j.call.service))
 	}
-	return pipeline.Await(func(ctx context.Context) pipeline.Verdict { return f.holder(ctx, j) })
+	return pipeline.Await(func(ctx context.Context) pipeline.Verdict { return f.routeToHolder(ctx, j) })
 }
 
-// holder sends a call that must run at most once to the daemon that holds its
-// partition of the journal.
-func (f *identify) holder(ctx context.Context, j *Job) pipeline.Verdict {
+// routeToHolder routes a call that must run at most once to the daemon that holds its
+// journal partition.
+func (f *identify) routeToHolder(ctx context.Context, j *Job) pipeline.Verdict {
 	j.partition = f.g.opts.Journal.Partition(j.org.ID, j.call.key)
 	h, err := f.g.opts.Journal.Holder(ctx, j.partition)
 	if errors.Is(err, journal.ErrNoHolder) {
@@ -124,8 +125,9 @@
 			"the journal partition of this key has no holder now"))
 	}
 	if err != nil {
-		// In an outage of the service nobody can say who holds the partition. The journal
-		// here still answers the results that it knows, and refuses new keys.
+		// During an outage of the key-value service the holder of the partition can not be
+		// determined. The local journal still returns the results that it has, and refuses
+		// new keys.
 		j.fingerprint = callFingerprint(j)
 		return pipeline.Pass()
 	}
@@ -133,11 +135,11 @@
 		j.fingerprint = callFingerprint(j)
 		return pipeline.Pass()
 	}
-	if j.hopped {
+	if j.fromPeer {
 		return pipeline.Finish(request.Refuse(request.CodeNotHolder, http.StatusServiceUnavailable, retryWhenNoHolder,
 			"the journal partition of this key has moved"))
 	}
-	j.forward = &peer.Member{Id: string(h.ID), PeerAddress: h.Address}
+	j.forwardTo = &peer.Member{Id: string(h.ID), PeerAddress: h.Address}
 	return pipeline.Finish(nil)
 }
 
@@ -145,13 +147,14 @@
 	return quarantine.Of(j.org.ID, []byte(j.call.method), []byte(j.call.path), j.body)
 }
 
-// elsewhere tells whether a peer should serve the job. A forwarded job is served
-// where it is: two daemons with different views could otherwise send it in circles.
-func (g *Gateway) elsewhere(j *Job, home *peer.Member) bool {
-	return !j.hopped && !j.stay && home != nil && home.Id != g.opts.Members.Self().Id
+// shouldForward reports whether a peer should serve the job. A forwarded job is never
+// forwarded again: daemons with different membership views could otherwise send it in a
+// loop.
+func (g *Gateway) shouldForward(j *Job, home *peer.Member) bool {
+	return !j.fromPeer && !j.serveLocally && home != nil && home.Id != g.opts.Members.Self().Id
 }
 
-func (g *Gateway) forwardTo(j *Job, home *peer.Member) pipeline.Verdict {
-	j.forward = home
+func (g *Gateway) forwardToHome(j *Job, home *peer.Member) pipeline.Verdict {
+	j.forwardTo = home
 	return pipeline.Finish(nil)
 }
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -12,7 +12,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// kind tells completions from calls of plain services.
+// kind distinguishes completions from calls of plain services.
 type kind int
 
 const (
@@ -20,63 +20,63 @@
 	kindService
 )
 
-// Job is one request on its way through the filters. It belongs to one filter at a
-// time and needs no lock.
+// Job is one request that passes through the filters. Only one filter owns it at a time,
+// so it needs no lock.
 type Job struct {
-	ctx      context.Context
-	decided  chan error
-	arrived  time.Time
-	deadline time.Time
-	hopped   bool // a peer forwarded it; it is not forwarded again
-	stay     bool // its home failed; it is served here
-	bearer   string
+	ctx          context.Context
+	decided      chan error
+	arrived      time.Time
+	deadline     time.Time
+	fromPeer     bool // forwarded by a peer; not forwarded again
+	serveLocally bool // the home daemon failed; this daemon serves the job
+	bearer       string
 
-	id request.ID // as the caller and peers know it
-	// work names the job at targets, stewards and the quarantine of this daemon. It is
-	// not id: a home that froze and this daemon, which serves in its stead, would else
-	// send tries of one name to one target. The home, once awake, cancels its try there,
-	// and the caller's answer is cut.
-	work request.ID
-	kind kind
-	body []byte // as received, for forwarding
+	id request.ID // the id that the caller and peers use
+	// localID identifies the job at targets, coordinators and in this daemon's quarantine.
+	// It differs from id because a frozen home daemon and this daemon, which serves in its
+	// place, would otherwise send attempts with the same id to one target. When the home
+	// resumes, it cancels its attempt, which would truncate the caller's answer.
+	localID request.ID
+	kind    kind
+	body    []byte // as received; used for forwarding
 
 	completion completionBody
 	call       serviceCall
 
-	// Set by the filters.
-	org         *table.Organisation
-	model       request.Model
-	context     Context
-	fingerprint quarantine.Fingerprint
-	inFlight    request.ID // the try that the quarantine knows of; empty: none
-	suspect     bool
-	limited     bool // admitted by the limiter
-	forward     *peer.Member
-	partition   int // of the journal, for a call that must run at most once
-	choices     []Choice
-	choice      Choice
-	exclude     map[request.TargetID]bool
-	grant       *Grant
-	incarnation uint64 // of the target that was granted; 0: unknown
-	priority    int    // for the engine
-	ticket      *journal.Ticket
-	sent        bool // the present try of a call may have reached its target
-	replay      *journal.Result
-	tries       int
-	ran         request.RunOutcome // what is known of earlier tries; empty: none was made
-	output      int64              // tokens relayed, for the limiter
-	prefilled   int64              // tokens recomputed, for the steward
-	failed      bool               // the target failed with this request
+	// The filters set the following fields.
+	org             *table.Organisation
+	model           request.Model
+	context         Context
+	fingerprint     quarantine.Fingerprint
+	inFlightAttempt request.ID // the attempt registered with the quarantine; empty if none
+	suspect         bool
+	admitted        bool // admitted by the limiter
+	forwardTo       *peer.Member
+	partition       int // journal partition of a call that must run at most once
+	choices         []Choice
+	choice          Choice
+	exclude         map[request.TargetID]bool
+	grant           *Grant
+	incarnation     uint64 // incarnation of the granted target; 0 if unknown
+	priority        int    // scheduling priority at the engine
+	ticket          *journal.Ticket
+	maybeSent       bool // the current attempt of a call may have reached its target
+	replay          *journal.Result
+	attempts        int
+	priorOutcome    request.RunOutcome // what is known about earlier attempts; empty if there were none
+	outputTokens    int64              // tokens relayed, reported to the limiter
+	prefillTokens   int64              // tokens recomputed, reported to the coordinator
+	targetFailed    bool               // the target failed during this request
 }
 
 // serviceCall is a call of a plain service.
 type serviceCall struct {
 	service     string
 	method      string
-	path        string // path and query at the target
+	path        string // path and query to request from the target
 	contentType string
 	key         string    // Idempotency-Key
-	firstSent   time.Time // when the caller first sent the key; zero: not said
+	firstSent   time.Time // when the caller first sent the key; zero if not given
 	repeatable  bool
 }
 
@@ -86,23 +86,24 @@
 // Decided implements pipeline.Job.
 func (j *Job) Decided(err error) { j.decided <- err }
 
-// noteRan remembers how an earlier try ended. That one ran outweighs that one may have.
-func (j *Job) noteRan(ran request.RunOutcome) {
-	if j.ran == request.DidRun || j.ran == request.InDoubt && ran == request.NotRun {
+// recordOutcome records how an attempt ended. An attempt that ran takes precedence over one
+// that may have run.
+func (j *Job) recordOutcome(ran request.RunOutcome) {
+	if j.priorOutcome == request.DidRun || j.priorOutcome == request.InDoubt && ran == request.NotRun {
 		return
 	}
-	j.ran = ran
+	j.priorOutcome = ran
 }
 
 func newJob(r *http.Request, k kind, body []byte) *Job {
 	return &Job{
-		ctx:     r.Context(),
-		decided: make(chan error, 1),
-		arrived: time.Now(),
-		hopped:  isHop(r),
-		bearer:  bearerOf(r),
-		kind:    k,
-		body:    body,
-		exclude: map[request.TargetID]bool{},
+		ctx:      r.Context(),
+		decided:  make(chan error, 1),
+		arrived:  time.Now(),
+		fromPeer: isHop(r),
+		bearer:   bearerOf(r),
+		kind:     k,
+		body:     body,
+		exclude:  map[request.TargetID]bool{},
 	}
 }
--- a/internal/gateway/path_test.go
+++ b/internal/gateway/path_test.go
@@ -19,7 +19,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 	"github.com/bluebellscale/bluebellscale/internal/table"
 
-	_ "github.com/bluebellscale/bluebellscale/internal/testseed" // the same seeds in each run
+	_ "github.com/bluebellscale/bluebellscale/internal/testseed" // uses the same seeds in each run
 )
 
 const testPrompt = `{"model":"verdict","prompt":"a batch","max_tokens":3}`
@@ -32,8 +32,9 @@
 	return s
 }
 
-// ask sends one request; err is set if the connection ended before the answer did.
-func ask(t testing.TB, url, path, body string) (status int, detail errorDetail, text string, err error) {
+// sendRequest sends one request. It returns an error if the connection closed before the
+// answer was complete.
+func sendRequest(t testing.TB, url, path, body string) (status int, detail errorDetail, text string, err error) {
 	req, _ := http.NewRequest(http.MethodPost, url+path, strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+testKey)
 	req.Header.Set(HeaderIdempotencyKey, "key-1")
@@ -51,16 +52,16 @@
 func await(t testing.TB, what string, condition func() bool) {
 	for end := time.Now().Add(time.Minute); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// held tells what a request has taken and not given back.
-func (w *world) held(g *Gateway) (kinds []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for kind, n := range w.taken {
+// held returns the kinds of resources that requests have acquired and not released.
+func (e *testEnv) held(g *Gateway) (kinds []string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for kind, n := range e.taken {
 		if kind != "" && n != 0 {
 			kinds = append(kinds, kind)
 		}
@@ -71,75 +72,75 @@
 	return kinds
 }
 
-// A daemon answers fewer and fewer requests until it refuses all: some way for a
-// request to end has kept a credit, a grant or a place in the limits. Or one label is
-// printed twice: some error let a call that is not repeatable be sent again. Whatever
-// the steps and the target do, all is given back, a call is received once at most, and
-// "not run" is said only of what no target has received.
-func TestWhateverHappensAllIsGivenBack(t *testing.T) {
+// Guards against two failures. If some outcome of a request leaks a credit, a grant or a
+// slot in the limits, a daemon serves fewer and fewer requests until it refuses all. If
+// some error lets a call that is not repeatable be sent again, one label is printed twice.
+// For any combination of outcomes, all resources are released, such a call is received at
+// most once, and "not run" is reported only if no target received the request.
+func TestEveryOutcomeReleasesAllResources(t *testing.T) {
 	tables := newTables(t)
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(tables)
-		server := w.serve(t)
+		env := newTestEnv(tables)
+		server := env.startTarget(t)
 		defer server.Close()
 		step := rapid.SampledFrom([]string{"", "limit", "gate", "queue", "once", "dispatch", "relay", "settle"}).Draw(rt, "step")
-		w.fail[step] = rapid.SampledFrom([]outcome{refuses, panics}).Draw(rt, "fails")
-		w.tries = rapid.SliceOfN(rapid.SampledFrom([]outcome{
-			passes, dialRefused, cutAtOnce, cutAfter, serverError, wrongVersion, silent,
+		env.fail[step] = rapid.SampledFrom([]outcome{refuses, panics}).Draw(rt, "fails")
+		env.attemptOutcomes = rapid.SliceOfN(rapid.SampledFrom([]outcome{
+			passes, dialRefused, closedBeforeBytes, closedAfterBytes, serverError, wrongVersion, silent,
 		}), 0, 3).Draw(rt, "tries")
 		path := rapid.SampledFrom([]string{"/v1/completions", "/v1/services/cards", "/v1/services/lookup"}).Draw(rt, "path")
-		g := w.gateway(t)
+		g := env.gateway(t)
 		callers := serveGateway(t, g)
 		defer callers.Close()
 
-		status, detail, text, err := ask(t, callers.URL, path, testPrompt)
-		await(t, "all to be given back", func() bool { return len(w.held(g)) == 0 })
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if path == "/v1/services/cards" && w.received > 1 {
-			rt.Fatalf("the call was received %d times", w.received)
+		status, detail, text, err := sendRequest(t, callers.URL, path, testPrompt)
+		await(t, "all resources to be released", func() bool { return len(env.held(g)) == 0 })
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		if path == "/v1/services/cards" && env.received > 1 {
+			rt.Fatalf("the call was received %d times", env.received)
 		}
-		if path == "/v1/services/cards" && w.received > 0 && w.settled == "abort" {
-			rt.Fatal("the key of a call that was received is free")
+		if path == "/v1/services/cards" && env.received > 0 && env.settled == "abort" {
+			rt.Fatal("the key of a received call was freed")
 		}
 		if err != nil {
-			return // a panic on the connection's own goroutine closes it
+			return // a panic on the connection's goroutine closes the connection
 		}
-		if detail.Ran == request.NotRun && w.received > 0 {
-			rt.Fatalf("received, and told %+v", detail)
+		if detail.Ran == request.NotRun && env.received > 0 {
+			rt.Fatalf("the target received the request, but the answer reports %+v", detail)
 		}
 		if again := status == http.StatusTooManyRequests || status >= http.StatusInternalServerError; again && detail.Ran == request.NotRun && detail.RetryAfterMs == 0 {
-			rt.Fatalf("refused without a time to come back: %+v", detail)
+			rt.Fatalf("refusal without a retry delay: %+v", detail)
 		}
-		if path == "/v1/completions" && status == http.StatusOK && !strings.Contains(text, wholeText) {
-			rt.Fatalf("not the whole answer: %s", text)
+		if path == "/v1/completions" && status == http.StatusOK && !strings.Contains(text, completeText) {
+			rt.Fatalf("incomplete answer: %s", text)
 		}
 	})
 }
 
-// A fault of ours ends the handler of a call that has been sent. Were the key freed with
-// the rest, the caller's next try would print the label a second time.
-func TestPanicAfterACallWasSentLeavesItsKeyInDoubt(t *testing.T) {
-	w := newWorld(newTables(t))
-	w.fail["sent"] = panics
-	w.fail["settle"] = panics // nor may a second fault keep a credit or a grant
-	g := w.gateway(t)
-	if _, _, _, err := ask(t, serveGateway(t, g).URL, "/v1/services/cards", "label"); err == nil {
+// A bug in the gateway makes the handler of a call panic after the call was sent. If the
+// key were freed, the caller's next attempt would print the label a second time.
+func TestPanicAfterCallIsSentLeavesKeyInDoubt(t *testing.T) {
+	env := newTestEnv(newTables(t))
+	env.fail["sent"] = panics
+	env.fail["settle"] = panics // a second panic must not leak a credit or a grant either
+	g := env.gateway(t)
+	if _, _, _, err := sendRequest(t, serveGateway(t, g).URL, "/v1/services/cards", "label"); err == nil {
 		t.Fatal("the handler did not panic")
 	}
-	await(t, "all to be given back", func() bool { return len(w.held(g)) == 0 })
-	if w.settled != "doubt" {
-		t.Fatalf("the ticket ended with %q", w.settled)
+	await(t, "all resources to be released", func() bool { return len(env.held(g)) == 0 })
+	if env.settled != "doubt" {
+		t.Fatalf("the ticket ended with %q", env.settled)
 	}
 }
 
-// A caller asks for a large answer of a plain service and stops reading it, but keeps
-// its connection. Each such caller takes a credit and a place at the target for ever;
-// some hundreds of them stop a daemon.
-func TestCallerThatStopsReadingHoldsNothingForEver(t *testing.T) {
-	w := newWorld(newTables(t))
-	w.serve(t)
-	g := w.gateway(t)
+// A caller requests a large answer from a plain service and stops reading it, but keeps
+// its connection open. Without a write timeout each such caller holds a credit and a slot
+// at the target indefinitely, and a few hundred of them block a daemon.
+func TestWriteToStalledCallerTimesOut(t *testing.T) {
+	env := newTestEnv(newTables(t))
+	env.startTarget(t)
+	g := env.gateway(t)
 	large := journal.Result{Status: http.StatusOK, Body: bytes.Repeat([]byte("x"), 64<<20)}
 	served := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) {
@@ -160,23 +161,23 @@
 	}
 }
 
-// Two daemons each take the other for the home of a context. Without a bound on hops
-// they would send a request to and fro until its deadline; the second serves it.
-func TestDaemonsThatDisagreeAboutAHomeForwardOnce(t *testing.T) {
+// Two daemons each consider the other the home of a context. Without a limit on hops they
+// would forward a request back and forth until its deadline. Instead, the second serves it.
+func TestDaemonsThatDisagreeOnHomeForwardOnce(t *testing.T) {
 	tables := newTables(t)
-	var worlds [2]*world
+	var envs [2]*testEnv
 	var servers [2]*httptest.Server
 	var listeners [2]net.Listener
 	for i := range listeners {
 		listeners[i], _ = net.Listen("tcp", "127.0.0.1:0")
 	}
-	for i := range worlds {
-		worlds[i] = newWorld(tables)
-		worlds[i].serve(t)
+	for i := range envs {
+		envs[i] = newTestEnv(tables)
+		envs[i].startTarget(t)
 		other := &peer.Member{Id: "other", PeerAddress: listeners[1-i].Addr().String()}
-		worlds[i].members.home = other
-		worlds[i].holder = journal.Holder{ID: "other", Address: other.PeerAddress}
-		g := worlds[i].gateway(t)
+		envs[i].members.home = other
+		envs[i].holder = journal.Holder{ID: "other", Address: other.PeerAddress}
+		g := envs[i].gateway(t)
 		servers[i] = serveGateway(t, g)
 		peers := httptest.NewUnstartedServer(g.HopHandler())
 		_ = peers.Listener.Close()
@@ -184,26 +185,26 @@
 		peers.Start()
 		t.Cleanup(peers.Close)
 	}
-	status, _, text, err := ask(t, servers[0].URL, "/v1/completions", testPrompt)
-	if err != nil || status != http.StatusOK || !strings.Contains(text, wholeText) {
+	status, _, text, err := sendRequest(t, servers[0].URL, "/v1/completions", testPrompt)
+	if err != nil || status != http.StatusOK || !strings.Contains(text, completeText) {
 		t.Fatalf("got %d %s %v", status, text, err)
 	}
-	if worlds[0].received != 0 || worlds[1].received != 1 {
-		t.Fatalf("served %d and %d times", worlds[0].received, worlds[1].received)
+	if envs[0].received != 0 || envs[1].received != 1 {
+		t.Fatalf("targets received %d and %d requests", envs[0].received, envs[1].received)
 	}
-	status, detail, _, _ := ask(t, servers[0].URL, "/v1/services/cards", "label")
+	status, detail, _, _ := sendRequest(t, servers[0].URL, "/v1/services/cards", "label")
 	if status != http.StatusServiceUnavailable || detail.Code != request.CodeNotHolder || detail.RetryAfterMs == 0 {
-		t.Fatalf("a call that both forward got %d %+v", status, detail)
+		t.Fatalf("call forwarded by both daemons got %d %+v", status, detail)
 	}
 }
 
-// A home freezes after some frames. The daemon that was asked serves the rest itself,
-// maybe at the same target, where the home's try still runs. Under one name the target
-// would take the two tries for one; the home, once awake, would cancel both, and the
-// caller's answer would be cut a second time.
-func TestHomeThatFreezesIsReplacedUnderAnotherName(t *testing.T) {
-	w := newWorld(newTables(t))
-	w.serve(t)
+// A home daemon freezes after some frames. The accepting daemon serves the request itself,
+// possibly at the same target, where the home's attempt is still running. If both attempts
+// had the same id, the target would treat them as one: when the home resumes, it would
+// cancel both, and the caller's answer would be interrupted a second time.
+func TestFrozenHomeIsReplacedUnderDifferentAttemptID(t *testing.T) {
+	env := newTestEnv(newTables(t))
+	env.startTarget(t)
 	frozen := make(chan struct{})
 	var forwarded request.ID
 	home := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
@@ -216,51 +217,51 @@
 	}))
 	t.Cleanup(home.Close)
 	t.Cleanup(func() { close(frozen) })
-	w.members.home = &peer.Member{Id: "d2", PeerAddress: home.Listener.Addr().String()}
-	g := w.gateway(t)
+	env.members.home = &peer.Member{Id: "d2", PeerAddress: home.Listener.Addr().String()}
+	g := env.gateway(t)
 	s := serveGateway(t, g)
-	status, _, text, err := ask(t, s.URL, "/v1/completions", strings.Replace(testPrompt, "{", `{"stream":true,`, 1))
-	if err != nil || status != http.StatusOK || streamedText(t, text) != wholeText {
+	status, _, text, err := sendRequest(t, s.URL, "/v1/completions", strings.Replace(testPrompt, "{", `{"stream":true,`, 1))
+	if err != nil || status != http.StatusOK || streamedText(t, text) != completeText {
 		t.Fatalf("got %d %s %v", status, text, err)
 	}
-	// Another home that got the same id names its try as this daemon would its own.
-	theirs := &Job{id: forwarded}
+	// A daemon that receives the forwarded id derives its attempt ids in the same way.
+	peerJob := &Job{id: forwarded}
 	req := httptest.NewRequest(http.MethodPost, "/", nil)
 	req.Header.Set(HeaderRequestID, string(forwarded))
-	theirs.hopped = true
-	if refusal := g.bound(req, theirs); refusal != nil || theirs.id != forwarded {
-		t.Fatalf("the forwarded id is %s, %v", theirs.id, refusal)
+	peerJob.fromPeer = true
+	if refusal := g.initJob(req, peerJob); refusal != nil || peerJob.id != forwarded {
+		t.Fatalf("forwarded id is %s, %v", peerJob.id, refusal)
 	}
-	theirs.org = &table.Organisation{}
-	if w.attempts[0] == attemptID(theirs) || w.works[0] == g.ask(theirs, Choice{}).Request {
-		t.Fatalf("two daemons call their tries %s", w.attempts[0])
+	peerJob.org = &table.Organisation{}
+	if env.attempts[0] == attemptID(peerJob) || env.acquireIDs[0] == g.acquireRequest(peerJob, Choice{}).Request {
+		t.Fatalf("two daemons use the attempt id %s", env.attempts[0])
 	}
 }
 
-// The holder of a key answers with more bytes than this daemon takes from a peer. Cut
-// at that size the answer would look whole to the caller.
-func TestForwardedAnswerIsWholeOrNone(t *testing.T) {
+// The holder of a key answers with more bytes than this daemon accepts from a peer. If the
+// answer were truncated at the limit, it would appear complete to the caller.
+func TestForwardedAnswerIsNotTruncated(t *testing.T) {
 	for _, size := range []int{5 << 20, 9 << 20} {
 		holder := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) {
 			_, _ = out.Write(make([]byte, size))
 		}))
 		t.Cleanup(holder.Close)
-		w := newWorld(newTables(t))
-		w.holder = journal.Holder{ID: "d2", Address: holder.Listener.Addr().String()}
-		s := serveGateway(t, w.gateway(t))
-		status, detail, text, err := ask(t, s.URL, "/v1/services/cards", "label")
-		whole := err == nil && status == http.StatusOK && len(text) == size
-		if refused := detail.Ran == request.InDoubt; !whole && !refused {
-			t.Fatalf("of %d bytes %d came with status %d, %+v", size, len(text), status, detail)
+		env := newTestEnv(newTables(t))
+		env.holder = journal.Holder{ID: "d2", Address: holder.Listener.Addr().String()}
+		s := serveGateway(t, env.gateway(t))
+		status, detail, text, err := sendRequest(t, s.URL, "/v1/services/cards", "label")
+		complete := err == nil && status == http.StatusOK && len(text) == size
+		if refused := detail.Ran == request.InDoubt; !complete && !refused {
+			t.Fatalf("answer of %d bytes: got %d bytes with status %d, %+v", size, len(text), status, detail)
 		}
 	}
 }
 
-// A caller announces a body and never sends it. The connection, and a planned stop that
-// waits for it, would be held without limit.
-func TestBodyThatNeverComesEndsTheRequest(t *testing.T) {
-	w := newWorld(newTables(t))
-	g := w.gateway(t)
+// A caller announces a body and never sends it. Without a timeout it would hold its
+// connection, and delay a planned shutdown, without limit.
+func TestMissingBodyTimesOut(t *testing.T) {
+	env := newTestEnv(newTables(t))
+	g := env.gateway(t)
 	g.opts.BodyTimeout = 50 * time.Millisecond
 	s := serveGateway(t, g)
 	conn, err := net.Dial("tcp", s.Listener.Addr().String())
@@ -282,7 +283,7 @@
 		Tables: staticTables{}, Members: fakeMembers{self: &peer.Member{Id: "d1", CallerAddress: "127.0.0.1:1"}}, MaxBody: 1 << 10,
 		DefaultDeadline: time.Second, BodyTimeout: time.Second,
 	}}
-	g.line = newRefusingLine()
+	g.pipeline = newPipelineWithoutCredits()
 	f.Fuzz(func(t *testing.T, model, head, service, key, sent, deadline, bearer string) {
 		r := httptest.NewRequest(http.MethodGet, "/v1/route", nil)
 		r.URL.RawQuery = "model=" + model + "&head=" + head + "&service=" + service
@@ -291,7 +292,7 @@
 		g.handleRoute(out, r)
 		var route routeAnswer
 		if err := json.Unmarshal(out.Body.Bytes(), &route); err != nil || len(route.Addresses) == 0 {
-			t.Fatalf("no route in %q: %v", out.Body, err)
+			t.Fatalf("no route in answer %q: %v", out.Body, err)
 		}
 		r = httptest.NewRequest(http.MethodPost, "/v1/services/cards", strings.NewReader("x"))
 		r.Header.Set("Authorization", bearer)
@@ -305,27 +306,27 @@
 			t.Fatalf("got %d %q", out.Code, out.Body)
 		}
 		if out.Code >= http.StatusInternalServerError && refused.Error.RetryAfterMs == 0 {
-			t.Fatalf("no time to come back in %q", out.Body)
+			t.Fatalf("no retry delay in answer %q", out.Body)
 		}
 	})
 }
 
-// A peer that forwarded a request goes away while frames and keep-alives are written to
-// it. Both note that nobody reads; the race detector shows it if they do so unordered.
-func TestKeepAlivesAndFramesMeetWhenThePeerLeaves(t *testing.T) {
+// A peer that forwarded a request disconnects while frames and keep-alives are written to
+// it. Both writers encounter the error; the race detector reports unsynchronized access.
+func TestConcurrentKeepAlivesAndFramesAfterPeerDisconnects(t *testing.T) {
 	out, _ := newTestSink(true, true)
 	out.w = brokenWriter{httptest.NewRecorder()}
-	out.flush = http.NewResponseController(out.w)
+	out.control = http.NewResponseController(out.w)
 	stop := out.keepAlive(time.Microsecond)
 	defer stop()
 	for range 1000 {
-		if err := out.text("a", "v1"); err == nil {
-			t.Fatal("a frame was taken by a peer that has left")
+		if err := out.writeText("a", "v1"); err == nil {
+			t.Fatal("writing a frame to a disconnected peer succeeded")
 		}
 	}
 }
 
-// brokenWriter fails each write, as a connection that the other end closed does.
+// brokenWriter fails each write, like a connection that the remote end has closed.
 type brokenWriter struct{ http.ResponseWriter }
 
 func (brokenWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
--- a/internal/gateway/pump.go
+++ b/internal/gateway/pump.go
@@ -13,25 +13,27 @@
 	"github.com/bluebellscale/bluebellscale/internal/target"
 )
 
-// frameRing is how many frames may wait between the connection and the caller.
-const frameRing = 32
-
-// pump moves the frames of one try from the target to the caller. A goroutine reads
-// the connection; the pump's own asks the assembler what to do, so that silence and
-// gaps are noticed while the connection blocks.
+// frameBuffer is the number of frames that are buffered between the connection and the
+// caller.
+const frameBuffer = 32
+
+// pump relays the frames of one attempt from the target to the caller. A separate
+// goroutine reads the connection, while the pump's goroutine passes frames and timeouts
+// to the assembler, so that idle streams and missing frames are detected while the
+// connection blocks.
 type pump struct {
-	g        *Gateway
-	j        *Job
-	out      *sink
-	client   *target.Client
-	attempt  request.ID
-	assemble *stream.Assembler
-	reading  *reading
-	wrote    bool
+	g         *Gateway
+	j         *Job
+	out       *sink
+	client    *target.Client
+	attempt   request.ID
+	assembler *stream.Assembler
+	reader    *streamReader
+	wrote     bool
 }
 
-// reading is one connection being read.
-type reading struct {
+// streamReader holds the state of a connection that is being read.
+type streamReader struct {
 	source *target.Stream
 	frames chan engineapi.Frame
 	err    error // set before frames is closed
@@ -45,7 +47,7 @@
 		out:     out,
 		client:  client,
 		attempt: attempt,
-		assemble: stream.New(time.Now(), stream.Params{
+		assembler: stream.New(time.Now(), stream.Params{
 			RequestID:         attempt,
 			Version:           j.context.Scope.Version,
 			IdleTimeout:       g.opts.StreamIdleTimeout,
@@ -53,15 +55,15 @@
 			MaxResumes:        g.opts.MaxResumes,
 		}),
 	}
-	p.read(source)
+	p.startReading(source)
 	return p
 }
 
-// read starts reading a connection in place of the former one.
-func (p *pump) read(source *target.Stream) {
+// startReading starts a goroutine that reads source in place of the previous connection.
+func (p *pump) startReading(source *target.Stream) {
 	ctx, cancel := context.WithCancel(p.j.ctx)
-	r := &reading{source: source, frames: make(chan engineapi.Frame, frameRing), cancel: cancel}
-	p.reading = r
+	r := &streamReader{source: source, frames: make(chan engineapi.Frame, frameBuffer), cancel: cancel}
+	p.reader = r
 	go func() {
 		defer close(r.frames)
 		for {
@@ -80,28 +82,28 @@
 	}()
 }
 
-// stopReading ends the present connection and waits for its goroutine.
+// stopReading closes the current connection and waits for its goroutine.
 func (p *pump) stopReading() {
-	if p.reading == nil {
+	if p.reader == nil {
 		return
 	}
-	p.reading.cancel()
-	if p.reading.source != nil {
-		p.reading.source.Close()
+	p.reader.cancel()
+	if p.reader.source != nil {
+		p.reader.source.Close()
 	}
-	for range p.reading.frames {
+	for range p.reader.frames {
 		continue
 	}
-	p.reading = nil
+	p.reader = nil
 }
 
-// run relays until the answer is whole (nil) or the try has failed.
-func (p *pump) run(sent time.Time) *tryError {
+// run relays frames until the answer is complete (nil) or the attempt has failed.
+func (p *pump) run(sent time.Time) *attemptError {
 	defer p.stopReading()
 	for {
 		actions := p.next()
 		if p.j.ctx.Err() != nil {
-			return &tryError{answer: cancelled(request.DidRun), final: true}
+			return &attemptError{answer: cancelled(request.DidRun), final: true}
 		}
 		done, failure := p.apply(actions, sent)
 		if done || failure != nil {
@@ -112,39 +114,39 @@
 
 // next waits for a frame, the end of the connection, or the assembler's next deadline.
 func (p *pump) next() []stream.Action {
-	timer := time.NewTimer(time.Until(p.assemble.NextTick()))
+	timer := time.NewTimer(time.Until(p.assembler.NextTick()))
 	defer timer.Stop()
 	var frames chan engineapi.Frame
-	if p.reading != nil {
-		frames = p.reading.frames
+	if p.reader != nil {
+		frames = p.reader.frames
 	}
 	select {
 	case f, ok := <-frames:
 		if !ok {
-			return p.connectionEnded()
+			return p.onConnectionEnd()
 		}
-		return p.assemble.OnFrame(time.Now(), f)
+		return p.assembler.OnFrame(time.Now(), f)
 	case <-timer.C:
-		return p.assemble.Tick(time.Now())
+		return p.assembler.Tick(time.Now())
 	case <-p.j.ctx.Done():
 		return nil
 	}
 }
 
-func (p *pump) connectionEnded() []stream.Action {
-	err := p.reading.err
+func (p *pump) onConnectionEnd() []stream.Action {
+	err := p.reader.err
 	p.stopReading()
-	// A connection that something in between has lost track of stays open and silent
-	// for ever, while new ones work. It shows as a stream without frames. All pooled
-	// connections to the target are as old and are thrown away with it; the stream goes
-	// on over a fresh one, so a caller sees a pause and no loss.
+	// If a middlebox has dropped the state of a connection, the connection stays open but
+	// delivers nothing, while new connections work. The symptom is a stream without
+	// frames. The other pooled connections to the target are as old and are closed, too.
+	// The stream is resumed over a new connection, so the caller sees a pause and no loss.
 	if errors.Is(err, target.ErrSilent) {
 		p.client.ResetConnections()
 	}
-	return p.assemble.OnDisconnect(time.Now())
+	return p.assembler.OnDisconnect(time.Now())
 }
 
-func (p *pump) apply(actions []stream.Action, sent time.Time) (done bool, failure *tryError) {
+func (p *pump) apply(actions []stream.Action, sent time.Time) (done bool, failure *attemptError) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case stream.Emit:
@@ -157,33 +159,33 @@
 			p.finish(a.Usage, sent)
 			return true, nil
 		case stream.Fail:
-			return false, p.failed(a.Err)
+			return false, p.fail(a.Err)
 		}
 	}
 	return false, nil
 }
 
-func (p *pump) emit(e stream.Emit) *tryError {
+func (p *pump) emit(e stream.Emit) *attemptError {
 	if !p.wrote {
 		p.wrote = true
 		p.g.stats.firstToken.RecordDuration(time.Since(p.j.arrived))
 	}
-	err := p.out.text(e.Text, p.j.context.Scope.Version)
+	err := p.out.writeText(e.Text, p.j.context.Scope.Version)
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, errDiverged):
-		failure := p.failed(&request.Error{Code: request.CodeTruncatedStream, Status: http.StatusBadGateway, Ran: request.DidRun,
+		failure := p.fail(&request.Error{Code: request.CodeTruncatedStream, Status: http.StatusBadGateway, Ran: request.DidRun,
 			Message: "the answer could not be completed", RetryAfter: retryTargetFailed})
 		failure.final = true
 		return failure
 	default:
-		return &tryError{answer: cancelled(request.DidRun), final: true}
+		return &attemptError{answer: cancelled(request.DidRun), final: true}
 	}
 }
 
-// resume asks the target for the rest over a new connection. A failure shows as a
-// connection that has ended.
+// resume requests the remaining frames from the target over a new connection. If that
+// fails, the pump gets a reader whose connection has already ended.
 func (p *pump) resume(r stream.Resume) {
 	p.g.stats.resumed.Inc(1)
 	if r.Reason == stream.ReasonIdle {
@@ -192,34 +194,34 @@
 	p.stopReading()
 	source, err := p.client.Resume(p.j.ctx, p.attempt, r.From)
 	if err != nil {
-		p.g.log.Debug("Stream was not resumed", "request", p.j.id, "error", err)
-		p.reading = endedReading(err)
+		p.g.log.Debug("Could not resume a stream", "request", p.j.id, "error", err)
+		p.reader = failedReader(err)
 		return
 	}
-	p.read(source)
+	p.startReading(source)
 }
 
-// endedReading stands for a connection that never came about.
-func endedReading(err error) *reading {
-	r := &reading{frames: make(chan engineapi.Frame), err: err, cancel: func() {}}
+// failedReader returns a reader for a connection that could not be established.
+func failedReader(err error) *streamReader {
+	r := &streamReader{frames: make(chan engineapi.Frame), err: err, cancel: func() {}}
 	close(r.frames)
 	return r
 }
 
-// finish ends a whole answer.
+// finish completes an answer and reports its usage.
 func (p *pump) finish(u engineapi.Usage, sent time.Time) {
-	p.j.output = int64(u.OutputTokens)
-	p.j.prefilled = int64(u.PromptTokens - u.CachedTokens)
+	p.j.outputTokens = int64(u.OutputTokens)
+	p.j.prefillTokens = int64(u.PromptTokens - u.CachedTokens)
 	p.g.stats.cached.Inc(int64(u.CachedTokens))
 	p.g.stats.prompt.Inc(int64(u.PromptTokens))
-	p.out.done(u)
-	p.g.learn(p.j, u, p.out.firstAt.Sub(sent))
+	p.out.finish(u)
+	p.g.reportAnswer(p.j, u, p.out.firstTextAt.Sub(sent))
 }
 
-func (p *pump) failed(e *request.Error) *tryError {
+func (p *pump) fail(e *request.Error) *attemptError {
 	p.g.log.Warn("Stream failed", "target", p.j.choice.Target.ID, "request", p.j.id, "error", e)
 	if e.RetryAfter == 0 {
 		e.RetryAfter = retryTargetFailed
 	}
-	return &tryError{answer: e}
+	return &attemptError{answer: e}
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -16,60 +16,60 @@
 
 const (
 	retryTargetFailed = time.Second
-	// probeTimeout bounds the question whether a target lives.
+	// probeTimeout limits the probe of whether a target is alive.
 	probeTimeout = time.Second
-	// cancelTimeout bounds the order to a target to stop a stream nobody reads.
+	// cancelTimeout limits the request to a target to cancel an abandoned stream.
 	cancelTimeout = time.Second
 )
 
-// relayCompletion sends the job to its target and relays the answer. A try that
-// fails is repeated elsewhere within the budgets: completions are idempotent. What
-// the caller has already got is compared byte by byte with what the next try yields,
-// so a mixture of two answers can never be sent.
+// relayCompletion sends the job to its target and relays the answer. A failed attempt is
+// retried on another target within the retry budgets, since completions are idempotent.
+// The text that the caller has already received is compared byte by byte with the text
+// of the next attempt, so a mixture of two answers is never sent.
 func (g *Gateway) relayCompletion(out *sink, j *Job) {
-	g.budgets.first(j)
+	g.retryBudgets.onFirstAttempt(j)
 	for {
-		failure := g.try(out, j)
+		failure := g.attemptCompletion(out, j)
 		if failure == nil {
 			g.stats.answered.Inc(1)
 			return
 		}
-		g.endTry(j, failure)
-		if !g.again(out, j, failure) {
+		g.endAttempt(j, failure)
+		if !g.retryAttempt(out, j, failure) {
 			return
 		}
 	}
 }
 
-// endTry gives back what the failed try held.
-func (g *Gateway) endTry(j *Job, failure *tryError) {
-	j.failed = failure.targetFailed
-	j.noteRan(failure.answer.Ran)
-	g.endFlight(j, failure.targetDied)
+// endAttempt releases the resources of the failed attempt.
+func (g *Gateway) endAttempt(j *Job, failure *attemptError) {
+	j.targetFailed = failure.targetFailed
+	j.recordOutcome(failure.answer.Ran)
+	g.endInFlight(j, failure.targetDied)
 	g.releaseGrant(j)
-	if !failure.sameTarget {
+	if !failure.allowSameTarget {
 		j.exclude[j.choice.Target.ID] = true
 	}
-	j.tries++
+	j.attempts++
 }
 
-// again decides whether to try once more and if so takes the job through the filters
-// from placement on. It has answered the caller when it returns false.
-func (g *Gateway) again(out *sink, j *Job, failure *tryError) bool {
-	if final := g.nextTry(j, failure); final != nil {
+// retryAttempt decides whether to retry and, if so, submits the job to the filters again
+// from placement on. If it returns false, it has answered the caller.
+func (g *Gateway) retryAttempt(out *sink, j *Job, failure *attemptError) bool {
+	if final := g.prepareRetry(j, failure); final != nil {
 		g.fail(out, final)
 		return false
 	}
-	out.restart()
+	out.beginRetry()
 	return true
 }
 
-// nextTry prepares another try, or returns the final answer.
-func (g *Gateway) nextTry(j *Job, failure *tryError) *request.Error {
+// prepareRetry prepares another attempt, or returns the final answer.
+func (g *Gateway) prepareRetry(j *Job, failure *attemptError) *request.Error {
 	if failure.final || j.ctx.Err() != nil {
 		return failure.answer
 	}
-	switch d := g.budgets.decide(j, failure.answer).(type) {
+	switch d := g.retryBudgets.decide(j, failure.answer).(type) {
 	case retry.GiveUp:
 		return d.Err
 	case retry.RetryElsewhere:
@@ -78,24 +78,25 @@
 		}
 	}
 	g.stats.retried.Inc(1)
-	g.line.Resubmit(j, filterPlace)
+	g.pipeline.Resubmit(j, filterPlace)
 	if err := <-j.decided; err != nil {
 		return g.refusalOf(j, err)
 	}
 	return nil
 }
 
-// tryError is how one try at one target ended without the whole answer.
-type tryError struct {
-	answer       *request.Error // for the caller, if this was the last try
-	final        bool           // another try can not help
-	sameTarget   bool           // another try may go to the same target
-	targetFailed bool
-	targetDied   bool // new connections to the target fail too
+// attemptError describes why one attempt at one target did not produce the complete answer.
+type attemptError struct {
+	answer          *request.Error // for the caller, if this was the last attempt
+	final           bool           // a retry can not succeed
+	allowSameTarget bool           // a retry may go to the same target
+	targetFailed    bool
+	targetDied      bool // new connections to the target fail too
 }
 
-// try sends the job to the chosen target once and relays until the answer is whole.
-func (g *Gateway) try(out *sink, j *Job) *tryError {
+// attemptCompletion sends the job to the chosen target once and relays frames until the
+// answer is complete.
+func (g *Gateway) attemptCompletion(out *sink, j *Job) *attemptError {
 	client := g.opts.Targets.Client(j.choice.Target)
 	attempt := attemptID(j)
 	sent := time.Now()
@@ -109,66 +110,66 @@
 		Priority:  j.priority,
 	})
 	if err != nil {
-		return g.openFailed(j, client, err)
+		return g.classifyOpenError(j, client, err)
 	}
 	failure := newPump(g, j, out, client, attempt, source).run(sent)
 	if failure != nil {
-		g.stopStream(client, attempt)
+		g.cancelStream(client, attempt)
 		failure.targetFailed = true
-		failure.targetDied = g.died(j, client)
+		failure.targetDied = g.hasDied(j, client)
 	}
 	return failure
 }
 
-// attemptID names one try of a request. Each try has its own, so that late frames of
-// an earlier try at another target can not enter a later one.
+// attemptID returns the id of the current attempt. Each attempt has its own id, so that
+// delayed frames of an earlier attempt at another target can not enter a later one.
 func attemptID(j *Job) request.ID {
-	return j.work + request.ID("-"+string(rune('a'+j.tries%26)))
+	return j.localID + request.ID("-"+string(rune('a'+j.attempts%26)))
 }
 
-// openFailed classifies a try whose stream never opened.
-func (g *Gateway) openFailed(j *Job, client *target.Client, err error) *tryError {
+// classifyOpenError classifies an attempt whose stream could not be opened.
+func (g *Gateway) classifyOpenError(j *Job, client *target.Client, err error) *attemptError {
 	if j.ctx.Err() != nil {
-		return &tryError{answer: cancelled(request.InDoubt), final: true}
+		return &attemptError{answer: cancelled(request.InDoubt), final: true}
 	}
 	answer := &request.Error{Code: request.CodeTargetFailed, Status: http.StatusBadGateway, Ran: request.InDoubt,
 		Message: "the target did not answer", RetryAfter: retryTargetFailed}
 	if target.NotStarted(err) {
 		answer.Ran = request.NotRun
 	}
-	silent := errors.Is(err, target.ErrSilent) && g.recovered(client)
+	silent := errors.Is(err, target.ErrSilent) && g.recoverSilentTarget(client)
 	var refused *engineapi.Error
 	if errors.As(err, &refused) && refused.Code == engineapi.CodeWrongVersion {
 		answer.Code = request.CodeWrongVersion
 		answer.Message = "the target has another weight version"
 	}
 	g.log.Warn("Target did not open a stream", "target", j.choice.Target.ID, "request", j.id, "error", err)
-	return &tryError{
-		answer:       answer,
-		sameTarget:   silent,
-		targetFailed: refused == nil && !silent,
-		targetDied:   refused == nil && !silent && answer.Ran == request.InDoubt && g.died(j, client),
+	return &attemptError{
+		answer:          answer,
+		allowSameTarget: silent,
+		targetFailed:    refused == nil && !silent,
+		targetDied:      refused == nil && !silent && answer.Ran == request.InDoubt && g.hasDied(j, client),
 	}
 }
 
-// recovered tells whether a target whose connection was silent answers on a new one.
-// Its pooled connections are then thrown away: each of them would otherwise cost one
-// request the wait for a head that never comes.
-func (g *Gateway) recovered(client *target.Client) bool {
+// recoverSilentTarget reports whether a target whose connection was silent responds on a
+// new connection. If so, its pooled connections are closed: on each of them one request
+// would otherwise wait in vain for a response header.
+func (g *Gateway) recoverSilentTarget(client *target.Client) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	return client.RecoverSilence(ctx) == nil
 }
 
 func cancelled(ran request.RunOutcome) *request.Error {
-	return &request.Error{Code: request.CodeCancelled, Status: statusClientGone, Message: "the caller left", Ran: ran}
+	return &request.Error{Code: request.CodeCancelled, Status: statusClientClosedRequest, Message: "the caller left", Ran: ran}
 }
 
-// died asks over a fresh connection whether a target that failed has died: nothing
-// accepts connections there any more, or another incarnation does. One that accepts
-// and does not answer is frozen or overloaded; to blame the requests in flight for
-// that would put innocent ones into quarantine.
-func (g *Gateway) died(j *Job, client *target.Client) bool {
+// hasDied probes a failed target over a new connection and reports whether it has died:
+// either nothing accepts connections at its address, or another incarnation does. A target
+// that accepts connections but does not answer is frozen or overloaded. Attributing that
+// to the requests in flight would quarantine requests that did not cause it.
+func (g *Gateway) hasDied(j *Job, client *target.Client) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	if j.kind == kindService {
@@ -181,12 +182,12 @@
 	return j.incarnation != 0 && state.Incarnation != j.incarnation
 }
 
-func (g *Gateway) stopStream(client *target.Client, id request.ID) {
+func (g *Gateway) cancelStream(client *target.Client, id request.ID) {
 	g.cancels.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		if err := client.Cancel(ctx, id); err != nil {
-			g.log.Debug("Cancel was not taken", "request", id, "error", err)
+			g.log.Debug("Target did not accept the cancellation of a stream", "request", id, "error", err)
 		}
 	})
 }
--- a/internal/gateway/retries.go
+++ b/internal/gateway/retries.go
@@ -9,27 +9,27 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// budgets keeps one retry budget for each set of targets: a model's replicas or a
-// service's instances.
-type budgets struct {
+// retryBudgets holds a retry budget for each set of targets, which is the replicas of a
+// model or the instances of a service.
+type retryBudgets struct {
 	mu     sync.Mutex
 	sets   map[string]*retry.Budget
 	random *rand.Rand
 }
 
-func newBudgets(seed uint64) *budgets {
-	return &budgets{sets: map[string]*retry.Budget{}, random: rand.New(rand.NewPCG(seed, seed))}
+func newRetryBudgets(seed uint64) *retryBudgets {
+	return &retryBudgets{sets: map[string]*retry.Budget{}, random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// setOf names the set of targets that may serve a job.
-func setOf(j *Job) string {
+// targetSetOf returns the name of the set of targets that may serve a job.
+func targetSetOf(j *Job) string {
 	if j.kind == kindService {
 		return "service/" + j.call.service
 	}
 	return "model/" + string(j.model)
 }
 
-func (b *budgets) set(name string, now time.Time) *retry.Budget {
+func (b *retryBudgets) set(name string, now time.Time) *retry.Budget {
 	set, ok := b.sets[name]
 	if !ok {
 		set = retry.NewBudget(now, retry.Params{})
@@ -38,23 +38,23 @@
 	return set
 }
 
-func (b *budgets) first(j *Job) {
+func (b *retryBudgets) onFirstAttempt(j *Job) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.set(setOf(j), now).OnFirstAttempt(now)
+	b.set(targetSetOf(j), now).OnFirstAttempt(now)
 }
 
-// decide says what follows a failed try. That bytes have gone to the caller does not
-// rule out another try, since the sink compares its text with what the caller has.
-func (b *budgets) decide(j *Job, answer *request.Error) retry.Decision {
+// decide returns what follows a failed attempt. A retry is possible even after bytes were
+// sent to the caller, since the sink compares the new text with the text already sent.
+func (b *retryBudgets) decide(j *Job, answer *request.Error) retry.Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	r := retry.Request{
 		Repeatable: j.kind == kindCompletion || j.call.repeatable,
 		Deadline:   j.deadline,
-		Retries:    j.tries - 1,
+		Retries:    j.attempts - 1,
 	}
-	return b.set(setOf(j), now).Decide(now, b.random, r, retry.Failure{Err: answer})
+	return b.set(targetSetOf(j), now).Decide(now, b.random, r, retry.Failure{Err: answer})
 }
--- a/internal/gateway/settle.go
+++ b/internal/gateway/settle.go
@@ -8,30 +8,32 @@
 	"github.com/bluebellscale/bluebellscale/internal/journal"
 )
 
-// quarantineTimeout bounds the write of a finding to the key-value service.
+// quarantineTimeout limits the write of a crash record to the key-value service.
 const quarantineTimeout = 3 * time.Second
 
-// settle gives back all that a job still holds. It runs once, after the answer. Each
-// part is given back although another panics: a credit that is lost is lost for good.
+// settle releases all resources that a job still holds. It runs once, after the answer.
+// Each resource is released even if the release of another panics, since a leaked credit
+// is never recovered.
 func (g *Gateway) settle(j *Job) {
-	defer g.line.Settled()
-	defer g.leaveLimits(j)
-	defer g.endFlight(j, false)
+	defer g.pipeline.Settled()
+	defer g.releaseLimits(j)
+	defer g.endInFlight(j, false)
 	defer g.releaseGrant(j)
-	g.settleTicket(j, g.leftOver(j))
+	g.settleTicket(j, g.ticketFallback(j))
 }
 
-func (g *Gateway) leaveLimits(j *Job) {
-	if j.limited {
-		g.opts.Limiter.Done(j.org.ID, j.output)
+func (g *Gateway) releaseLimits(j *Job) {
+	if j.admitted {
+		g.opts.Limiter.Done(j.org.ID, j.outputTokens)
 	}
 }
 
-// leftOver is what becomes of a ticket that nobody has settled. A call that was never
-// sent frees its key. One that was sent and whose handler then failed in an unforeseen
-// way may have run: freeing its key would let the next try run it twice.
-func (g *Gateway) leftOver(j *Job) func(context.Context, *journal.Ticket) error {
-	if j.sent {
+// ticketFallback returns the function that settles a ticket which no earlier step has
+// settled. If the call was never sent, its key becomes free. If the call was sent and its
+// handler then failed unexpectedly, the call may have run: freeing its key would let the
+// next attempt run it a second time.
+func (g *Gateway) ticketFallback(j *Job) func(context.Context, *journal.Ticket) error {
+	if j.maybeSent {
 		return g.opts.Journal.MarkInDoubt
 	}
 	return g.opts.Journal.Abort
@@ -41,15 +43,15 @@
 	if j.grant == nil {
 		return
 	}
-	g.opts.Coordinators.Release(*j.grant, Release{PrefillTokens: j.prefilled, TargetFailed: j.failed})
+	g.opts.Coordinators.Release(*j.grant, Release{PrefillTokens: j.prefillTokens, TargetFailed: j.targetFailed})
 	j.grant = nil
-	j.failed = false
+	j.targetFailed = false
 }
 
-// endFlight tells the quarantine that the present try is over. If the target died,
-// the finding is written before the request can be sent again.
-func (g *Gateway) endFlight(j *Job, died bool) {
-	if j.inFlight == "" {
+// endInFlight reports the end of the current attempt to the quarantine. If the target died,
+// the crash record is written before the request can be sent again.
+func (g *Gateway) endInFlight(j *Job, died bool) {
+	if j.inFlightAttempt == "" {
 		return
 	}
 	if died {
@@ -57,15 +59,15 @@
 		defer cancel()
 		g.opts.Quarantine.TargetDied(ctx, j.choice.Target.ID, j.incarnation)
 	}
-	g.opts.Quarantine.End(j.inFlight)
-	j.inFlight = ""
+	g.opts.Quarantine.End(j.inFlightAttempt)
+	j.inFlightAttempt = ""
 }
 
-func (g *Gateway) learn(j *Job, u engineapi.Usage, first time.Duration) {
+func (g *Gateway) reportAnswer(j *Job, u engineapi.Usage, firstToken time.Duration) {
 	g.opts.Contexts.OnAnswer(j.context, CompletionStats{
 		Target:       j.choice.Target.ID,
 		CachedTokens: u.CachedTokens,
 		PromptTokens: u.PromptTokens,
-		FirstToken:   first,
+		FirstToken:   firstToken,
 	})
 }
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -13,9 +13,9 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// errDiverged reports that a repeated try yields another text than the caller has
-// already got. The answer can then not be completed.
-var errDiverged = errors.New("gateway: repeated try yields another text")
+// errDiverged reports that a retry produced a text that differs from the text the caller
+// has already received. The answer can then not be completed.
+var errDiverged = errors.New("gateway: retry produced a different text")
 
 // completionChunk is one event of a streamed completion.
 type completionChunk struct {
@@ -40,42 +40,42 @@
 
 const objectCompletion = "text_completion"
 
-// sink writes an answer to the caller: as events, as one body, or, for a peer, as
-// the target's own frames.
+// sink writes an answer to the caller. It writes events, a single body, or, for a peer,
+// frames in the format of the target.
 type sink struct {
-	w       http.ResponseWriter
-	flush   *http.ResponseController
-	j       *Job
-	started bool            // the head of the answer is written
-	have    strings.Builder // the answer as far as the caller has it
-	skip    int             // bytes of the answer that the caller already has and that are compared
-	seq     int             // frames written to a peer
-	firstAt time.Time
-	timeout time.Duration // of one write
+	w             http.ResponseWriter
+	control       *http.ResponseController
+	j             *Job
+	headerWritten bool            // the status and headers have been written
+	sentText      strings.Builder // answer text so far, sent to the caller or collected for a single body
+	attemptBytes  int             // length of the text that the current attempt has produced
+	seq           int             // number of frames written to a peer
+	firstTextAt   time.Time
+	timeout       time.Duration // timeout of one write
 
-	mu sync.Mutex // orders writes of answers and of keep-alives
+	mu sync.Mutex // serializes the writes of answers and keep-alives
 }
 
-// keepAlivesPerSilence is how many keep-alives a peer sends in the time after which
-// its silence counts as failure.
-const keepAlivesPerSilence = 4
+// keepAlivesPerTimeout is the number of keep-alives that a peer sends within HopIdleTimeout,
+// after which a peer without any output is considered failed.
+const keepAlivesPerTimeout = 4
 
-// keepAliveEvent is a comment that readers of events skip.
+// keepAliveEvent is an event-stream comment, which readers of events skip.
 const keepAliveEvent = ": keep-alive\n\n"
 
 func newSink(w http.ResponseWriter, j *Job, timeout time.Duration) *sink {
-	return &sink{w: w, flush: http.NewResponseController(w), j: j, timeout: timeout}
+	return &sink{w: w, control: http.NewResponseController(w), j: j, timeout: timeout}
 }
 
-// keepAlive opens a forwarded stream at once and writes comments to it until the
-// returned function is called. A forwarding daemon can so tell a home that waits for
-// a target from one that is frozen or cut off: the latter shows as silence.
+// keepAlive starts a forwarded stream immediately and writes comments to it until the
+// returned function is called. The comments let the forwarding daemon distinguish a home
+// daemon that waits for a target from one that is frozen or partitioned and sends nothing.
 func (s *sink) keepAlive(interval time.Duration) (stop func()) {
-	if !s.j.hopped || s.j.kind != kindCompletion {
+	if !s.j.fromPeer || s.j.kind != kindCompletion {
 		return func() {}
 	}
-	s.head("text/event-stream")
-	s.raw(keepAliveEvent)
+	s.writeHeader("text/event-stream")
+	s.write(keepAliveEvent)
 	quit := make(chan struct{})
 	stopped := make(chan struct{})
 	go func() {
@@ -87,7 +87,7 @@
 			case <-quit:
 				return
 			case <-tick.C:
-				s.raw(keepAliveEvent)
+				s.write(keepAliveEvent)
 			}
 		}
 	}()
@@ -97,39 +97,40 @@
 	}
 }
 
-func (s *sink) streamed() bool { return s.j.completion.Stream || s.j.hopped }
+func (s *sink) streamed() bool { return s.j.completion.Stream || s.j.fromPeer }
 
-// restart prepares for another try: what was written is compared, not written again.
-func (s *sink) restart() { s.skip = 0 }
+// beginRetry prepares the sink for another attempt, whose text is compared with the text
+// already sent instead of being written again.
+func (s *sink) beginRetry() { s.attemptBytes = 0 }
 
-// text takes the next piece of the answer.
-func (s *sink) text(text string, version request.Version) error {
-	if s.firstAt.IsZero() {
-		s.firstAt = time.Now()
+// writeText writes the next piece of the answer.
+func (s *sink) writeText(text string, version request.Version) error {
+	if s.firstTextAt.IsZero() {
+		s.firstTextAt = time.Now()
 	}
-	fresh, err := s.fresh(text)
-	if err != nil || fresh == "" {
+	unsent, err := s.unsent(text)
+	if err != nil || unsent == "" {
 		return err
 	}
-	s.have.WriteString(fresh)
+	s.sentText.WriteString(unsent)
 	if !s.streamed() {
 		return nil
 	}
-	if s.j.hopped {
-		return s.event(engineapi.Frame{RequestID: s.j.id, Seq: s.nextSeq(), Text: fresh, Version: version})
+	if s.j.fromPeer {
+		return s.writeEvent(engineapi.Frame{RequestID: s.j.id, Seq: s.nextSeq(), Text: unsent, Version: version})
 	}
-	return s.event(s.chunk(fresh))
+	return s.writeEvent(s.chunk(unsent))
 }
 
-// fresh returns the part of text that the caller does not have yet. After a restart
-// the head of the new answer must equal what the caller already has.
-func (s *sink) fresh(text string) (string, error) {
-	have := s.have.String()[s.skip:]
-	n := min(len(have), len(text))
-	if have[:n] != text[:n] {
+// unsent returns the part of text that has not been sent to the caller. After beginRetry,
+// the new answer must begin with the text that was already sent.
+func (s *sink) unsent(text string) (string, error) {
+	sentText := s.sentText.String()[s.attemptBytes:]
+	n := min(len(sentText), len(text))
+	if sentText[:n] != text[:n] {
 		return "", errDiverged
 	}
-	s.skip += len(text)
+	s.attemptBytes += len(text)
 	return text[n:], nil
 }
 
@@ -147,29 +148,29 @@
 	}
 }
 
-// done ends the answer.
-func (s *sink) done(u engineapi.Usage) {
+// finish completes the answer.
+func (s *sink) finish(u engineapi.Usage) {
 	switch {
-	case s.j.hopped:
-		_ = s.event(engineapi.Frame{RequestID: s.j.id, Seq: s.nextSeq(), Version: s.j.context.Scope.Version, Done: true, Usage: &u})
+	case s.j.fromPeer:
+		_ = s.writeEvent(engineapi.Frame{RequestID: s.j.id, Seq: s.nextSeq(), Version: s.j.context.Scope.Version, Done: true, Usage: &u})
 	case s.streamed():
-		_ = s.event(s.last("", u))
-		s.raw("data: [DONE]\n\n")
+		_ = s.writeEvent(s.lastChunk("", u))
+		s.write("data: [DONE]\n\n")
 	default:
-		s.head("application/json")
-		s.whole(s.last(s.have.String(), u))
+		s.writeHeader("application/json")
+		s.writeBody(s.lastChunk(s.sentText.String(), u))
 	}
 }
 
-func (s *sink) whole(answer completionChunk) {
+func (s *sink) writeBody(answer completionChunk) {
 	body, err := json.Marshal(answer)
 	if err != nil {
-		return // can not be: the types are plain
+		return // unreachable: these types always encode
 	}
 	writeBounded(s.w, append(body, '\n'), s.timeout)
 }
 
-func (s *sink) last(text string, u engineapi.Usage) completionChunk {
+func (s *sink) lastChunk(text string, u engineapi.Usage) completionChunk {
 	c := s.chunk(text)
 	c.Choices[0].FinishReason = "length"
 	c.Usage = &completionUsage{
@@ -180,45 +181,46 @@
 	return c
 }
 
-// fail ends an answer that has begun and can not be completed.
+// fail ends an answer that has been started and can not be completed.
 func (s *sink) fail(e *request.Error) {
-	if s.j.hopped {
-		_ = s.event(hopFailure{Error: detailOf(e), Status: e.Status})
+	if s.j.fromPeer {
+		_ = s.writeEvent(hopFailure{Error: detailOf(e), Status: e.Status})
 		return
 	}
-	_ = s.event(errorBody{Error: detailOf(e)})
+	_ = s.writeEvent(errorBody{Error: detailOf(e)})
 }
 
-func (s *sink) event(v any) error {
+func (s *sink) writeEvent(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return errors.Wrap(err, "gateway: encode event")
 	}
-	s.head("text/event-stream")
-	if !s.raw("data: " + string(data) + "\n\n") {
-		return errors.New("gateway: caller left")
+	s.writeHeader("text/event-stream")
+	if !s.write("data: " + string(data) + "\n\n") {
+		return errors.New("gateway: caller closed the connection")
 	}
 	return nil
 }
 
-func (s *sink) head(contentType string) {
-	if s.started {
+func (s *sink) writeHeader(contentType string) {
+	if s.headerWritten {
 		return
 	}
-	s.started = true
+	s.headerWritten = true
 	s.w.Header().Set("Content-Type", contentType)
 	s.w.Header().Set(HeaderRequestID, string(s.j.id))
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// raw writes at once. A caller that stops reading without closing its connection
-// would hold a credit and a target's stream for ever; the write deadline ends it.
-func (s *sink) raw(text string) (read bool) {
+// write writes and flushes text under a write deadline. Without the deadline, a caller
+// that stops reading but keeps its connection open would hold a credit and a target's
+// stream indefinitely.
+func (s *sink) write(text string) (ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = s.flush.SetWriteDeadline(time.Now().Add(s.timeout))
+	_ = s.control.SetWriteDeadline(time.Now().Add(s.timeout))
 	if _, err := s.w.Write([]byte(text)); err != nil {
 		return false
 	}
-	return s.flush.Flush() == nil
+	return s.control.Flush() == nil
 }
--- a/internal/gateway/sink_test.go
+++ b/internal/gateway/sink_test.go
@@ -17,20 +17,20 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-func newTestSink(stream, hopped bool) (*sink, *httptest.ResponseRecorder) {
+func newTestSink(stream, fromPeer bool) (*sink, *httptest.ResponseRecorder) {
 	w := httptest.NewRecorder()
-	j := &Job{id: "r1", hopped: hopped, completion: completionBody{Stream: stream}}
+	j := &Job{id: "r1", fromPeer: fromPeer, completion: completionBody{Stream: stream}}
 	return newSink(w, j, time.Second), w
 }
 
-// A target dies in the middle of an answer and another one starts it anew. A sink
-// that simply wrote on would give the caller the head twice, or the head of one answer
-// and the tail of another if the second target words it differently.
-func TestSecondTryContinuesWhatTheCallerHas(t *testing.T) {
+// A target dies in the middle of an answer, and another target starts the answer again. If
+// the sink wrote all text of the second attempt, the caller would receive the beginning
+// twice, or a mixture of two answers if the second target produces a different text.
+func TestRetryContinuesPartialAnswer(t *testing.T) {
 	out, w := newTestSink(true, false)
 	write := func(texts ...string) error {
 		for _, text := range texts {
-			if err := out.text(text, "v1"); err != nil {
+			if err := out.writeText(text, "v1"); err != nil {
 				return err
 			}
 		}
@@ -39,17 +39,17 @@
 	if err := write("one ", "two "); err != nil {
 		t.Fatal(err)
 	}
-	out.restart()
+	out.beginRetry()
 	if err := write("one two th", "ree "); err != nil {
 		t.Fatal(err)
 	}
-	out.done(engineapi.Usage{OutputTokens: 3})
+	out.finish(engineapi.Usage{OutputTokens: 3})
 	if got := streamedText(t, w.Body.String()); got != "one two three " {
 		t.Fatalf("the caller got %q", got)
 	}
-	out.restart()
+	out.beginRetry()
 	if err := write("one too "); !errors.Is(err, errDiverged) {
-		t.Fatalf("another text gave %v, want errDiverged", err)
+		t.Fatalf("different text returned %v, want errDiverged", err)
 	}
 }
 
@@ -70,13 +70,14 @@
 	return text.String()
 }
 
-// The first try reaches a target and is cut; the second is refused for want of room.
-// Passing on that refusal's "not run" would tell the caller something untrue.
-func TestRefusalOfALaterTryDoesNotClaimNotRun(t *testing.T) {
+// The first attempt reaches a target and is interrupted. The second is refused for lack of
+// capacity. Reporting "not run" from that refusal would be wrong, since the first attempt
+// may have run.
+func TestRefusedRetryDoesNotReportNotRun(t *testing.T) {
 	g := &Gateway{stats: newStats(tally.NoopScope), log: hclog.NewNullLogger()}
 	out, w := newTestSink(false, false)
-	out.j.noteRan(request.InDoubt)
-	out.j.noteRan(request.NotRun)
+	out.j.recordOutcome(request.InDoubt)
+	out.j.recordOutcome(request.NotRun)
 	g.fail(out, request.Refuse(request.CodeOverloaded, http.StatusServiceUnavailable, time.Second, "no room"))
 	var body errorBody
 	if err := json.Unmarshal(w.Body.Bytes(), &body); err != nil {
@@ -87,9 +88,9 @@
 	}
 }
 
-// A peer relays frames of another request, or leaves one out. Taken as they come, the
-// caller would get a foreign or a shorter answer that looks whole.
-func TestHopTakesOnlyTheNextFrameOfItsRequest(t *testing.T) {
+// A peer relays frames of another request, or omits a frame. If the frames were accepted,
+// the caller would receive a wrong or shortened answer that appears complete.
+func TestHopAcceptsOnlyNextFrameOfItsRequest(t *testing.T) {
 	frames := func(list ...engineapi.Frame) string {
 		var b strings.Builder
 		for _, f := range list {
@@ -102,20 +103,20 @@
 	last := engineapi.Frame{RequestID: "r1", Seq: 1, Done: true, Usage: &engineapi.Usage{OutputTokens: 1}}
 	cases := []struct {
 		name, body string
-		whole      bool
+		complete   bool
 	}{
-		{"whole", frames(first, last), true},
-		{"foreign", frames(engineapi.Frame{RequestID: "r2", Seq: 0, Text: "b"}, last), false},
-		{"hole", frames(last), false},
-		{"cut", frames(first), false},
+		{"complete", frames(first, last), true},
+		{"other request", frames(engineapi.Frame{RequestID: "r2", Seq: 0, Text: "b"}, last), false},
+		{"missing frame", frames(last), false},
+		{"truncated", frames(first), false},
 		{"no usage", frames(first, engineapi.Frame{RequestID: "r1", Seq: 1, Done: true}), false},
 		{"failure", frames(first) + `data: {"error":{"code":"truncated_stream","ran":"ran"},"status":502}` + "\n\n", false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			out, _ := newTestSink(false, false)
-			err := pumpHop(context.Background(), out, out.j, newHopStream(strings.NewReader(c.body), func() {}))
-			if (err == nil) != c.whole {
+			err := relayHopFrames(context.Background(), out, out.j, newHopStream(strings.NewReader(c.body), func() {}))
+			if (err == nil) != c.complete {
 				t.Fatalf("got %v", err)
 			}
 		})
@@ -128,7 +129,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		frame, err := decodeHopEvent(data)
 		if err == nil && frame.Done && frame.Usage == nil {
-			t.Fatal("a last frame without usage was taken")
+			t.Fatal("accepted a last frame without usage")
 		}
 	})
 }
@@ -139,7 +140,7 @@
 		j := &Job{body: data}
 		refusal := parseCompletion(j)
 		if refusal == nil && (j.completion.Model == "" || j.completion.Prompt == "" || j.completion.maxTokens() < 1) {
-			t.Fatalf("taken: %+v", j.completion)
+			t.Fatalf("accepted an invalid body: %+v", j.completion)
 		}
 		if refusal != nil && (refusal.Ran != request.NotRun || refusal.Field == "") {
 			t.Fatalf("refusal without a field: %+v", refusal)
@@ -147,12 +148,12 @@
 	})
 }
 
-// A caller names its request after another organisation's, as if a peer had forwarded
-// it. Taken at its word, its target would know two requests by one name, and one
-// caller could resume or cancel the other's stream.
-func TestCallerCanNotPoseAsAPeer(t *testing.T) {
+// A caller sends the id of another organisation's request, as if a peer had forwarded it.
+// If the id were accepted, a target would have two requests with one id, and one caller
+// could resume or cancel the other's stream.
+func TestCallerCannotImpersonatePeer(t *testing.T) {
 	g := &Gateway{opts: Options{DefaultDeadline: time.Second}}
-	var hopped *Job
+	var forwarded *Job
 	for _, peer := range []bool{false, true} {
 		r := httptest.NewRequest(http.MethodPost, pathCompletions, nil)
 		r.Header.Set(HeaderRequestID, "victim")
@@ -161,15 +162,15 @@
 			r = r.WithContext(context.WithValue(r.Context(), hopKey{}, true))
 		}
 		j := newJob(r, kindCompletion, nil)
-		if refusal := g.bound(r, j); refusal != nil {
+		if refusal := g.initJob(r, j); refusal != nil {
 			t.Fatal(refusal)
 		}
-		if !peer && (j.hopped || j.id == "victim") {
-			t.Fatalf("a caller's request is %q, hopped %v", j.id, j.hopped)
+		if !peer && (j.fromPeer || j.id == "victim") {
+			t.Fatalf("caller's request has id %q, fromPeer %v", j.id, j.fromPeer)
 		}
-		hopped = j
+		forwarded = j
 	}
-	if !hopped.hopped || hopped.id != "victim" {
-		t.Fatalf("a peer's request is %q, hopped %v", hopped.id, hopped.hopped)
+	if !forwarded.fromPeer || forwarded.id != "victim" {
+		t.Fatalf("peer's request has id %q, fromPeer %v", forwarded.id, forwarded.fromPeer)
 	}
 }
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// stats are the gateway's metrics.
+// stats holds the gateway's metrics.
 type stats struct {
 	scope      tally.Scope
 	accepted   tally.Counter
