--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -130,7 +130,7 @@
 func (m fakeMembers) Place(string) *peer.Member                         { return m.home }
 func (m fakeMembers) Rank(string, int) []*peer.Member                   { return []*peer.Member{m.self} }
 func (e *testEnv) Partition(request.OrgID, string) int                  { return 0 }
-func (e *testEnv) OnHolderRefused(int)                                  {}
+func (e *testEnv) ReportNotHolder(int)                                  {}
 func (e *testEnv) Done(request.OrgID, int64)                            { e.release("slice") }
 func (e *testEnv) Release(Grant, Release)                               { e.release("grant") }
 func (e *testEnv) End(request.ID)                                       { e.release("flight") }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -61,8 +61,8 @@
 type Journal interface {
 	Partition(org request.OrgID, key string) int
 	Holder(ctx context.Context, partition int) (journal.Holder, error)
-	// OnHolderRefused reports that the daemon returned by Holder refused a call.
-	OnHolderRefused(partition int)
+	// ReportNotHolder reports that the daemon returned by Holder refused a call.
+	ReportNotHolder(partition int)
 	Begin(ctx context.Context, call journal.Call) (*journal.Ticket, *journal.Result, error)
 	Finish(ctx context.Context, t *journal.Ticket, r journal.Result) error
 	Abort(ctx context.Context, t *journal.Ticket) error
--- a/internal/gateway/hop.go
+++ b/internal/gateway/hop.go
@@ -277,7 +277,7 @@
 		return
 	}
 	if isRefusalWithCode(request.CodeNotHolder, answer.StatusCode, body) {
-		g.opts.Journal.OnHolderRefused(j.partition)
+		g.opts.Journal.ReportNotHolder(j.partition)
 	}
 	for _, name := range []string{"Content-Type", "Retry-After", headerReplayed} {
 		if v := answer.Header.Get(name); v != "" {
--- a/internal/journal/standby.go
+++ b/internal/journal/standby.go
@@ -47,10 +47,10 @@
 	return j.opts.Standby.Likely(w.index)
 }
 
-// OnHolderRefused is told that the daemon named by Holder does not hold the partition. A
+// ReportNotHolder is told that the daemon named by Holder does not hold the partition. A
 // daemon that should hold it but does not reach the service stays the likely one, while
 // another has taken its place.
-func (j *Journal) OnHolderRefused(partition int) {
+func (j *Journal) ReportNotHolder(partition int) {
 	w := j.workers[partition]
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/journal/standby_test.go
+++ b/internal/journal/standby_test.go
@@ -49,7 +49,7 @@
 	if h, err := standby.Holder(ctx, 1); err != nil || h.ID != "cut-off" {
 		t.Fatalf("likely holder: %+v, %v", h, err)
 	}
-	standby.OnHolderRefused(1)
+	standby.ReportNotHolder(1)
 	if h, err := standby.Holder(ctx, 1); err != nil || h.ID != "holder" {
 		t.Fatalf("after a refused call: %+v, %v", h, err)
 	}
