--- a/internal/coordinator/acquire.go
+++ b/internal/coordinator/acquire.go
@@ -30,8 +30,8 @@
 // maxQueueMoves is how many times a request follows a queue that moves to another daemon.
 const maxQueueMoves = 2
 
-// Acquire implements gateway.Stewards.
-func (s *Service) Acquire(ctx context.Context, req gateway.Ask) (gateway.Grant, *request.Error) {
+// Acquire implements gateway.Coordinators.
+func (s *Service) Acquire(ctx context.Context, req gateway.AcquireRequest) (gateway.Grant, *request.Error) {
 	grant, refusal := s.acquireOnce(ctx, req)
 	for range maxQueueMoves {
 		if refusal == nil || refusal.Code != request.CodeNotHolder {
@@ -45,7 +45,7 @@
 // acquireOnce requests a grant from the current coordinator. If the coordinator is
 // unreachable, this daemon decides instead, which is safe because the queue is a hashed
 // assignment.
-func (s *Service) acquireOnce(ctx context.Context, req gateway.Ask) (gateway.Grant, *request.Error) {
+func (s *Service) acquireOnce(ctx context.Context, req gateway.AcquireRequest) (gateway.Grant, *request.Error) {
 	m := s.coordinatorOf(req.Target)
 	if s.isSelf(m) {
 		return s.acquireFromSelf(ctx, req)
@@ -64,7 +64,7 @@
 	return s.acquireFromSelf(ctx, req)
 }
 
-func (s *Service) acquireFromSelf(ctx context.Context, req gateway.Ask) (gateway.Grant, *request.Error) {
+func (s *Service) acquireFromSelf(ctx context.Context, req gateway.AcquireRequest) (gateway.Grant, *request.Error) {
 	self := s.opts.Members.Self()
 	grant, refusal := s.acquireLocal(ctx, req, self.Id)
 	if refusal == nil {
@@ -81,7 +81,7 @@
 // uses short long-poll calls, since a single long call over a connection that has stopped
 // delivering data would block the request until its deadline. Repeating the call is
 // idempotent: the coordinator identifies it by its request id.
-func (s *Service) acquireFromPeer(ctx context.Context, m *peer.Member, req gateway.Ask) (gateway.Grant, *request.Error, error) {
+func (s *Service) acquireFromPeer(ctx context.Context, m *peer.Member, req gateway.AcquireRequest) (gateway.Grant, *request.Error, error) {
 	silent := 0
 	for {
 		resp, err := s.longPollAcquire(ctx, m, req)
@@ -111,7 +111,7 @@
 // cancelAtPeer removes a request from a peer's queue. Between two long-poll calls the peer
 // can not detect that the caller has disconnected: it would grant the request later, and
 // the grant would occupy a slot until it expires.
-func (s *Service) cancelAtPeer(m *peer.Member, req gateway.Ask) {
+func (s *Service) cancelAtPeer(m *peer.Member, req gateway.AcquireRequest) {
 	s.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
@@ -124,7 +124,7 @@
 	})
 }
 
-func (s *Service) longPollAcquire(ctx context.Context, m *peer.Member, req gateway.Ask) (*peer.AcquireResponse, error) {
+func (s *Service) longPollAcquire(ctx context.Context, m *peer.Member, req gateway.AcquireRequest) (*peer.AcquireResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, longPollDuration+longPollMargin)
 	defer cancel()
 	resp, err := s.opts.Peers.Steward(m).Acquire(ctx, &peer.AcquireRequest{
@@ -150,14 +150,14 @@
 
 // acquireLocal enters a request into the queue of this daemon's actor and waits for the
 // outcome.
-func (s *Service) acquireLocal(ctx context.Context, req gateway.Ask, from string) (gateway.Grant, *request.Error) {
+func (s *Service) acquireLocal(ctx context.Context, req gateway.AcquireRequest, from string) (gateway.Grant, *request.Error) {
 	grant, refusal, _ := s.acquireLocalUntil(ctx, req, from, nil)
 	return grant, refusal
 }
 
 // acquireLocalUntil is like acquireLocal, but returns with waiting set when pollEnd fires.
 func (s *Service) acquireLocalUntil(
-	ctx context.Context, req gateway.Ask, from string, pollEnd <-chan time.Time,
+	ctx context.Context, req gateway.AcquireRequest, from string, pollEnd <-chan time.Time,
 ) (g gateway.Grant, refusal *request.Error, waiting bool) {
 	row, ok := s.opts.Tables.Current().Target(req.Target)
 	if !ok {
@@ -188,7 +188,7 @@
 	return 1
 }
 
-func (s *Service) admissionRequest(req gateway.Ask, from string) admission.Request {
+func (s *Service) admissionRequest(req gateway.AcquireRequest, from string) admission.Request {
 	return admission.Request{
 		ID:       req.Request,
 		From:     request.DaemonID(from),
@@ -213,7 +213,7 @@
 	}
 }
 
-// Release implements gateway.Stewards. It does not wait for a peer.
+// Release implements gateway.Coordinators. It does not wait for a peer.
 //
 // It releases the grant at the coordinator that issued it, not at the current one. While
 // membership still lists a dead daemon as the coordinator, this daemon decides instead.
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -74,8 +74,8 @@
 	return s
 }
 
-func grantRequest(id request.ID) gateway.Ask {
-	return gateway.Ask{Request: id, Target: "engine-1", Org: "atlas", Tokens: 10, Deadline: time.Now().Add(time.Minute)}
+func grantRequest(id request.ID) gateway.AcquireRequest {
+	return gateway.AcquireRequest{Request: id, Target: "engine-1", Org: "atlas", Tokens: 10, Deadline: time.Now().Add(time.Minute)}
 }
 
 // Guards against callers that wait up to 15 s for a first token after a daemon is killed.
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -28,7 +28,7 @@
 	}
 	leg := time.NewTimer(longPollDuration)
 	defer leg.Stop()
-	grant, refusal, waiting := s.service.acquireLocalUntil(ctx, gateway.Ask{
+	grant, refusal, waiting := s.service.acquireLocalUntil(ctx, gateway.AcquireRequest{
 		Request:  request.ID(r.RequestId),
 		Target:   request.TargetID(r.Target),
 		Org:      request.OrgID(r.Organisation),
--- a/internal/coordinator/views.go
+++ b/internal/coordinator/views.go
@@ -168,9 +168,9 @@
 	return ok && v.granted == 0 && v.waiting == 0
 }
 
-// Calls implements gateway.Stewards. It returns the available instances of a service, the
+// RankInstances implements gateway.Coordinators. It returns the available instances of a service, the
 // least loaded first.
-func (s *Service) Calls(ctx context.Context, service string, exclude map[request.TargetID]bool) []table.Target {
+func (s *Service) RankInstances(ctx context.Context, service string, exclude map[request.TargetID]bool) []table.Target {
 	var rows []table.Target
 	var ids []request.TargetID
 	for _, t := range s.opts.Tables.Current().Services(service) {
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -51,7 +51,7 @@
 func (v memberView) Live() []*peer.Member    { return *v.live.Load() }
 func (v memberView) Members() []*peer.Member { return v.members }
 
-// Place returns the coordinator. If the daemons are independent, each is its own coordinator.
+// Owner returns the coordinator. If the daemons are independent, each is its own coordinator.
 func (v memberView) Owner(string) *peer.Member {
 	if v.independent.Load() {
 		return v.members[v.self]
--- a/internal/planner/env_test.go
+++ b/internal/planner/env_test.go
@@ -196,7 +196,7 @@
 	env.t.Helper()
 	c := contextOf(testOrg, prompt)
 	env.compute(c, prompt)
-	p.recordAnswer(c, gateway.Answered{Target: "engine-1", PromptTokens: c.Tokens, FirstToken: time.Second})
+	p.recordAnswer(c, gateway.CompletionStats{Target: "engine-1", PromptTokens: c.Tokens, FirstToken: time.Second})
 	env.check(p.export(env.ctx, c, "engine-1"))
 	return c
 }
@@ -222,7 +222,7 @@
 	before := env.engines[1].Stats().ImportedBlocks
 	if choice := env.planImport(p, c); choice != nil {
 		choice.Import.Deadline = testTimeout
-		p.Bring(env.ctx, c, *choice)
+		p.RunImport(env.ctx, c, *choice)
 	}
 	return int(env.engines[1].Stats().ImportedBlocks - before)
 }
--- a/internal/planner/import.go
+++ b/internal/planner/import.go
@@ -34,11 +34,11 @@
 	return to - (o.ImportBlocks - o.ReuseBlocks), to
 }
 
-// Bring implements gateway.Contexts. It waits for the import until choice.Import.Deadline,
+// RunImport implements gateway.Contexts. It waits for the import until choice.Import.Deadline,
 // beyond which waiting costs more than prefilling; the target prefills the blocks that have
 // not arrived by then. If the target is to compute the blocks before the imported ones,
-// Bring returns immediately.
-func (p *Planner) Bring(ctx context.Context, c gateway.Context, choice gateway.Choice) {
+// RunImport returns immediately.
+func (p *Planner) RunImport(ctx context.Context, c gateway.Context, choice gateway.Choice) {
 	if choice.Import.From == 0 {
 		p.runImport(ctx, c, choice)
 		return
--- a/internal/planner/import_test.go
+++ b/internal/planner/import_test.go
@@ -65,7 +65,7 @@
 		"organisation": contextOf("temper", text("context", 10)),
 		"context":      contextOf(testOrg, text("other", 10)),
 	} {
-		p.Bring(env.ctx, c, *choice)
+		p.RunImport(env.ctx, c, *choice)
 		if s := env.engines[1].Stats(); s.ImportedBlocks != 0 {
 			t.Fatalf("another %s received %d blocks", name, s.ImportedBlocks)
 		}
@@ -120,7 +120,7 @@
 			choice.Import.Deadline = tc.deadline
 			tc.injectFault(env, c, p)
 
-			p.Bring(env.ctx, c, *choice)
+			p.RunImport(env.ctx, c, *choice)
 			if env.ctx.Err() != nil {
 				t.Fatal("the caller waited until the test timed out")
 			}
@@ -149,7 +149,7 @@
 	choice := env.planImport(p, c)
 	choice.Target.Address = full.Listener.Addr().String()
 	choice.Import.Deadline = testTimeout
-	p.Bring(env.ctx, c, *choice)
+	p.RunImport(env.ctx, c, *choice)
 	if copies := p.locate(c).Copies; len(copies) != 1 {
 		t.Fatal("the directory dropped the copy")
 	}
@@ -212,13 +212,13 @@
 	choice := env.planImport(p, c)
 	choice.Import.From = 7
 	choice.Import.Deadline = testTimeout
-	p.Bring(env.ctx, c, *choice)
+	p.RunImport(env.ctx, c, *choice)
 	env.await("the last blocks", func() bool { return env.engines[1].Stats().ImportedBlocks == 9 })
 
 	frozen := true
 	env.switches.Apply(fault.Command{Freeze: &frozen})
 	began := time.Now()
-	p.Bring(env.ctx, c, *choice)
+	p.RunImport(env.ctx, c, *choice)
 	if time.Since(began) > testTimeout/2 {
 		t.Fatal("the caller waited for an unresponsive store")
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -371,12 +371,12 @@
 	return nil
 }
 
-// Learn implements gateway.Contexts.
-func (p *Planner) Learn(c gateway.Context, a gateway.Answered) {
+// OnAnswer implements gateway.Contexts.
+func (p *Planner) OnAnswer(c gateway.Context, a gateway.CompletionStats) {
 	p.exportInBackground(c, a.Target, p.recordAnswer(c, a))
 }
 
-func (p *Planner) recordAnswer(c gateway.Context, a gateway.Answered) []contextdir.Action {
+func (p *Planner) recordAnswer(c gateway.Context, a gateway.CompletionStats) []contextdir.Action {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
