--- a/cmd/benchreturns/cluster.go
+++ b/cmd/benchreturns/cluster.go
@@ -135,7 +135,7 @@
 		return table.File{Name: name + ".csv", Data: []byte(header + "\n" + rows)}
 	}
 	client := platform.NewClient(platform.Options{Addresses: []string{c.kv}, ClientID: "bench"})
-	editor := table.NewEditor(table.EditorOptions{KV: client, Who: "bench"})
+	editor := table.NewEditor(table.EditorOptions{KV: client, Operator: "bench"})
 	plan, err := editor.Plan(ctx, []table.File{
 		sheet("organisations", "id,key_sha256,weight,requests_per_second,burst,concurrency,tokens_per_second,models,services", organisation),
 		sheet("models", "id,default_version,bytes_per_token,load_cap", fmt.Sprintf("%s,v1,%d,2\n", model, bytesPerToken)),
--- a/cmd/schedules/table.go
+++ b/cmd/schedules/table.go
@@ -16,7 +16,7 @@
 		Lost:     o.Lost,
 		Calls:    o.Edits,
 		Faults:   o.Faults,
-		Story:    o.Story,
+		Story:    o.Events,
 	}
 }
 
--- a/internal/controlbench/cluster.go
+++ b/internal/controlbench/cluster.go
@@ -92,7 +92,7 @@
 	if c.vmList, err = c.start(ctx, "vmlist", "standin", "vmlist"); err != nil {
 		return err
 	}
-	c.editor = table.NewEditor(table.EditorOptions{Who: "bench", KV: platform.NewClient(platform.Options{
+	c.editor = table.NewEditor(table.EditorOptions{Operator: "bench", KV: platform.NewClient(platform.Options{
 		Addresses:       c.kv.addresses[:1],
 		ClientID:        "bench",
 		Timeout:         10 * time.Second,
@@ -127,7 +127,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
-	if _, err := c.editor.Wait(ctx, c.peers(), c.client); err != nil {
+	if _, err := c.editor.WaitUntilApplied(ctx, c.peers(), c.client); err != nil {
 		return errors.Wrap(err, "table")
 	}
 	return waitFor(ctx, inForceTimeout, func() bool {
--- a/internal/ctl/rowcmd.go
+++ b/internal/ctl/rowcmd.go
@@ -75,7 +75,7 @@
 			if err != nil {
 				return err
 			}
-			result, err := e.Set(ctx, table.SetRequest{Sheet: sheet, ID: id, Seen: c.Uint64(flagRevision), Cells: cells})
+			result, err := e.Set(ctx, table.SetRequest{Sheet: sheet, ID: id, SeenRevision: c.Uint64(flagRevision), Cells: cells})
 			if err != nil {
 				return err
 			}
@@ -138,7 +138,7 @@
 func historyGrid(history []table.Edit) grid {
 	g := grid{header: []string{"REVISION", "WHEN", "WHO", "CHANGE", "COLUMN", "OLD", "NEW"}}
 	for _, edit := range history {
-		head := []string{strconv.FormatUint(edit.Revision, 10), edit.When.Format(time.RFC3339), edit.Who, string(edit.Kind)}
+		head := []string{strconv.FormatUint(edit.Revision, 10), edit.Time.Format(time.RFC3339), edit.Operator, string(edit.Kind)}
 		if len(edit.Cells) == 0 {
 			g.rows = append(g.rows, append(head, "", "", ""))
 		}
--- a/internal/ctl/tablecmd.go
+++ b/internal/ctl/tablecmd.go
@@ -52,7 +52,7 @@
 	if who == "" {
 		who = t.deps.Operator
 	}
-	return table.NewEditor(table.EditorOptions{KV: t.deps.NewKV(addresses), Who: who}), nil
+	return table.NewEditor(table.EditorOptions{KV: t.deps.NewKV(addresses), Operator: who}), nil
 }
 
 // editorAction runs a command with an editor and the command's timeout.
@@ -243,10 +243,10 @@
 		}
 		addresses = live
 	}
-	states, waitErr := e.Wait(ctx, addresses, t.deps.Client)
+	states, waitErr := e.WaitUntilApplied(ctx, addresses, t.deps.Client)
 	g := grid{header: []string{"DAEMON", "IN_FORCE", "REVISION", "ERROR"}}
 	for _, s := range states {
-		row := []string{s.Address, strconv.FormatBool(s.InForce), strconv.FormatUint(s.State.Revision, 10), quote(s.Err)}
+		row := []string{s.Address, strconv.FormatBool(s.Applied), strconv.FormatUint(s.State.Revision, 10), quote(s.Err)}
 		g.rows = append(g.rows, row)
 	}
 	if err := t.print(c, states, g); err != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -125,7 +125,7 @@
 // set edits one cell as an operator does.
 func (c *cluster) set(sheet table.Sheet, id, column, value string) {
 	c.t.Helper()
-	editor := table.NewEditor(table.EditorOptions{KV: c.client(), Who: "operator"})
+	editor := table.NewEditor(table.EditorOptions{KV: c.client(), Operator: "operator"})
 	_, err := editor.Set(context.Background(), table.SetRequest{
 		Sheet: sheet, ID: id, Cells: []table.CellValue{{Column: column, Value: value}},
 	})
--- a/internal/daemon/quorum.go
+++ b/internal/daemon/quorum.go
@@ -46,12 +46,12 @@
 	live := len(d.members.Live())
 	d.quorumMu.Lock()
 	defer d.quorumMu.Unlock()
-	d.quorum.observe(now, live, d.table.Confirmed(now))
+	d.quorum.observe(now, live, d.table.ProofAge(now))
 }
 
 // tableStale tells whether this daemon must not start requests by its table any more.
 func (d *Daemon) tableStale() bool {
-	age := d.table.Confirmed(time.Now())
+	age := d.table.ProofAge(time.Now())
 	if age <= d.config.Table.StaleAfter {
 		return false
 	}
--- a/internal/gateway/identify.go
+++ b/internal/gateway/identify.go
@@ -95,7 +95,7 @@
 
 func (f *identify) service(j *Job) pipeline.Verdict {
 	sheet := f.g.opts.Tables.Current()
-	instances := sheet.Services(j.call.service)
+	instances := sheet.ServiceTargets(j.call.service)
 	if len(instances) == 0 {
 		return pipeline.Finish(request.Refuse(request.CodeUnknownService, http.StatusNotFound, 0, "no service %q", j.call.service))
 	}
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -10,11 +10,11 @@
 // Table is the daemon's copy of the operators' table; *table.Replica is one.
 type Table interface {
 	Digest() (hash uint64, pages []*peer.PageDigest)
-	Above(have []*peer.PageDigest) []*peer.Page
-	Lacks(theirs []*peer.PageDigest) bool
+	PagesNewerThan(have []*peer.PageDigest) []*peer.Page
+	IsBehind(theirs []*peer.PageDigest) bool
 	Merge(pages []*peer.Page) int
-	Confirmed(now time.Time) time.Duration
-	ConfirmFrom(sent time.Time, p table.PeerProof) bool
+	ProofAge(now time.Time) time.Duration
+	AdoptPeerProof(sent time.Time, p table.PeerProof) bool
 	Changed() <-chan struct{}
 }
 
@@ -99,7 +99,7 @@
 	if hash != r.TableHash && follow == nil {
 		response.Pages = pages
 	}
-	if age := n.table.Confirmed(now); age != table.NeverConfirmed {
+	if age := n.table.ProofAge(now); age != table.NeverConfirmed {
 		proof := &peer.PageDigest{Page: proofPage, Revision: uint64(age.Milliseconds()) + 1} // rounded up
 		response.Pages = append(response.Pages, proof)
 	}
@@ -108,7 +108,7 @@
 
 func (n *node) pullFrom(id string, pages []*peer.PageDigest) *pull {
 	e, known := n.core.entries.get(id)
-	if !known || !n.table.Lacks(pages) {
+	if !known || !n.table.IsBehind(pages) {
 		return nil
 	}
 	return &pull{from: peerOf(e), want: pages}
@@ -135,8 +135,8 @@
 		return follow
 	}
 	pages, proof := splitProof(r)
-	n.table.ConfirmFrom(sent, proof)
-	if n.table.Lacks(pages) {
+	n.table.AdoptPeerProof(sent, proof)
+	if n.table.IsBehind(pages) {
 		follow.pull = &pull{from: to, want: pages}
 	}
 	if len(asked.Pages) > 0 {
@@ -194,5 +194,5 @@
 	if n.table == nil {
 		return &peer.PagesResponse{}
 	}
-	return &peer.PagesResponse{Pages: n.table.Above(r.Have)}
+	return &peer.PagesResponse{Pages: n.table.PagesNewerThan(r.Have)}
 }
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -11,7 +11,7 @@
 // proofLimit is the age of a proof above which these daemons would take no new requests.
 const proofLimit = 500 * time.Millisecond
 
-func (d *daemon) fresh() bool { return d.replica.Confirmed(time.Now()) < proofLimit }
+func (d *daemon) fresh() bool { return d.replica.ProofAge(time.Now()) < proofLimit }
 
 func (d *daemon) loadCap() int {
 	m, ok := d.replica.Current().Model("verdict")
@@ -24,7 +24,7 @@
 // setLoadCap writes the model's row as an operator does.
 func (e *environment) setLoadCap(t *testing.T, loadCap int) {
 	t.Helper()
-	editor := table.NewEditor(table.EditorOptions{KV: e.service.Client("operator"), Who: "ana"})
+	editor := table.NewEditor(table.EditorOptions{KV: e.service.Client("operator"), Operator: "ana"})
 	data := fmt.Sprintf("id,default_version,bytes_per_token,load_cap\nverdict,v3,131072,%d\n", loadCap)
 	plan, err := editor.Plan(t.Context(), []table.File{{Name: "models.csv", Data: []byte(data)}})
 	if err != nil {
@@ -95,7 +95,7 @@
 	fleet[1].stop()
 	again := e.start(t, fleet[1].Self().Id, fleet[0].Self().PeerAddress)
 	eventually(t, "the row in force", func() bool { return again.loadCap() == 1 })
-	eventually(t, "a proof from a peer", func() bool { return again.replica.Confirmed(time.Now()) != table.NeverConfirmed })
+	eventually(t, "a proof from a peer", func() bool { return again.replica.ProofAge(time.Now()) != table.NeverConfirmed })
 	if again.fresh() {
 		t.Fatal("a restart made an old proof fresh")
 	}
@@ -113,8 +113,8 @@
 	const size = 5
 	e := newEnvironment()
 	fleet := e.startFleet(t, size)
-	e.timing.FirstRead = time.Hour // would read for itself on a busy machine
-	e.timing.ProofAge = time.Hour
+	e.timing.FirstReadDelay = time.Hour // would read for itself on a busy machine
+	e.timing.MaxProofAge = time.Hour
 	e.solo = time.Hour
 	for i, d := range fleet {
 		watching := d.Among("table", 2)
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -68,8 +68,8 @@
 		rates[f.size] = rate
 		calls := float64(s.reads-reads) / span.Seconds()
 		t.Logf("daemons=%d bytes_per_daemon_s=%.0f table_calls_s=%.2f oldest_proof=%v", f.size, rate, calls, oldest)
-		if oldest >= timing.ProofAge {
-			t.Errorf("%d daemons: a proof of %v in a healthy fleet, at most %v", f.size, oldest, timing.ProofAge)
+		if oldest >= timing.MaxProofAge {
+			t.Errorf("%d daemons: a proof of %v in a healthy fleet, at most %v", f.size, oldest, timing.MaxProofAge)
 		}
 		if rate > budget {
 			t.Errorf("%d daemons: %.0f bytes/s a daemon, at most %d", f.size, rate, budget)
@@ -84,7 +84,7 @@
 func (s *sim) oldestProof() time.Duration {
 	var oldest time.Duration
 	for _, n := range s.nodes {
-		oldest = max(oldest, n.replica.Confirmed(s.now))
+		oldest = max(oldest, n.replica.ProofAge(s.now))
 	}
 	return oldest
 }
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -169,7 +169,7 @@
 
 // pull asks for pages until nothing named is lacking or the peer has nothing more.
 func (s *Service) pull(ctx context.Context, p pull) {
-	for s.options.Replica.Lacks(p.want) {
+	for s.options.Replica.IsBehind(p.want) {
 		call, cancel := context.WithTimeout(ctx, s.options.PullTimeout)
 		response, err := s.peer(p.from.Address).Pages(call, s.node.pagesRequest())
 		cancel()
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -106,8 +106,8 @@
 
 // tableTiming makes a table's daemon look at once where it would take its time.
 var tableTiming = table.Timing{
-	WatchWait: 10 * time.Millisecond, Poll: time.Millisecond, FirstRead: 20 * time.Millisecond,
-	ProofAge: 100 * time.Millisecond, BackoffMin: time.Millisecond, BackoffMax: 5 * time.Millisecond,
+	WatchWait: 10 * time.Millisecond, PollInterval: time.Millisecond, FirstReadDelay: 20 * time.Millisecond,
+	MaxProofAge: 100 * time.Millisecond, BackoffMin: time.Millisecond, BackoffMax: 5 * time.Millisecond,
 }
 
 func (e *environment) start(t *testing.T, id string, seeds ...string) *daemon {
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -141,10 +141,10 @@
 // their proof is old.
 func (n *simNode) poll() {
 	watched := n.watching() && n.sim.now.Sub(n.readAt) >= timing.WatchWait
-	if watched || n.replica.Confirmed(n.sim.now) >= timing.ProofAge {
+	if watched || n.replica.ProofAge(n.sim.now) >= timing.MaxProofAge {
 		n.read()
 	}
-	n.after(timing.Poll, n.poll)
+	n.after(timing.PollInterval, n.poll)
 }
 
 func (n *simNode) read() {
@@ -176,7 +176,7 @@
 
 // edit writes a row of the table; the watches of the watchers that are up return.
 func (s *sim) edit(loadCap int) error {
-	editor := table.NewEditor(table.EditorOptions{KV: s.service.Client("operator"), Who: "ana"})
+	editor := table.NewEditor(table.EditorOptions{KV: s.service.Client("operator"), Operator: "ana"})
 	data := fmt.Sprintf("id,default_version,bytes_per_token,load_cap\nverdict,v3,131072,%d\n", loadCap)
 	plan, err := editor.Plan(context.Background(), []table.File{{Name: "models.csv", Data: []byte(data)}})
 	if err != nil {
@@ -276,7 +276,7 @@
 }
 
 func (n *simNode) pull(p *pull) {
-	if p == nil || !n.replica.Lacks(p.want) {
+	if p == nil || !n.replica.IsBehind(p.want) {
 		return
 	}
 	request := n.pagesRequest()
--- a/internal/steward/look.go
+++ b/internal/steward/look.go
@@ -172,7 +172,7 @@
 func (s *Service) Calls(ctx context.Context, service string, exclude map[request.TargetID]bool) []table.Target {
 	var rows []table.Target
 	var ids []request.TargetID
-	for _, t := range s.opts.Tables.Current().Services(service) {
+	for _, t := range s.opts.Tables.Current().ServiceTargets(service) {
 		if !exclude[t.ID] {
 			rows = append(rows, *t)
 			ids = append(ids, t.ID)
--- a/internal/table/apply.go
+++ b/internal/table/apply.go
@@ -187,16 +187,16 @@
 
 // SetRequest asks for new cells of one row.
 type SetRequest struct {
-	Sheet Sheet
-	ID    string
-	Seen  uint64 // the row's revision that the operator saw; 0: as it is now
-	Cells []CellValue
+	Sheet        Sheet
+	ID           string
+	SeenRevision uint64 // the row's revision that the operator saw; 0: as it is now
+	Cells        []CellValue
 }
 
 // Set changes cells of one row in force. It returns ErrNoRow, *CheckError for a wrong
 // value, or a conflict if the row is not at the revision seen.
 func (e *Editor) Set(ctx context.Context, r SetRequest) (ApplyResult, error) {
-	seen, err := e.seenRow(ctx, r.Sheet, r.ID, r.Seen)
+	seen, err := e.seenRow(ctx, r.Sheet, r.ID, r.SeenRevision)
 	if err != nil {
 		return ApplyResult{}, err
 	}
@@ -204,7 +204,7 @@
 	if err != nil {
 		return ApplyResult{}, err
 	}
-	change := Change{Kind: EditChange, Sheet: r.Sheet, ID: r.ID, Seen: seen.Revision, Before: seen.Cells, After: cells}
+	change := Change{Kind: EditChange, Sheet: r.Sheet, ID: r.ID, SeenRevision: seen.Revision, Before: seen.Cells, After: cells}
 	return e.Apply(ctx, &Plan{Changes: []Change{change}})
 }
 
@@ -214,7 +214,7 @@
 	if err != nil {
 		return ApplyResult{}, err
 	}
-	change := Change{Kind: EditRemove, Sheet: sheet, ID: id, Seen: row.Revision, Before: row.Cells}
+	change := Change{Kind: EditRemove, Sheet: sheet, ID: id, SeenRevision: row.Revision, Before: row.Cells}
 	return e.Apply(ctx, &Plan{Changes: []Change{change}})
 }
 
@@ -227,7 +227,7 @@
 	}
 	r := stored.page.get(id)
 	if r == nil || (r.Removed && seen == 0) {
-		return StoredRow{}, errors.Wrapf(ErrNoRow, "%s %s", sheet, id)
+		return StoredRow{}, errors.Wrapf(ErrRowNotFound, "%s %s", sheet, id)
 	}
 	if seen == 0 {
 		seen = r.Revision
--- a/internal/table/change.go
+++ b/internal/table/change.go
@@ -9,12 +9,12 @@
 
 // Change is one planned edit of a row, with the row as the operator saw it.
 type Change struct {
-	Kind   EditKind `json:"kind"`
-	Sheet  Sheet    `json:"sheet"`
-	ID     string   `json:"id"`
-	Seen   uint64   `json:"seen"`             // the row's revision that the operator saw; 0: it never existed
-	Before []string `json:"before,omitempty"` // cells that the operator saw
-	After  []string `json:"after,omitempty"`  // cells wanted
+	Kind         EditKind `json:"kind"`
+	Sheet        Sheet    `json:"sheet"`
+	ID           string   `json:"id"`
+	SeenRevision uint64   `json:"seen"`             // the row's revision that the operator saw; 0: it never existed
+	Before       []string `json:"before,omitempty"` // cells that the operator saw
+	After        []string `json:"after,omitempty"`  // cells wanted
 }
 
 // editStamp identifies the writer of edits.
@@ -81,22 +81,22 @@
 // ConflictError tells an operator that somebody else edited the row since it was read.
 // The edit was not written.
 type ConflictError struct {
-	Sheet   Sheet          `json:"sheet"`
-	ID      string         `json:"id"`
-	Seen    uint64         `json:"seen"`
-	Current uint64         `json:"current"`
-	Removed bool           `json:"removed"` // the row is gone
-	Who     string         `json:"who"`     // the last editor, if known
-	When    time.Time      `json:"when"`
-	Cells   []CellConflict `json:"cells"`
+	Sheet           Sheet          `json:"sheet"`
+	ID              string         `json:"id"`
+	SeenRevision    uint64         `json:"seen"`
+	CurrentRevision uint64         `json:"current"`
+	Removed         bool           `json:"removed"` // the row is gone
+	Operator        string         `json:"who"`     // the last editor, if known
+	Time            time.Time      `json:"when"`
+	Cells           []CellConflict `json:"cells"`
 }
 
 // Error implements the error interface.
 func (e *ConflictError) Error() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "table: conflict on %s %s: seen at revision %d, now at %d", e.Sheet, e.ID, e.Seen, e.Current)
-	if e.Who != "" {
-		fmt.Fprintf(&b, ", edited by %s at %s", e.Who, e.When.UTC().Format(time.RFC3339))
+	fmt.Fprintf(&b, "table: conflict on %s %s: seen at revision %d, now at %d", e.Sheet, e.ID, e.SeenRevision, e.CurrentRevision)
+	if e.Operator != "" {
+		fmt.Fprintf(&b, ", edited by %s at %s", e.Operator, e.Time.UTC().Format(time.RFC3339))
 	}
 	if e.Removed {
 		b.WriteString(", removed")
@@ -134,13 +134,13 @@
 	if now == nil {
 		now = &record{ID: c.ID, Removed: true}
 	}
-	if now.Revision == c.Seen {
+	if now.Revision == c.SeenRevision {
 		return nil
 	}
-	conflict := &ConflictError{Sheet: c.Sheet, ID: c.ID, Seen: c.Seen, Current: now.Revision, Removed: now.Removed}
+	conflict := &ConflictError{Sheet: c.Sheet, ID: c.ID, SeenRevision: c.SeenRevision, CurrentRevision: now.Revision, Removed: now.Removed}
 	if n := len(now.History); n > 0 {
-		conflict.Who = now.History[n-1].Who
-		conflict.When = now.History[n-1].When
+		conflict.Operator = now.History[n-1].Operator
+		conflict.Time = now.History[n-1].Time
 	}
 	for i, column := range Columns(c.Sheet) {
 		cell := CellConflict{Column: column, Seen: cellAt(c.Before, i), Mine: cellAt(c.After, i), Theirs: cellAt(now.Cells, i)}
--- a/internal/table/editor.go
+++ b/internal/table/editor.go
@@ -13,8 +13,8 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// ErrNoRow reports a row that is not in the table.
-var ErrNoRow = errors.New("table: no such row")
+// ErrRowNotFound reports a row that is not in the table.
+var ErrRowNotFound = errors.New("table: no such row")
 
 // ErrService reports that the key-value service failed; what was written before is
 // written, and a new plan shows what is left.
@@ -22,11 +22,11 @@
 
 // EditorOptions configures an Editor.
 type EditorOptions struct {
-	KV     platform.KV
-	Who    string           // the operator's name in histories
-	Now    func() time.Time // nil: time.Now
-	NewID  func() string    // identity of a write; nil: random
-	Logger hclog.Logger     // nil: no logs
+	KV       platform.KV
+	Operator string           // the operator's name in histories
+	Now      func() time.Time // nil: time.Now
+	NewID    func() string    // identity of a write; nil: random
+	Logger   hclog.Logger     // nil: no logs
 }
 
 // Editor reads and edits the table in the key-value service for one operator.
@@ -40,7 +40,7 @@
 
 // NewEditor returns an Editor.
 func NewEditor(o EditorOptions) *Editor {
-	e := &Editor{kv: o.KV, who: o.Who, now: o.Now, newID: o.NewID, log: o.Logger}
+	e := &Editor{kv: o.KV, who: o.Operator, now: o.Now, newID: o.NewID, log: o.Logger}
 	if e.now == nil {
 		e.now = time.Now
 	}
@@ -135,7 +135,7 @@
 	}
 	r := stored.page.get(id)
 	if r == nil || r.Removed {
-		return StoredRow{}, errors.Wrapf(ErrNoRow, "%s %s", sheet, id)
+		return StoredRow{}, errors.Wrapf(ErrRowNotFound, "%s %s", sheet, id)
 	}
 	return StoredRow{Row: Row{Sheet: sheet, ID: id, Cells: r.Cells}, Revision: r.Revision}, nil
 }
@@ -148,7 +148,7 @@
 	}
 	r := stored.page.get(id)
 	if r == nil {
-		return nil, errors.Wrapf(ErrNoRow, "%s %s", sheet, id)
+		return nil, errors.Wrapf(ErrRowNotFound, "%s %s", sheet, id)
 	}
 	return r.History, nil
 }
@@ -233,13 +233,13 @@
 		if exists && slices.Equal(old.Cells, row.Cells) {
 			continue
 		}
-		change.Seen = seenRevision(stored, sheet, row.ID)
+		change.SeenRevision = seenRevision(stored, sheet, row.ID)
 		changes = append(changes, change)
 	}
 	for _, row := range sortedValues(before) {
 		if _, kept := wanted[row.ID]; !kept {
 			seen := seenRevision(stored, sheet, row.ID)
-			changes = append(changes, Change{Kind: EditRemove, Sheet: sheet, ID: row.ID, Seen: seen, Before: row.Cells})
+			changes = append(changes, Change{Kind: EditRemove, Sheet: sheet, ID: row.ID, SeenRevision: seen, Before: row.Cells})
 		}
 	}
 	return changes
--- a/internal/table/editor_test.go
+++ b/internal/table/editor_test.go
@@ -28,7 +28,7 @@
 }
 
 func newTestEditor(kv platform.KV, who string) *Editor {
-	return NewEditor(EditorOptions{KV: kv, Who: who})
+	return NewEditor(EditorOptions{KV: kv, Operator: who})
 }
 
 // applySample writes sampleFiles.
@@ -89,7 +89,7 @@
 	if e, _ := s.Target("e2"); s.TargetVersion(e) != "v4" {
 		t.Fatalf("version of e2: %q", s.TargetVersion(e))
 	}
-	if len(s.Services("batch-cards")) != 1 || len(s.Stores()) != 1 {
+	if len(s.ServiceTargets("batch-cards")) != 1 || len(s.Stores()) != 1 {
 		t.Fatal("service or store missing")
 	}
 }
@@ -121,7 +121,7 @@
 		}
 		set := func(e *Editor, column, value string) error {
 			_, err := e.Set(t.Context(), SetRequest{
-				Sheet: SheetOrganisations, ID: "acme", Seen: seen.Revision, Cells: []CellValue{{column, value}},
+				Sheet: SheetOrganisations, ID: "acme", SeenRevision: seen.Revision, Cells: []CellValue{{column, value}},
 			})
 			return err
 		}
@@ -134,7 +134,7 @@
 			t.Fatalf("want a conflict, got %v", err)
 		}
 		want := CellConflict{Column: "weight", Seen: "10", Mine: "20", Theirs: "40"}
-		if len(conflict.Cells) != 1 || conflict.Cells[0] != want || conflict.Who != "ana" {
+		if len(conflict.Cells) != 1 || conflict.Cells[0] != want || conflict.Operator != "ana" {
 			t.Fatalf("conflict %+v", conflict)
 		}
 		if got := cellOf(t, ana, SheetOrganisations, "acme", "weight"); got != "40" {
--- a/internal/table/machine_test.go
+++ b/internal/table/machine_test.go
@@ -85,7 +85,7 @@
 // change makes an operator's wish a Change from what it saw.
 func (o *operator) change(id, weight string) (Change, bool) {
 	seen, existed := o.saw[id]
-	c := Change{Kind: EditChange, Sheet: SheetOrganisations, ID: id, Seen: seenRevision(o.plan, SheetOrganisations, id)}
+	c := Change{Kind: EditChange, Sheet: SheetOrganisations, ID: id, SeenRevision: seenRevision(o.plan, SheetOrganisations, id)}
 	if weight != "" {
 		c.After = machineCells(id, weight)
 	}
@@ -121,7 +121,7 @@
 				m.kv.LoseWrites(0)
 			},
 			"read":    func(t *rapid.T) { m.take(t, replica(t), nil) },
-			"gossip":  func(t *rapid.T) { m.take(t, replica(t), m.keep(m.replicas[replica(t)].Above(nil))) },
+			"gossip":  func(t *rapid.T) { m.take(t, replica(t), m.keep(m.replicas[replica(t)].PagesNewerThan(nil))) },
 			"restart": func(t *rapid.T) { m.replicas[replica(t)] = NewReplica(ReplicaOptions{KV: m.kv}) },
 			"late": func(t *rapid.T) {
 				if len(m.late) > 0 {
@@ -152,7 +152,7 @@
 	if err != nil && !wantConflict {
 		t.Fatal(err)
 	}
-	if wantConflict && conflict.Current == conflict.Seen {
+	if wantConflict && conflict.CurrentRevision == conflict.SeenRevision {
 		t.Fatalf("a conflict without a difference: %+v", conflict)
 	}
 }
@@ -168,7 +168,7 @@
 	} else {
 		r.Merge(pages)
 	}
-	if r.Lacks(before) {
+	if r.IsBehind(before) {
 		t.Fatal("a page went back to a lower revision")
 	}
 	if pages == nil {
--- a/internal/table/page.go
+++ b/internal/table/page.go
@@ -41,8 +41,8 @@
 	ID       string       `json:"id"` // identity of the write, the same for all rows of one apply
 	Kind     EditKind     `json:"kind"`
 	Revision uint64       `json:"revision"` // the row's revision after the edit
-	Who      string       `json:"who"`
-	When     time.Time    `json:"when"`
+	Operator string       `json:"who"`
+	Time     time.Time    `json:"when"`
 	Cells    []CellChange `json:"cells,omitempty"` // empty for an added row
 }
 
@@ -167,7 +167,7 @@
 	r.Revision = p.Edits
 	r.Removed = c.Kind == EditRemove
 	r.Cells = c.After
-	edit := Edit{ID: stamp.id, Kind: c.Kind, Revision: r.Revision, Who: stamp.who, When: stamp.when}
+	edit := Edit{ID: stamp.id, Kind: c.Kind, Revision: r.Revision, Operator: stamp.who, Time: stamp.when}
 	if c.Kind != EditAdd {
 		edit.Cells = c.Cells()
 	}
--- a/internal/table/replica.go
+++ b/internal/table/replica.go
@@ -132,9 +132,9 @@
 	return digest
 }
 
-// Above returns pages held here at a higher revision than in have. The answer is bounded
+// PagesNewerThan returns pages held here at a higher revision than in have. The answer is bounded
 // in bytes: a caller that took some merges them and asks again.
-func (r *Replica) Above(have []*peer.PageDigest) []*peer.Page {
+func (r *Replica) PagesNewerThan(have []*peer.PageDigest) []*peer.Page {
 	known := make(map[string]uint64, len(have))
 	for _, d := range have {
 		known[d.Page] = d.Revision
@@ -154,8 +154,8 @@
 	return pages
 }
 
-// Lacks tells whether a digest names a page at a higher revision than held here.
-func (r *Replica) Lacks(theirs []*peer.PageDigest) bool {
+// IsBehind tells whether a digest names a page at a higher revision than held here.
+func (r *Replica) IsBehind(theirs []*peer.PageDigest) bool {
 	held := r.current.Load().pages
 	for _, d := range theirs {
 		p, ok := held[d.Page]
@@ -166,10 +166,10 @@
 	return false
 }
 
-// Confirmed returns the age of the last proof that the table here was the service's, or
+// ProofAge returns the age of the last proof that the table here was the service's, or
 // NeverConfirmed. A daemon whose proof is older than its setting allows takes no new
 // requests: it may have missed an accepted edit.
-func (r *Replica) Confirmed(now time.Time) time.Duration {
+func (r *Replica) ProofAge(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.proof.IsZero() {
@@ -185,18 +185,18 @@
 	Pages []*peer.PageDigest // may be empty if the hashes agree
 }
 
-// ConfirmFrom takes a peer's proof from its answer to a question sent at sent. It holds
+// AdoptPeerProof takes a peer's proof from its answer to a question sent at sent. It holds
 // here only if this replica has everything that the peer has. The age counts from when
 // the question was sent, so a delay on the way makes the proof older, never younger; a
 // proof is not taken from a peer's question, whose time on the way is unknown.
-func (r *Replica) ConfirmFrom(sent time.Time, p PeerProof) bool {
+func (r *Replica) AdoptPeerProof(sent time.Time, p PeerProof) bool {
 	if p.Age == NeverConfirmed {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p.Hash != r.current.Load().hash {
-		if len(p.Pages) == 0 || r.Lacks(p.Pages) {
+		if len(p.Pages) == 0 || r.IsBehind(p.Pages) {
 			return false
 		}
 	}
--- a/internal/table/replica_test.go
+++ b/internal/table/replica_test.go
@@ -14,7 +14,7 @@
 
 // fastTiming makes Run look at once where a daemon would take its time.
 var fastTiming = Timing{
-	WatchWait: 20 * time.Millisecond, Poll: time.Millisecond, FirstRead: time.Millisecond,
+	WatchWait: 20 * time.Millisecond, PollInterval: time.Millisecond, FirstReadDelay: time.Millisecond,
 	BackoffMin: time.Millisecond, BackoffMax: 2 * time.Millisecond,
 }
 
@@ -76,14 +76,14 @@
 	restarted := NewReplica(ReplicaOptions{KV: kv, Now: clock})
 	learn := func(from *Replica) {
 		_, have := restarted.Digest()
-		restarted.Merge(from.Above(have))
+		restarted.Merge(from.PagesNewerThan(have))
 		hash, pages := from.Digest()
-		restarted.ConfirmFrom(now, PeerProof{Age: from.Confirmed(now), Hash: hash, Pages: pages})
+		restarted.AdoptPeerProof(now, PeerProof{Age: from.ProofAge(now), Hash: hash, Pages: pages})
 	}
 	naive := map[string][]byte{}
 	for _, from := range []*Replica{old, current, old} {
 		learn(from)
-		for _, p := range from.Above(nil) {
+		for _, p := range from.PagesNewerThan(nil) {
 			naive[p.Name] = p.Value // takes whatever it is told
 		}
 	}
@@ -94,14 +94,14 @@
 	if live, err := decodeLive(name, 1, naive[name]); err != nil || live.organisations["acme"].Weight == 77 {
 		t.Fatal("the naive copy did not revert; the story no longer shows the fault")
 	}
-	if age := restarted.Confirmed(now); age != 20*time.Second {
+	if age := restarted.ProofAge(now); age != 20*time.Second {
 		t.Fatalf("proof is %v old, want 20s", age)
 	}
-	if age := old.Confirmed(now); age != 30*time.Second {
+	if age := old.ProofAge(now); age != 30*time.Second {
 		t.Fatalf("the daemon that missed the edit counts its proof %v old, want 30s", age)
 	}
 	hash, pages := restarted.Digest()
-	if old.ConfirmFrom(now, PeerProof{Age: 0, Hash: hash, Pages: pages}) {
+	if old.AdoptPeerProof(now, PeerProof{Age: 0, Hash: hash, Pages: pages}) {
 		t.Fatal("a daemon that lacks a page took a proof")
 	}
 }
@@ -153,7 +153,7 @@
 	if _, ok := replica.Current().Organisation("acme"); !ok {
 		t.Fatal("acme is gone")
 	}
-	if age := replica.Confirmed(now); age != time.Minute {
+	if age := replica.ProofAge(now); age != time.Minute {
 		t.Fatalf("proof is %v old, want 1m", age)
 	}
 }
--- a/internal/table/run.go
+++ b/internal/table/run.go
@@ -19,14 +19,14 @@
 
 // Timing holds the periods of Run. Zero values stand for the defaults.
 type Timing struct {
-	WatchWait   time.Duration // longest wait of one watch; 2 s
-	CallTimeout time.Duration // on top of WatchWait; 3 s
-	Poll        time.Duration // how often a daemon looks whether it is a watcher; 250 ms
-	FirstRead   time.Duration // a daemon that peers told nothing reads for itself after this; 2 s
-	ProofAge    time.Duration // a daemon whose proof is older reads for itself; 8 s
-	Reread      time.Duration // every daemon reads for itself once in this time; 10 min
-	BackoffMin  time.Duration // first pause after a failed read; 200 ms
-	BackoffMax  time.Duration // longest pause after a failed read; 10 s
+	WatchWait      time.Duration // longest wait of one watch; 2 s
+	CallTimeout    time.Duration // on top of WatchWait; 3 s
+	PollInterval   time.Duration // how often a daemon looks whether it is a watcher; 250 ms
+	FirstReadDelay time.Duration // a daemon that peers told nothing reads for itself after this; 2 s
+	MaxProofAge    time.Duration // a daemon whose proof is older reads for itself; 8 s
+	RereadInterval time.Duration // every daemon reads for itself once in this time; 10 min
+	BackoffMin     time.Duration // first pause after a failed read; 200 ms
+	BackoffMax     time.Duration // longest pause after a failed read; 10 s
 }
 
 // DefaultTiming returns the periods that Run uses by default.
@@ -40,10 +40,10 @@
 	}
 	set(&t.WatchWait, 2*time.Second)
 	set(&t.CallTimeout, 3*time.Second)
-	set(&t.Poll, 250*time.Millisecond)
-	set(&t.FirstRead, 2*time.Second)
-	set(&t.ProofAge, 8*time.Second)
-	set(&t.Reread, 10*time.Minute)
+	set(&t.PollInterval, 250*time.Millisecond)
+	set(&t.FirstReadDelay, 2*time.Second)
+	set(&t.MaxProofAge, 8*time.Second)
+	set(&t.RereadInterval, 10*time.Minute)
 	set(&t.BackoffMin, 200*time.Millisecond)
 	set(&t.BackoffMax, 10*time.Second)
 	return t
@@ -87,7 +87,7 @@
 
 // setRereadJitter spreads the rare reads of a fleet that started at once.
 func (l *runLoop) setRereadJitter() {
-	l.reread = l.replica.timing.Reread + rand.N(l.replica.timing.Reread/2)
+	l.reread = l.replica.timing.RereadInterval + rand.N(l.replica.timing.RereadInterval/2)
 }
 
 // step does at most one call and returns how long to wait before the next step.
@@ -95,7 +95,7 @@
 	wait := l.replica.timing.WatchWait
 	if !watching {
 		if !l.due(l.replica.now()) {
-			return l.replica.timing.Poll
+			return l.replica.timing.PollInterval
 		}
 		wait = 0
 	}
@@ -110,16 +110,16 @@
 	if watching {
 		return 0
 	}
-	return l.replica.timing.Poll
+	return l.replica.timing.PollInterval
 }
 
 // due tells whether a daemon that is no watcher should read for itself.
 func (l *runLoop) due(now time.Time) bool {
-	age := l.replica.Confirmed(now)
+	age := l.replica.ProofAge(now)
 	if age == NeverConfirmed {
-		return now.Sub(l.started) >= l.replica.timing.FirstRead
+		return now.Sub(l.started) >= l.replica.timing.FirstReadDelay
 	}
-	return age >= l.replica.timing.ProofAge || now.Sub(l.lastRead) >= l.reread
+	return age >= l.replica.timing.MaxProofAge || now.Sub(l.lastRead) >= l.reread
 }
 
 // read takes what changed in the service. The proof dates from before the call: the
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -170,8 +170,8 @@
 // EnginesFor returns the engines of a model, ordered by id.
 func (s *Snapshot) EnginesFor(model request.Model) []*Target { return s.engines[model] }
 
-// Services returns the targets of a plain service, ordered by id.
-func (s *Snapshot) Services(name string) []*Target { return s.services[name] }
+// ServiceTargets returns the targets of a plain service, ordered by id.
+func (s *Snapshot) ServiceTargets(name string) []*Target { return s.services[name] }
 
 // Stores returns all store VMs, ordered by id.
 func (s *Snapshot) Stores() []*Store { return s.stores }
--- a/internal/table/state.go
+++ b/internal/table/state.go
@@ -37,7 +37,7 @@
 func (r *Replica) State(now time.Time) State {
 	s := r.Current()
 	state := State{Revision: s.revision, Hash: s.hash, Pages: []PageState{}}
-	if age := r.Confirmed(now); age != NeverConfirmed {
+	if age := r.ProofAge(now); age != NeverConfirmed {
 		state.Confirmed = true
 		state.ProofAgeMS = age.Milliseconds()
 	}
--- a/internal/table/tableschedule/operator.go
+++ b/internal/table/tableschedule/operator.go
@@ -22,12 +22,12 @@
 
 // NewEditorOperator returns an operator.
 func NewEditorOperator(service platform.KV, now func() time.Time, name string) Operator {
-	editor := table.NewEditor(table.EditorOptions{KV: service, Who: name, Now: now})
+	editor := table.NewEditor(table.EditorOptions{KV: service, Operator: name, Now: now})
 	return &EditorOperator{editor: editor, seen: make(map[string]uint64)}
 }
 
-// See implements Operator.
-func (o *EditorOperator) See(ctx context.Context, id string) error {
+// Read implements Operator.
+func (o *EditorOperator) Read(ctx context.Context, id string) error {
 	row, err := o.editor.Get(ctx, table.SheetOrganisations, id)
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 		return errNotSeen
 	}
 	_, err := o.editor.Set(ctx, table.SetRequest{
-		Sheet: table.SheetOrganisations, ID: id, Seen: seen,
+		Sheet: table.SheetOrganisations, ID: id, SeenRevision: seen,
 		Cells: []table.CellValue{{Column: column, Value: value}},
 	})
 	return err
--- a/internal/table/tableschedule/schedule.go
+++ b/internal/table/tableschedule/schedule.go
@@ -37,30 +37,30 @@
 
 // Outcome counts what a schedule did and found.
 type Outcome struct {
-	Edits    int      // accepted
-	Refused  int      // told "conflict"
-	Unclear  int      // ended in an error of the service
-	Faults   int      // answers lost, outages, restarts, late pages
-	Reverted int      // times a daemon had an older edit in force than it had or must have
-	Lost     int      // accepted edits that the service no longer holds at the end
-	Story    []string // what happened, if anything was reverted or lost
+	Edits     int      // accepted
+	Conflicts int      // told "conflict"
+	Uncertain int      // ended in an error of the service
+	Faults    int      // answers lost, outages, restarts, late pages
+	Reverted  int      // times a daemon had an older edit in force than it had or must have
+	Lost      int      // accepted edits that the service no longer holds at the end
+	Events    []string // what happened, if anything was reverted or lost
 }
 
 // Replica is what a schedule needs of a daemon's copy; *table.Replica is one.
 type Replica interface {
 	Read(ctx context.Context) error
 	Merge(pages []*peer.Page) int
-	Above(have []*peer.PageDigest) []*peer.Page
+	PagesNewerThan(have []*peer.PageDigest) []*peer.Page
 	Digest() (uint64, []*peer.PageDigest)
-	Confirmed(now time.Time) time.Duration
-	ConfirmFrom(sent time.Time, p table.PeerProof) bool
+	ProofAge(now time.Time) time.Duration
+	AdoptPeerProof(sent time.Time, p table.PeerProof) bool
 	Current() *table.Snapshot
 }
 
 // Operator is what a schedule needs of an operator; EditorOperator is one.
 type Operator interface {
-	// See reads a row, to edit it later.
-	See(ctx context.Context, id string) error
+	// Read reads a row, to edit it later.
+	Read(ctx context.Context, id string) error
 	// Set edits a cell of a row as it was when last seen.
 	Set(ctx context.Context, id, column, value string) error
 }
@@ -86,7 +86,7 @@
 	}
 	w.finish()
 	if w.outcome.Reverted == 0 && w.outcome.Lost == 0 {
-		w.outcome.Story = nil
+		w.outcome.Events = nil
 	}
 	return w.outcome
 }
@@ -161,7 +161,7 @@
 
 func (w *world) tell(format string, args ...any) {
 	at := w.now.Sub(time.Unix(1_000_000, 0))
-	w.outcome.Story = append(w.outcome.Story, fmt.Sprintf("%8v ", at)+fmt.Sprintf(format, args...))
+	w.outcome.Events = append(w.outcome.Events, fmt.Sprintf("%8v ", at)+fmt.Sprintf(format, args...))
 }
 
 func rowID(i int) string { return "org" + strconv.Itoa(i) }
@@ -172,7 +172,7 @@
 	for i := range rows {
 		data += fmt.Sprintf("%s,%064x,1,1,1,1,1,,\n", rowID(i), i+1)
 	}
-	editor := table.NewEditor(table.EditorOptions{KV: w.service.Client("setup"), Who: "setup", Now: w.clock})
+	editor := table.NewEditor(table.EditorOptions{KV: w.service.Client("setup"), Operator: "setup", Now: w.clock})
 	plan, err := editor.Plan(context.Background(), []table.File{{Name: "organisations.csv", Data: []byte(data)}})
 	if err == nil {
 		_, err = editor.Apply(context.Background(), plan)
@@ -251,7 +251,7 @@
 
 func (w *world) see() {
 	id := rowID(w.rng.IntN(rows))
-	_ = w.operators[w.rng.IntN(operators)].See(context.Background(), id) // else it keeps what it saw
+	_ = w.operators[w.rng.IntN(operators)].Read(context.Background(), id) // else it keeps what it saw
 }
 
 // edit lets an operator set a cell.
@@ -269,9 +269,9 @@
 		w.accepted = append(w.accepted, accepted{cell: c, place: len(w.edits[c]) - 1, at: w.now})
 		w.tell("operator %d sets %s %s to %s", operator, c.row, c.column, value)
 	case errors.As(err, &conflict), errors.Is(err, errNotSeen):
-		w.outcome.Refused++
+		w.outcome.Conflicts++
 	default:
-		w.outcome.Unclear++
+		w.outcome.Uncertain++
 		w.edits[c] = append(w.edits[c], value)
 		w.tell("operator %d sets %s %s to %s, outcome unclear", operator, c.row, c.column, value)
 	}
@@ -285,17 +285,17 @@
 	}
 	sent := w.now
 	_, have := to.replica.Digest()
-	pages := from.replica.Above(have)
-	if all := from.replica.Above(nil); len(all) > 0 && len(w.late) < lateKept {
+	pages := from.replica.PagesNewerThan(have)
+	if all := from.replica.PagesNewerThan(nil); len(all) > 0 && len(w.late) < lateKept {
 		w.late = append(w.late, all)
 	}
 	hash, digest := from.replica.Digest()
-	proof := table.PeerProof{Age: from.replica.Confirmed(w.now), Hash: hash, Pages: digest}
+	proof := table.PeerProof{Age: from.replica.ProofAge(w.now), Hash: hash, Pages: digest}
 	w.now = w.now.Add(time.Duration(w.rng.Int64N(int64(time.Second))))
 	if w.rng.IntN(4) > 0 { // else only the proof arrives
 		to.replica.Merge(pages)
 	}
-	to.replica.ConfirmFrom(sent, proof)
+	to.replica.AdoptPeerProof(sent, proof)
 }
 
 func (w *world) deliverLate(d *daemon) {
@@ -356,7 +356,7 @@
 // promised returns the last edit of each cell that a daemon's proof covers.
 func (w *world) promised(d *daemon) map[cell]int {
 	must := make(map[cell]int)
-	age := d.replica.Confirmed(w.now)
+	age := d.replica.ProofAge(w.now)
 	if age == table.NeverConfirmed {
 		return must
 	}
--- a/internal/table/tableschedule/schedule_test.go
+++ b/internal/table/tableschedule/schedule_test.go
@@ -22,30 +22,30 @@
 	for seed := uint64(firstSeed); seed < firstSeed+schedules; seed++ {
 		o := Run(seed, options)
 		if sum.Reverted+sum.Lost == 0 && o.Reverted+o.Lost > 0 {
-			sum.Story = append([]string{"seed"}, o.Story...)
+			sum.Events = append([]string{"seed"}, o.Events...)
 			t.Logf("first seed with a fault: %d", seed)
 		}
 		sum.Edits += o.Edits
-		sum.Refused += o.Refused
-		sum.Unclear += o.Unclear
+		sum.Conflicts += o.Conflicts
+		sum.Uncertain += o.Uncertain
 		sum.Faults += o.Faults
 		sum.Reverted += o.Reverted
 		sum.Lost += o.Lost
 	}
 	t.Logf("schedules=%d edits=%d refused=%d unclear=%d faults=%d reverted=%d lost=%d",
-		schedules, sum.Edits, sum.Refused, sum.Unclear, sum.Faults, sum.Reverted, sum.Lost)
+		schedules, sum.Edits, sum.Conflicts, sum.Uncertain, sum.Faults, sum.Reverted, sum.Lost)
 	return sum
 }
 
 func TestNothingIsRevertedOrLost(t *testing.T) {
 	sum := runAll(t, Options{})
 	if sum.Reverted+sum.Lost > 0 {
-		for _, line := range sum.Story {
+		for _, line := range sum.Events {
 			t.Log(line)
 		}
 		t.Fatal("an accepted edit was reverted or lost")
 	}
-	if sum.Edits < schedules || sum.Refused < schedules || sum.Faults < schedules {
+	if sum.Edits < schedules || sum.Conflicts < schedules || sum.Faults < schedules {
 		t.Fatal("the schedules do too little to show anything")
 	}
 }
@@ -59,7 +59,7 @@
 
 func (n *naiveReplica) Merge(pages []*peer.Page) int {
 	told := make(map[string]*peer.Page)
-	for _, p := range append(n.Above(nil), pages...) {
+	for _, p := range append(n.PagesNewerThan(nil), pages...) {
 		told[p.Name] = p
 	}
 	n.Replica = table.NewReplica(table.ReplicaOptions{KV: n.service, Now: n.now})
@@ -87,7 +87,7 @@
 	seen   map[string]table.StoredRow
 }
 
-func (o *naiveOperator) See(ctx context.Context, id string) error {
+func (o *naiveOperator) Read(ctx context.Context, id string) error {
 	row, err := o.editor.Get(ctx, table.SheetOrganisations, id)
 	if err == nil {
 		o.seen[id] = row
@@ -115,7 +115,7 @@
 // whole row, the second puts the first one's cell back.
 func TestNaiveOperatorLosesEdits(t *testing.T) {
 	sum := runAll(t, Options{NewOperator: func(service platform.KV, now func() time.Time, name string) Operator {
-		editor := table.NewEditor(table.EditorOptions{KV: service, Who: name, Now: now})
+		editor := table.NewEditor(table.EditorOptions{KV: service, Operator: name, Now: now})
 		return &naiveOperator{editor: editor, seen: make(map[string]table.StoredRow)}
 	}})
 	if sum.Reverted+sum.Lost == 0 {
--- a/internal/table/wait.go
+++ b/internal/table/wait.go
@@ -19,21 +19,21 @@
 	waitTimeout = 2 * time.Second // of one question to one daemon
 )
 
-// ErrNotInForce reports that some daemon had not confirmed the table when ctx ended.
-var ErrNotInForce = errors.New("table: not in force everywhere")
+// ErrNotApplied reports that some daemon had not confirmed the table when ctx ended.
+var ErrNotApplied = errors.New("table: not in force everywhere")
 
 // DaemonState is what one daemon answered.
 type DaemonState struct {
 	Address string `json:"address"` // host:port of the peer address
-	InForce bool   `json:"in_force"`
+	Applied bool   `json:"in_force"`
 	State   State  `json:"state"`
 	Err     string `json:"error,omitempty"`
 }
 
-// Wait asks the daemons at the peer addresses until each has every page at the revision
+// WaitUntilApplied asks the daemons at the peer addresses until each has every page at the revision
 // that the service holds now, or later. It returns the last answers, in the order of the
 // addresses, and ErrNotInForce if ctx ends first.
-func (e *Editor) Wait(ctx context.Context, addresses []string, client *http.Client) ([]DaemonState, error) {
+func (e *Editor) WaitUntilApplied(ctx context.Context, addresses []string, client *http.Client) ([]DaemonState, error) {
 	stored, err := e.load(ctx)
 	if err != nil {
 		return nil, err
@@ -50,12 +50,12 @@
 	group.Wait()
 	var late []string
 	for _, s := range states {
-		if !s.InForce {
+		if !s.Applied {
 			late = append(late, s.Address)
 		}
 	}
 	if len(late) > 0 {
-		return states, errors.Mark(errors.Newf("not in force on %s", strings.Join(late, ", ")), ErrNotInForce)
+		return states, errors.Mark(errors.Newf("not in force on %s", strings.Join(late, ", ")), ErrNotApplied)
 	}
 	return states, nil
 }
@@ -65,11 +65,11 @@
 	for ctx.Err() == nil {
 		state, err := fetchState(ctx, address, client)
 		if err == nil {
-			last = DaemonState{Address: address, State: state, InForce: covers(state.Pages, wanted)}
+			last = DaemonState{Address: address, State: state, Applied: covers(state.Pages, wanted)}
 		} else if ctx.Err() == nil {
 			last.Err = err.Error()
 		}
-		if last.InForce {
+		if last.Applied {
 			return last
 		}
 		_ = sleep.For(ctx, waitPoll) // the loop asks the context itself
--- a/internal/tabletest/tabletest.go
+++ b/internal/tabletest/tabletest.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
-	editor := table.NewEditor(table.EditorOptions{KV: kv, Who: "test"})
+	editor := table.NewEditor(table.EditorOptions{KV: kv, Operator: "test"})
 	plan, err := editor.Plan(ctx, []table.File{
 		sheet("organisations", "id,key_sha256,weight,requests_per_second,burst,concurrency,tokens_per_second,models,services", rows.Organisations),
 		sheet("models", "id,default_version,bytes_per_token,load_cap", rows.Models),
