--- a/internal/table/apply.go
+++ b/internal/table/apply.go
@@ -9,34 +9,35 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// pageAttempts bounds how often the write of one page is tried. Each failed try means
-// that another operator wrote the page in between or that the outcome was unknown.
+// pageAttempts bounds the attempts to write one page. An attempt fails if another operator
+// wrote the page concurrently or if the outcome of the write is unknown.
 const pageAttempts = 16
 
-// ErrBusy reports a page that other operators kept writing; nothing of this page was
-// written.
-var ErrBusy = errors.New("table: page kept changing")
+// ErrBusy reports that concurrent writes of other operators exhausted the attempts to write a
+// page; none of its changes were written.
+var ErrBusy = errors.New("table: page was written concurrently in every attempt")
 
-// ApplyResult tells what became of a plan.
+// ApplyResult summarises the execution of a plan.
 type ApplyResult struct {
 	Written   int               `json:"written"`   // rows written
-	Unchanged int               `json:"unchanged"` // rows that already were as wanted
-	Revision  platform.Revision `json:"revision"`  // of the last page written; 0: none
+	Unchanged int               `json:"unchanged"` // rows that already had the planned cells
+	Revision  platform.Revision `json:"revision"`  // of the last written page; 0: none
 }
 
-// pageChanges are the changes of one page in one phase.
+// pageChanges holds the changes of one page in one phase: additions and changes, or removals.
 type pageChanges struct {
 	name    string
 	sheet   Sheet
 	changes []Change
 }
 
-// groupChanges orders changes so that rows are added before the rows that name them and
-// removed after. The service has no transaction over pages, so daemons may see the table
-// between two pages; in this order a row never names one that is yet to come.
+// groupChanges orders changes so that a row is added before the rows that refer to it, and
+// removed after them. The key-value service has no transactions over several pages, so
+// daemons may read the table between two page writes; with this order a row never refers to
+// one that does not exist yet.
 func groupChanges(changes []Change) []pageChanges {
 	var groups []pageChanges
-	add := func(c Change) {
+	appendChange := func(c Change) {
 		name := PageName(c.Sheet, c.ID)
 		last := len(groups) - 1
 		if last < 0 || groups[last].name != name {
@@ -45,41 +46,41 @@
 		}
 		groups[last].changes = append(groups[last].changes, c)
 	}
-	order := func(sheets []Sheet, removals bool) {
+	appendSheets := func(sheets []Sheet, removals bool) {
 		for _, sheet := range sheets {
-			var picked []Change
+			var selected []Change
 			for _, c := range changes {
 				if c.Sheet == sheet && (c.Kind == EditRemove) == removals {
-					picked = append(picked, c)
+					selected = append(selected, c)
 				}
 			}
-			slices.SortStableFunc(picked, func(a, b Change) int { return comparePages(a, b) })
-			for _, c := range picked {
-				add(c)
+			slices.SortStableFunc(selected, func(a, b Change) int { return comparePages(a, b) })
+			for _, c := range selected {
+				appendChange(c)
 			}
 		}
 	}
 	sheets := Sheets()
-	order(sheets, false)
+	appendSheets(sheets, false)
 	slices.Reverse(sheets)
-	order(sheets, true)
+	appendSheets(sheets, true)
 	return groups
 }
 
-// Apply writes a plan. Rows that somebody else edited since the plan was made are
-// reported, all of them, as Conflicts, and then nothing is written. Only a
-// conflict that comes up during the writing leaves earlier pages written; they are
-// counted in the result. When Apply returns nil every change is kept by the service.
+// Apply writes a plan. If another operator has edited rows since the plan was made, Apply
+// returns all of them as Conflicts and writes nothing. Only a conflict that arises during the
+// writes leaves earlier pages written; the result counts them. When Apply returns nil, the
+// key-value service has stored every change.
 func (e *Editor) Apply(ctx context.Context, plan *Plan) (ApplyResult, error) {
 	var result ApplyResult
 	stored, err := e.load(ctx)
 	if err != nil {
 		return result, err
 	}
-	if err := precheck(stored, plan); err != nil {
+	if err := checkPlan(stored, plan); err != nil {
 		return result, err
 	}
-	stamp := editStamp{id: e.newID(), who: e.who, when: e.now().UTC()}
+	stamp := editStamp{id: e.newID(), operator: e.operator, time: e.now().UTC()}
 	for _, group := range groupChanges(plan.Changes) {
 		if err := e.applyPage(ctx, group, stamp, &result); err != nil {
 			return result, err
@@ -89,27 +90,27 @@
 	return result, nil
 }
 
-// precheck looks for conflicts and checks the table as it would become, since other
-// operators may have written since the plan was made.
-func precheck(stored storedTable, plan *Plan) error {
+// checkPlan returns the plan's conflicts, or the problems of the table that would result.
+// Both can arise after planning, because other operators may have written in the meantime.
+func checkPlan(stored storedTable, plan *Plan) error {
 	var conflicts Conflicts
-	after := stored.rows()
+	resulting := stored.rows()
 	for _, c := range plan.Changes {
-		now := stored.record(c.Sheet, c.ID)
-		if conflict := conflictOf(c, now); conflict != nil && !isInForce(c, now) {
+		current := stored.record(c.Sheet, c.ID)
+		if conflict := detectConflict(c, current); conflict != nil && !isApplied(c, current) {
 			conflicts = append(conflicts, conflict)
 			continue
 		}
 		if c.Kind == EditRemove {
-			delete(after[c.Sheet], c.ID)
+			delete(resulting[c.Sheet], c.ID)
 			continue
 		}
-		after.put(Row{Sheet: c.Sheet, ID: c.ID, Cells: c.After})
+		resulting.put(Row{Sheet: c.Sheet, ID: c.ID, Cells: c.After})
 	}
 	if len(conflicts) > 0 {
 		return conflicts
 	}
-	return checkError(checkAcross(after))
+	return problemsToError(checkConstraints(resulting))
 }
 
 func (e *Editor) applyPage(ctx context.Context, group pageChanges, stamp editStamp, result *ApplyResult) error {
@@ -134,12 +135,12 @@
 			return err
 		}
 		revision, err := e.kv.CompareAndSwap(ctx, KeyPrefix+group.name, stored.revision, value, "")
-		// The failure: the write took effect and its answer was lost, or another operator
-		// wrote another row of the page first. Both show as an error here. Reading again
-		// settles it: an edit of ours carries our stamp in the row's history, and a row
-		// that somebody else edited is at another revision than the one seen.
+		// An error means either that the write took effect but its response was lost, or
+		// that another operator wrote a row of the page first. Reading the page again
+		// distinguishes them: this editor's edit has its stamp in the row's history, and a
+		// row that another operator edited has a different revision than the one seen.
 		if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrUncertain) {
-			e.log.Debug("Page read again", "page", group.name, "reason", err)
+			e.log.Debug("Page write failed; retrying with a fresh read", "page", group.name, "reason", err)
 			continue
 		}
 		if err != nil {
@@ -153,20 +154,20 @@
 	return errors.Wrapf(ErrBusy, "page %s", group.name)
 }
 
-// editPage carries out the changes that are not yet in the page. It returns how many it
-// edited and how many an earlier try of this same apply had written.
+// editPage applies the changes that the page does not contain yet. It returns how many rows
+// it edited and how many an earlier attempt of the same Apply had already written.
 func editPage(p *page, changes []Change, stamp editStamp) (edited, written int, err error) {
 	var conflicts Conflicts
 	for _, c := range changes {
-		now := p.get(c.ID)
-		if now != nil && now.hasEdit(stamp.id) {
+		current := p.get(c.ID)
+		if current != nil && current.hasEdit(stamp.id) {
 			written++
 			continue
 		}
-		if isInForce(c, now) {
+		if isApplied(c, current) {
 			continue
 		}
-		if conflict := conflictOf(c, now); conflict != nil {
+		if conflict := detectConflict(c, current); conflict != nil {
 			conflicts = append(conflicts, conflict)
 			continue
 		}
@@ -179,22 +180,22 @@
 	return edited, written, nil
 }
 
-// CellValue is a wanted cell.
+// CellValue is the new value of a cell.
 type CellValue struct {
 	Column string
 	Value  string
 }
 
-// SetRequest asks for new cells of one row.
+// SetRequest describes new cell values of one row.
 type SetRequest struct {
 	Sheet        Sheet
 	ID           string
-	SeenRevision uint64 // the row's revision that the operator saw; 0: as it is now
+	SeenRevision uint64 // the row's revision that the operator saw; 0: the current one
 	Cells        []CellValue
 }
 
-// Set changes cells of one row in force. It returns ErrNoRow, *CheckError for a wrong
-// value, or a conflict if the row is not at the revision seen.
+// Set changes cells of one existing row. It returns ErrRowNotFound, *CheckError for an invalid
+// value, or a conflict if the row is not at the seen revision.
 func (e *Editor) Set(ctx context.Context, r SetRequest) (ApplyResult, error) {
 	seen, err := e.seenRow(ctx, r.Sheet, r.ID, r.SeenRevision)
 	if err != nil {
@@ -208,7 +209,7 @@
 	return e.Apply(ctx, &Plan{Changes: []Change{change}})
 }
 
-// Remove removes one row in force; seen is as in SetRequest.
+// Remove removes one existing row; seen is as SetRequest.SeenRevision.
 func (e *Editor) Remove(ctx context.Context, sheet Sheet, id string, seen uint64) (ApplyResult, error) {
 	row, err := e.seenRow(ctx, sheet, id, seen)
 	if err != nil {
@@ -218,8 +219,8 @@
 	return e.Apply(ctx, &Plan{Changes: []Change{change}})
 }
 
-// seenRow returns a row as it was at the revision that the operator saw; 0 stands for
-// the revision in force.
+// seenRow returns a row as it was at the revision that the operator saw; 0 stands for the
+// current revision.
 func (e *Editor) seenRow(ctx context.Context, sheet Sheet, id string, seen uint64) (StoredRow, error) {
 	stored, err := e.loadPage(ctx, PageName(sheet, id), sheet)
 	if err != nil {
@@ -245,17 +246,17 @@
 		if i <= 0 {
 			problems = append(problems, Problem{
 				Sheet: row.Sheet, Row: row.ID, Column: v.Column, Value: v.Value,
-				Reason: "no column that can be set", Allowed: joinNames(columns[1:]),
+				Reason: "not a settable column", Allowed: joinNames(columns[1:]),
 			})
 			continue
 		}
 		cells[i] = v.Value
 	}
-	canonical, wrong := schemaOf(row.Sheet).canonical(cells)
-	for _, w := range wrong {
+	canonical, cellErrors := schemaOf(row.Sheet).canonical(cells)
+	for _, w := range cellErrors {
 		problems = append(problems, Problem{
 			Sheet: row.Sheet, Row: row.ID, Column: w.column, Value: w.value, Reason: w.reason, Allowed: w.allowed,
 		})
 	}
-	return canonical, checkError(problems)
+	return canonical, problemsToError(problems)
 }
--- a/internal/table/change.go
+++ b/internal/table/change.go
@@ -14,14 +14,14 @@
 	ID           string   `json:"id"`
 	SeenRevision uint64   `json:"seen"`             // the row's revision that the operator saw; 0: it never existed
 	Before       []string `json:"before,omitempty"` // cells that the operator saw
-	After        []string `json:"after,omitempty"`  // cells wanted
+	After        []string `json:"after,omitempty"`  // new cells
 }
 
-// editStamp identifies the writer of edits.
+// editStamp identifies the write that edits belong to.
 type editStamp struct {
-	id   string
-	who  string
-	when time.Time
+	id       string
+	operator string
+	time     time.Time
 }
 
 func cellAt(cells []string, i int) string {
@@ -43,7 +43,7 @@
 	return changed
 }
 
-// String returns the change on one line.
+// String formats the change on one line.
 func (c Change) String() string {
 	parts := []string{string(c.Kind), string(c.Sheet), c.ID}
 	if c.Kind != EditRemove {
@@ -54,7 +54,7 @@
 	return strings.Join(parts, " ")
 }
 
-// Plan lists the edits that bring the table to the state of some files.
+// Plan lists the edits that make the table equal to a set of files.
 type Plan struct {
 	Changes []Change `json:"changes"`
 }
@@ -70,23 +70,23 @@
 	return n
 }
 
-// CellConflict is one cell on which two operators differ.
+// CellConflict is one cell for which two operators have different values.
 type CellConflict struct {
 	Column string `json:"column"`
-	Seen   string `json:"seen"`   // what this operator saw
-	Mine   string `json:"mine"`   // what this operator wants
-	Theirs string `json:"theirs"` // what is in force now
+	Seen   string `json:"seen"`   // value that this operator saw
+	Mine   string `json:"mine"`   // value that this operator wants to write
+	Theirs string `json:"theirs"` // current value
 }
 
-// ConflictError tells an operator that somebody else edited the row since it was read.
+// ConflictError reports that another operator has edited the row since this operator read it.
 // The edit was not written.
 type ConflictError struct {
 	Sheet           Sheet          `json:"sheet"`
 	ID              string         `json:"id"`
 	SeenRevision    uint64         `json:"seen"`
 	CurrentRevision uint64         `json:"current"`
-	Removed         bool           `json:"removed"` // the row is gone
-	Operator        string         `json:"who"`     // the last editor, if known
+	Removed         bool           `json:"removed"` // the row no longer exists
+	Operator        string         `json:"who"`     // the last operator that edited the row, if known
 	Time            time.Time      `json:"when"`
 	Cells           []CellConflict `json:"cells"`
 }
@@ -119,7 +119,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap lets errors.As find a *ConflictError.
+// Unwrap makes the conflicts accessible to errors.As.
 func (c Conflicts) Unwrap() []error {
 	errs := make([]error, len(c))
 	for i, conflict := range c {
@@ -128,22 +128,22 @@
 	return errs
 }
 
-// conflictOf compares a change with the record in force and returns nil if the change
-// may be written.
-func conflictOf(c Change, now *record) *ConflictError {
-	if now == nil {
-		now = &record{ID: c.ID, Removed: true}
+// detectConflict compares a change with the current record and returns nil if the change may
+// be written.
+func detectConflict(c Change, current *record) *ConflictError {
+	if current == nil {
+		current = &record{ID: c.ID, Removed: true}
 	}
-	if now.Revision == c.SeenRevision {
+	if current.Revision == c.SeenRevision {
 		return nil
 	}
-	conflict := &ConflictError{Sheet: c.Sheet, ID: c.ID, SeenRevision: c.SeenRevision, CurrentRevision: now.Revision, Removed: now.Removed}
-	if n := len(now.History); n > 0 {
-		conflict.Operator = now.History[n-1].Operator
-		conflict.Time = now.History[n-1].Time
+	conflict := &ConflictError{Sheet: c.Sheet, ID: c.ID, SeenRevision: c.SeenRevision, CurrentRevision: current.Revision, Removed: current.Removed}
+	if n := len(current.History); n > 0 {
+		conflict.Operator = current.History[n-1].Operator
+		conflict.Time = current.History[n-1].Time
 	}
 	for i, column := range Columns(c.Sheet) {
-		cell := CellConflict{Column: column, Seen: cellAt(c.Before, i), Mine: cellAt(c.After, i), Theirs: cellAt(now.Cells, i)}
+		cell := CellConflict{Column: column, Seen: cellAt(c.Before, i), Mine: cellAt(c.After, i), Theirs: cellAt(current.Cells, i)}
 		if cell.Mine != cell.Theirs {
 			conflict.Cells = append(conflict.Cells, cell)
 		}
@@ -151,13 +151,13 @@
 	return conflict
 }
 
-// isInForce tells whether the row already is as the change wants it.
-func isInForce(c Change, now *record) bool {
-	if now == nil {
+// isApplied reports whether the current record already equals the result of the change.
+func isApplied(c Change, current *record) bool {
+	if current == nil {
 		return c.Kind == EditRemove
 	}
-	if now.Removed {
+	if current.Removed {
 		return c.Kind == EditRemove
 	}
-	return c.Kind != EditRemove && slices.Equal(now.Cells, c.After)
+	return c.Kind != EditRemove && slices.Equal(current.Cells, c.After)
 }
--- a/internal/table/check.go
+++ b/internal/table/check.go
@@ -12,85 +12,85 @@
 	s[row.Sheet][row.ID] = row
 }
 
-// Check reports what is wrong between rows: names of rows that don't exist, columns that
-// don't fit the kind of a target, one key for two organisations, one address twice.
+// Check reports violated constraints between rows: references to rows that don't exist,
+// columns that don't apply to a target's kind, and duplicate organisation keys or addresses.
 func Check(rows []Row) error {
 	all := make(sheetRows)
 	for _, row := range rows {
 		all.put(row)
 	}
-	return checkError(checkAcross(all))
+	return problemsToError(checkConstraints(all))
 }
 
-func checkAcross(all sheetRows) []Problem {
-	c := &crossCheck{all: all, services: make(map[string]bool)}
+func checkConstraints(all sheetRows) []Problem {
+	c := &constraintChecker{rows: all, services: make(map[string]bool)}
 	for _, row := range sortedValues(all[SheetTargets]) {
-		c.target(row)
+		c.checkTarget(row)
 	}
 	for _, row := range sortedValues(all[SheetStores]) {
-		c.address(row, row.Cell("address"))
+		c.checkAddress(row, row.Cell("address"))
 	}
 	for _, row := range sortedValues(all[SheetOrganisations]) {
-		c.organisation(row)
+		c.checkOrganisation(row)
 	}
 	return c.problems
 }
 
-type crossCheck struct {
-	all       sheetRows
+type constraintChecker struct {
+	rows      sheetRows
 	services  map[string]bool
 	addresses map[string]string
 	keys      map[string]string
 	problems  []Problem
 }
 
-func (c *crossCheck) add(row Row, column, reason, allowed string) {
+func (c *constraintChecker) addProblem(row Row, column, reason, allowed string) {
 	c.problems = append(c.problems, Problem{
 		File: row.File, Line: row.Line, Sheet: row.Sheet, Row: row.ID,
 		Column: column, Value: row.Cell(column), Reason: reason, Allowed: allowed,
 	})
 }
 
-func (c *crossCheck) target(row Row) {
+func (c *constraintChecker) checkTarget(row Row) {
 	t, problems := targetSchema.decode(row.Cells)
 	if len(problems) > 0 {
 		return
 	}
-	c.address(row, t.Address)
+	c.checkAddress(row, t.Address)
 	if t.Kind == KindService {
 		c.services[t.Service] = true
-		c.serviceTarget(row, t)
+		c.checkServiceTarget(row, t)
 		return
 	}
-	c.engineTarget(row, t)
+	c.checkEngineTarget(row, t)
 }
 
-func (c *crossCheck) serviceTarget(row Row, t *Target) {
+func (c *constraintChecker) checkServiceTarget(row Row, t *Target) {
 	if t.Service == "" {
-		c.add(row, "service", "a service needs a name", allowedName)
+		c.addProblem(row, "service", "a service requires a name", allowedName)
 	}
 	if t.Model != "" {
-		c.add(row, "model", "a service has no model", "empty")
+		c.addProblem(row, "model", "a service has no model", "empty")
 	}
 	if t.Version != "" {
-		c.add(row, "version", "a service has no weight version", "empty")
+		c.addProblem(row, "version", "a service has no weight version", "empty")
 	}
 }
 
-func (c *crossCheck) engineTarget(row Row, t *Target) {
+func (c *constraintChecker) checkEngineTarget(row Row, t *Target) {
 	if t.Service != "" {
-		c.add(row, "service", "an engine is not a service", "empty")
+		c.addProblem(row, "service", "an engine is not a service", "empty")
 	}
-	c.model(row, "model", t.Model)
+	c.checkModel(row, "model", t.Model)
 }
 
-func (c *crossCheck) model(row Row, column string, id request.Model) {
-	if _, ok := c.all[SheetModels][string(id)]; !ok {
-		c.add(row, column, "no row "+string(id)+" in models", "an id of the models sheet")
+func (c *constraintChecker) checkModel(row Row, column string, id request.Model) {
+	if _, ok := c.rows[SheetModels][string(id)]; !ok {
+		c.addProblem(row, column, "no row "+string(id)+" in models", "an id of the models sheet")
 	}
 }
 
-func (c *crossCheck) organisation(row Row) {
+func (c *constraintChecker) checkOrganisation(row Row) {
 	o, problems := organisationSchema.decode(row.Cells)
 	if len(problems) > 0 {
 		return
@@ -99,25 +99,25 @@
 		c.keys = make(map[string]string)
 	}
 	if other, taken := c.keys[o.KeySHA256]; taken {
-		c.add(row, "key_sha256", "also the key of "+other, "a key of its own")
+		c.addProblem(row, "key_sha256", "already the key of "+other, "a unique key")
 	}
 	c.keys[o.KeySHA256] = row.ID
 	for _, id := range sortedModels(o.Models) {
-		c.model(row, "models", id)
+		c.checkModel(row, "models", id)
 	}
 	for _, service := range o.Services {
 		if !c.services[service] {
-			c.add(row, "services", "no target serves "+service, "a service of the targets sheet")
+			c.addProblem(row, "services", "no target serves "+service, "a service of the targets sheet")
 		}
 	}
 }
 
-func (c *crossCheck) address(row Row, address string) {
+func (c *constraintChecker) checkAddress(row Row, address string) {
 	if c.addresses == nil {
 		c.addresses = make(map[string]string)
 	}
 	if other, taken := c.addresses[address]; taken {
-		c.add(row, "address", "also the address of "+other, "an address of its own")
+		c.addProblem(row, "address", "already the address of "+other, "a unique address")
 	}
 	c.addresses[address] = row.ID
 }
--- a/internal/table/column.go
+++ b/internal/table/column.go
@@ -13,7 +13,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Bounds of numbers in cells.
+// Bounds of numeric cells.
 const (
 	maxWeight        = 1000
 	maxRate          = 1e9
@@ -28,12 +28,12 @@
 // idColumn is the first column of every sheet.
 const idColumn = "id"
 
-const allowedName = "1 to 64 letters, digits, '.', '_' or '-', first a letter or digit"
+const allowedName = "1 to 64 letters, digits, '.', '_' or '-', starting with a letter or digit"
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// column describes one column of a sheet whose rows have type T. parse stores a
-// cell's text in a row, format gives the canonical text back.
+// column describes one column of a sheet whose rows have type T. parse stores a cell's text
+// in a row; format returns the cell's canonical text.
 type column[T any] struct {
 	name    string
 	allowed string
@@ -41,11 +41,11 @@
 	format  func(row *T) string
 }
 
-// cellReason is why a cell can't be parsed.
-type cellReason string
+// cellParseError is the reason why a cell can't be parsed.
+type cellParseError string
 
 // Error implements the error interface.
-func (r cellReason) Error() string { return string(r) }
+func (r cellParseError) Error() string { return string(r) }
 
 func nameColumn[T any, S ~string](name string, optional bool, field func(*T) *S) column[T] {
 	allowed := allowedName
@@ -61,7 +61,7 @@
 				return nil
 			}
 			if !namePattern.MatchString(text) {
-				return cellReason("not a name")
+				return cellParseError("not a valid name")
 			}
 			*field(row) = S(text)
 			return nil
@@ -77,10 +77,10 @@
 		parse: func(row *T, text string) error {
 			n, err := strconv.ParseInt(text, 10, 64)
 			if err != nil {
-				return cellReason("not a whole number")
+				return cellParseError("not a whole number")
 			}
 			if n < low || n > high {
-				return cellReason("out of range")
+				return cellParseError("out of range")
 			}
 			*field(row) = N(n)
 			return nil
@@ -96,10 +96,10 @@
 		parse: func(row *T, text string) error {
 			f, err := strconv.ParseFloat(text, 64)
 			if err != nil || math.IsNaN(f) {
-				return cellReason("not a number")
+				return cellParseError("not a number")
 			}
 			if f < minRate || f > maxRate {
-				return cellReason("out of range")
+				return cellParseError("out of range")
 			}
 			*field(row) = f
 			return nil
@@ -119,7 +119,7 @@
 			case "false", "":
 				*field(row) = false
 			default:
-				return cellReason("neither true nor false")
+				return cellParseError("not a boolean")
 			}
 			return nil
 		},
@@ -130,14 +130,14 @@
 func addressColumn[T any](name string, field func(*T) *string) column[T] {
 	return column[T]{
 		name:    name,
-		allowed: "host:port, host an IP number, port 1..65535",
+		allowed: "host:port, host an IP address, port 1..65535",
 		parse: func(row *T, text string) error {
 			addr, err := netip.ParseAddrPort(text)
 			if err != nil {
-				return cellReason("not an IP number with a port")
+				return cellParseError("not an IP address with a port")
 			}
 			if addr.Port() == 0 {
-				return cellReason("port is 0")
+				return cellParseError("port is 0")
 			}
 			*field(row) = addr.String()
 			return nil
@@ -153,7 +153,7 @@
 		parse: func(row *Target, text string) error {
 			kind := TargetKind(text)
 			if kind != KindEngine && kind != KindService {
-				return cellReason("no such kind")
+				return cellParseError("unknown kind")
 			}
 			row.Kind = kind
 			return nil
@@ -169,7 +169,7 @@
 		parse: func(row *Organisation, text string) error {
 			raw, err := hex.DecodeString(text)
 			if err != nil || len(raw) != keyDigestBytes {
-				return cellReason("not a SHA-256 digest")
+				return cellParseError("not a SHA-256 digest")
 			}
 			row.KeySHA256 = hex.EncodeToString(raw)
 			return nil
@@ -178,7 +178,7 @@
 	}
 }
 
-// splitList cuts a cell of several values, separated by semicolons.
+// splitList splits a cell into its semicolon-separated values.
 func splitList(text string) []string {
 	if strings.TrimSpace(text) == "" {
 		return nil
@@ -215,13 +215,13 @@
 	for _, part := range splitList(text) {
 		model, version, hasVersion := strings.Cut(part, "=")
 		if !namePattern.MatchString(model) {
-			return cellReason(fmt.Sprintf("%q is not a model's name", model))
+			return cellParseError(fmt.Sprintf("%q is not a valid model name", model))
 		}
 		if hasVersion && !namePattern.MatchString(version) {
-			return cellReason(fmt.Sprintf("%q is not a version", version))
+			return cellParseError(fmt.Sprintf("%q is not a valid version", version))
 		}
-		if _, twice := row.Models[request.Model(model)]; twice {
-			return cellReason(fmt.Sprintf("model %q stands twice", model))
+		if _, duplicate := row.Models[request.Model(model)]; duplicate {
+			return cellParseError(fmt.Sprintf("model %q is listed more than once", model))
 		}
 		row.Models[request.Model(model)] = request.Version(version)
 	}
@@ -237,10 +237,10 @@
 			sort.Strings(services)
 			for i, service := range services {
 				if !namePattern.MatchString(service) {
-					return cellReason(fmt.Sprintf("%q is not a service's name", service))
+					return cellParseError(fmt.Sprintf("%q is not a valid service name", service))
 				}
 				if i > 0 && services[i-1] == service {
-					return cellReason(fmt.Sprintf("service %q stands twice", service))
+					return cellParseError(fmt.Sprintf("service %q is listed more than once", service))
 				}
 			}
 			row.Services = services
--- a/internal/table/csv.go
+++ b/internal/table/csv.go
@@ -11,22 +11,22 @@
 	"strings"
 )
 
-// File is a CSV file of one sheet; the base name tells which.
+// File is a CSV file of one sheet; its base name determines the sheet.
 type File struct {
 	Name string
 	Data []byte
 }
 
-// Row is one row of any sheet with its cells in canonical form and column order.
+// Row is one row of any sheet, with its cells in canonical form and in column order.
 type Row struct {
 	Sheet Sheet    `json:"sheet"`
 	ID    string   `json:"id"`
 	Cells []string `json:"cells"`
-	File  string   `json:"-"` // where it was read, for problems
+	File  string   `json:"-"` // source file, for problems
 	Line  int      `json:"-"`
 }
 
-// Cell returns the text in a column, or "" if there is none.
+// Cell returns the text of a column, or "" if the row has none.
 func (r Row) Cell(column string) string {
 	i := slices.Index(Columns(r.Sheet), column)
 	if i < 0 || i >= len(r.Cells) {
@@ -35,19 +35,19 @@
 	return r.Cells[i]
 }
 
-// byteOrderMark is what some spreadsheet programs write at the start of a CSV file.
+// byteOrderMark is the UTF-8 mark that some spreadsheet programs put at the start of a file.
 var byteOrderMark = []byte("\xef\xbb\xbf")
 
-// ParseFile reads one sheet. It reports every wrong row in a *CheckError and then
-// returns no row at all.
+// ParseFile reads one sheet. If any row is invalid, it returns a *CheckError with all
+// problems and no rows.
 func ParseFile(f File) (Sheet, []Row, error) {
 	sheet, err := ParseSheet(filepath.Base(f.Name))
 	if err != nil {
-		return "", nil, checkError([]Problem{{File: f.Name, Reason: err.Error()}})
+		return "", nil, problemsToError([]Problem{{File: f.Name, Reason: err.Error()}})
 	}
-	p := &fileParser{file: f.Name, sheet: sheet, seen: make(map[string]int)}
+	p := &fileParser{file: f.Name, sheet: sheet, firstLines: make(map[string]int)}
 	p.parse(f.Data)
-	if err := checkError(p.problems); err != nil {
+	if err := problemsToError(p.problems); err != nil {
 		return sheet, nil, err
 	}
 	return sheet, p.rows, nil
@@ -55,15 +55,15 @@
 
 // fileParser collects the rows and problems of one file.
 type fileParser struct {
-	file     string
-	sheet    Sheet
-	order    []int // for each column of the schema, its place in the file
-	seen     map[string]int
-	rows     []Row
-	problems []Problem
+	file       string
+	sheet      Sheet
+	positions  []int          // position in the file of each schema column
+	firstLines map[string]int // line of the first row with an id
+	rows       []Row
+	problems   []Problem
 }
 
-func (p *fileParser) add(line int, problem Problem) {
+func (p *fileParser) addProblem(line int, problem Problem) {
 	problem.File = p.file
 	problem.Line = line
 	problem.Sheet = p.sheet
@@ -72,17 +72,17 @@
 
 func (p *fileParser) parse(data []byte) {
 	reader := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(data, byteOrderMark)))
-	reader.FieldsPerRecord = -1 // counted in row, so that all wrong rows are reported
+	reader.FieldsPerRecord = -1 // parseRow checks the number, so that all wrong rows are reported
 	header, err := reader.Read()
 	if errors.Is(err, io.EOF) {
-		p.add(1, Problem{Reason: "no header line", Allowed: strings.Join(Columns(p.sheet), ",")})
+		p.addProblem(1, Problem{Reason: "no header line", Allowed: strings.Join(Columns(p.sheet), ",")})
 		return
 	}
 	if err != nil {
 		p.addReadError(err)
 		return
 	}
-	if !p.header(header) {
+	if !p.parseHeader(header) {
 		return
 	}
 	for {
@@ -95,79 +95,79 @@
 			return
 		}
 		line, _ := reader.FieldPos(0)
-		p.row(line, record, len(header))
+		p.parseRow(line, record, len(header))
 	}
 }
 
 func (p *fileParser) addReadError(err error) {
 	var parse *csv.ParseError
 	if errors.As(err, &parse) {
-		p.add(parse.Line, Problem{Reason: parse.Err.Error(), Allowed: "CSV as in RFC 4180"})
+		p.addProblem(parse.Line, Problem{Reason: parse.Err.Error(), Allowed: "CSV as specified in RFC 4180"})
 		return
 	}
-	p.add(0, Problem{Reason: err.Error()})
+	p.addProblem(0, Problem{Reason: err.Error()})
 }
 
-// leftOut is the place of a column that the file does not have.
-const leftOut = -1
+// absentColumn is the position of a column that the file does not have.
+const absentColumn = -1
 
-// header finds each column's place and reports columns that are unknown, missing or twice.
-func (p *fileParser) header(names []string) bool {
+// parseHeader finds each column's position and reports unknown, missing and duplicate columns.
+func (p *fileParser) parseHeader(names []string) bool {
 	columns := Columns(p.sheet)
 	allowed := strings.Join(columns, ",")
-	places := make(map[string]int, len(names))
+	fileColumns := make(map[string]int, len(names))
 	for i, name := range names {
 		name = strings.TrimSpace(name)
 		if !slices.Contains(columns, name) {
-			p.add(1, Problem{Reason: "unknown column " + name, Allowed: allowed})
+			p.addProblem(1, Problem{Reason: "unknown column " + name, Allowed: allowed})
 			continue
 		}
-		if _, twice := places[name]; twice {
-			p.add(1, Problem{Reason: "column " + name + " stands twice", Allowed: allowed})
+		if _, duplicate := fileColumns[name]; duplicate {
+			p.addProblem(1, Problem{Reason: "column " + name + " occurs more than once", Allowed: allowed})
 		}
-		places[name] = i
+		fileColumns[name] = i
 	}
-	p.order = make([]int, len(columns))
+	p.positions = make([]int, len(columns))
 	for i, name := range columns {
-		place, ok := places[name]
-		if !ok && mayBeLeftOut(name) {
-			place = leftOut
+		position, ok := fileColumns[name]
+		if !ok && isOptionalColumn(name) {
+			position = absentColumn
 		} else if !ok {
-			p.add(1, Problem{Reason: "column " + name + " is missing", Allowed: allowed})
+			p.addProblem(1, Problem{Reason: "column " + name + " is missing", Allowed: allowed})
 		}
-		p.order[i] = place
+		p.positions[i] = position
 	}
 	return len(p.problems) == 0
 }
 
-func (p *fileParser) row(line int, record []string, want int) {
-	if len(record) != want {
-		p.add(line, Problem{Row: record[0], Reason: "wrong number of cells", Allowed: "as many as the header"})
+func (p *fileParser) parseRow(line int, record []string, wantCells int) {
+	if len(record) != wantCells {
+		p.addProblem(line, Problem{Row: record[0], Reason: "wrong number of cells", Allowed: "as many as in the header"})
 		return
 	}
-	cells := make([]string, len(p.order))
-	for i, place := range p.order {
-		if place != leftOut {
-			cells[i] = strings.TrimSpace(record[place])
+	cells := make([]string, len(p.positions))
+	for i, position := range p.positions {
+		if position != absentColumn {
+			cells[i] = strings.TrimSpace(record[position])
 		}
 	}
 	id := cells[0]
-	canonical, wrong := schemaOf(p.sheet).canonical(cells)
-	for _, w := range wrong {
-		p.add(line, Problem{Row: id, Column: w.column, Value: w.value, Reason: w.reason, Allowed: w.allowed})
+	canonical, cellErrors := schemaOf(p.sheet).canonical(cells)
+	for _, w := range cellErrors {
+		p.addProblem(line, Problem{Row: id, Column: w.column, Value: w.value, Reason: w.reason, Allowed: w.allowed})
 	}
-	if first, twice := p.seen[id]; twice {
-		p.add(line, Problem{Row: id, Column: idColumn, Value: id, Reason: "stands twice, first in line " + strconv.Itoa(first)})
+	if first, duplicate := p.firstLines[id]; duplicate {
+		p.addProblem(line, Problem{Row: id, Column: idColumn, Value: id, Reason: "duplicate id, first on line " + strconv.Itoa(first)})
 		return
 	}
-	p.seen[id] = line
-	if len(wrong) > 0 {
+	p.firstLines[id] = line
+	if len(cellErrors) > 0 {
 		return
 	}
 	p.rows = append(p.rows, Row{Sheet: p.sheet, ID: id, Cells: canonical, File: p.file, Line: line})
 }
 
-// FormatFile writes rows of one sheet as a CSV file, ordered by id.
+// FormatFile formats rows of one sheet as a CSV file, ordered by id.
 func FormatFile(sheet Sheet, rows []Row) (File, error) {
 	sorted := slices.Clone(rows)
 	slices.SortFunc(sorted, func(a, b Row) int { return strings.Compare(a.ID, b.ID) })
--- a/internal/table/csv_test.go
+++ b/internal/table/csv_test.go
@@ -11,9 +11,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TestParse reads the sheets of testdata/parse: "sheet NAME" parses the file and prints
-// its rows in canonical form or everything wrong with it, "check" looks across all sheets
-// parsed before. KEYa stands for a digest.
+// TestParse runs the cases of testdata/parse: "sheet NAME" parses a file and prints its rows in
+// canonical form or its problems; "check" checks the constraints between the rows of all
+// sheets parsed so far. KEYa and KEYb stand for digests.
 func TestParse(t *testing.T) {
 	rows := make(map[Sheet][]Row)
 	digests := strings.NewReplacer("KEYa", digestOf('a'), "KEYb", digestOf('B'))
@@ -49,8 +49,8 @@
 	})
 }
 
-// FuzzParseFile looks for files that crash the parser, that are refused without a reason,
-// or that change when they are written back.
+// FuzzParseFile checks that no file makes the parser panic, is rejected without a reason, or
+// changes when it is formatted and parsed again.
 func FuzzParseFile(f *testing.F) {
 	for i, file := range sampleFiles() {
 		f.Add(i, file.Data)
@@ -71,10 +71,10 @@
 		}
 		_, again, err := ParseFile(written)
 		if err != nil {
-			t.Fatalf("own output is refused: %v", err)
+			t.Fatalf("formatted file is rejected: %v", err)
 		}
 		if got, want := cellsByID(again), cellsByID(rows); !reflect.DeepEqual(got, want) {
-			t.Fatalf("rows %v became %v", want, got)
+			t.Fatalf("rows %v changed to %v", want, got)
 		}
 	})
 }
@@ -83,11 +83,11 @@
 	t.Helper()
 	var check *CheckError
 	if !errors.As(err, &check) || len(check.Problems) == 0 || len(rows) != 0 {
-		t.Fatalf("refused with %v and %d rows", err, len(rows))
+		t.Fatalf("rejected with %v and %d rows", err, len(rows))
 	}
 	for _, p := range check.Problems {
 		if p.Reason == "" || p.File == "" || p.Line == 0 {
-			t.Fatalf("a problem without file, line or reason: %+v", p)
+			t.Fatalf("problem without file, line or reason: %+v", p)
 		}
 	}
 }
--- a/internal/table/editor.go
+++ b/internal/table/editor.go
@@ -13,34 +13,34 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// ErrRowNotFound reports a row that is not in the table.
-var ErrRowNotFound = errors.New("table: no such row")
+// ErrRowNotFound reports that the table does not contain a row.
+var ErrRowNotFound = errors.New("table: row not found")
 
-// ErrService reports that the key-value service failed; what was written before is
-// written, and a new plan shows what is left.
+// ErrService reports that the key-value service failed. Earlier writes of the same Apply
+// stay in effect, and a new plan contains the remaining changes.
 var ErrService = errors.New("table: key-value service failed")
 
 // EditorOptions configures an Editor.
 type EditorOptions struct {
 	KV       platform.KV
-	Operator string           // the operator's name in histories
+	Operator string           // operator name recorded in row histories
 	Now      func() time.Time // nil: time.Now
-	NewID    func() string    // identity of a write; nil: random
+	NewID    func() string    // returns the id of a write; nil: random
 	Logger   hclog.Logger     // nil: no logs
 }
 
 // Editor reads and edits the table in the key-value service for one operator.
 type Editor struct {
-	kv    platform.KV
-	who   string
-	now   func() time.Time
-	newID func() string
-	log   hclog.Logger
+	kv       platform.KV
+	operator string
+	now      func() time.Time
+	newID    func() string
+	log      hclog.Logger
 }
 
 // NewEditor returns an Editor.
 func NewEditor(o EditorOptions) *Editor {
-	e := &Editor{kv: o.KV, who: o.Operator, now: o.Now, newID: o.NewID, log: o.Logger}
+	e := &Editor{kv: o.KV, operator: o.Operator, now: o.Now, newID: o.NewID, log: o.Logger}
 	if e.now == nil {
 		e.now = time.Now
 	}
@@ -53,13 +53,13 @@
 	return e
 }
 
-// storedPage is a page with the revision under which the service holds it.
+// storedPage is a page with its revision in the key-value service.
 type storedPage struct {
 	page     *page
 	revision platform.Revision
 }
 
-// storedTable is everything that the service holds, by page name.
+// storedTable holds all pages of the key-value service by name.
 type storedTable map[string]storedPage
 
 func (t storedTable) record(sheet Sheet, id string) *record {
@@ -70,7 +70,7 @@
 	return stored.page.get(id)
 }
 
-// rows returns the rows in force.
+// rows returns the rows that are not removed.
 func (t storedTable) rows() sheetRows {
 	all := make(sheetRows)
 	for name, stored := range t {
@@ -84,8 +84,8 @@
 	return all
 }
 
-func serviceError(err error, doing string) error {
-	return errors.Mark(errors.Wrap(err, doing), ErrService)
+func serviceError(err error, operation string) error {
+	return errors.Mark(errors.Wrap(err, operation), ErrService)
 }
 
 func (e *Editor) load(ctx context.Context) (storedTable, error) {
@@ -105,7 +105,7 @@
 	return table, nil
 }
 
-// loadPage reads one page; an absent page is empty at revision 0.
+// loadPage reads one page. A page that was never written is returned empty, at revision 0.
 func (e *Editor) loadPage(ctx context.Context, name string, sheet Sheet) (storedPage, error) {
 	entry, err := e.kv.Get(ctx, KeyPrefix+name)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -121,13 +121,13 @@
 	return storedPage{page: p, revision: entry.Revision}, nil
 }
 
-// StoredRow is a row in force with its revision.
+// StoredRow is a stored row with its revision.
 type StoredRow struct {
 	Row
 	Revision uint64 `json:"revision"`
 }
 
-// Get returns one row in force, or ErrNoRow.
+// Get returns one stored row, or ErrRowNotFound.
 func (e *Editor) Get(ctx context.Context, sheet Sheet, id string) (StoredRow, error) {
 	stored, err := e.loadPage(ctx, PageName(sheet, id), sheet)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return StoredRow{Row: Row{Sheet: sheet, ID: id, Cells: r.Cells}, Revision: r.Revision}, nil
 }
 
-// History returns the kept edits of a row, oldest first, also of a removed row.
+// History returns the retained edits of a row, oldest first, including those of a removed row.
 func (e *Editor) History(ctx context.Context, sheet Sheet, id string) ([]Edit, error) {
 	stored, err := e.loadPage(ctx, PageName(sheet, id), sheet)
 	if err != nil {
@@ -153,7 +153,7 @@
 	return r.History, nil
 }
 
-// Export returns all rows in force as files that Plan finds nothing to change in.
+// Export returns all stored rows as files for which Plan returns no changes.
 func (e *Editor) Export(ctx context.Context) ([]File, error) {
 	stored, err := e.load(ctx)
 	if err != nil {
@@ -171,9 +171,9 @@
 	return files, nil
 }
 
-// Plan compares files with the table in force. Sheets without a file stay as they are; a
-// row in force that a given file lacks is to be removed. Wrong files are refused whole in
-// a *CheckError.
+// Plan compares files with the stored table. Sheets without a file stay unchanged; a stored
+// row that its sheet's file lacks is removed. Plan rejects all files with a *CheckError if any
+// of them is invalid.
 func (e *Editor) Plan(ctx context.Context, files []File) (*Plan, error) {
 	wanted, err := ParseFiles(files)
 	if err != nil {
@@ -183,23 +183,23 @@
 	if err != nil {
 		return nil, err
 	}
-	after := stored.rows()
+	resulting := stored.rows()
 	plan := new(Plan)
 	for _, sheet := range Sheets() {
 		rows, given := wanted[sheet]
 		if !given {
 			continue
 		}
-		plan.Changes = append(plan.Changes, planSheet(stored, sheet, after[sheet], rows)...)
-		after[sheet] = rows
+		plan.Changes = append(plan.Changes, planSheet(stored, sheet, resulting[sheet], rows)...)
+		resulting[sheet] = rows
 	}
-	if err := checkError(checkAcross(after)); err != nil {
+	if err := problemsToError(checkConstraints(resulting)); err != nil {
 		return nil, err
 	}
 	return plan, nil
 }
 
-// ParseFiles reads files of different sheets and reports the problems of all of them.
+// ParseFiles reads files of different sheets and reports the problems of all files.
 func ParseFiles(files []File) (map[Sheet]map[string]Row, error) {
 	parsed := make(map[Sheet]map[string]Row)
 	var problems []Problem
@@ -210,15 +210,15 @@
 			problems = append(problems, check.Problems...)
 			continue
 		}
-		if _, twice := parsed[sheet]; twice {
-			problems = append(problems, Problem{File: file.Name, Reason: "a second file of sheet " + string(sheet)})
+		if _, duplicate := parsed[sheet]; duplicate {
+			problems = append(problems, Problem{File: file.Name, Reason: "duplicate file for sheet " + string(sheet)})
 		}
 		parsed[sheet] = make(map[string]Row, len(rows))
 		for _, row := range rows {
 			parsed[sheet][row.ID] = row
 		}
 	}
-	return parsed, checkError(problems)
+	return parsed, problemsToError(problems)
 }
 
 func planSheet(stored storedTable, sheet Sheet, before, wanted map[string]Row) []Change {
--- a/internal/table/editor_test.go
+++ b/internal/table/editor_test.go
@@ -12,7 +12,7 @@
 
 func digestOf(c byte) string { return strings.Repeat(string(c), 2*keyDigestBytes) }
 
-// sampleFiles is a small table that passes all checks.
+// sampleFiles returns a small table that passes all checks.
 func sampleFiles() []File {
 	return []File{
 		{Name: "models.csv", Data: []byte("id,default_version,bytes_per_token,load_cap\nverdict,v3,131072,3\nrecipes,v1,131072,3\n")},
@@ -31,7 +31,7 @@
 	return NewEditor(EditorOptions{KV: kv, Operator: who})
 }
 
-// applySample writes sampleFiles.
+// applySample writes sampleFiles to kv.
 func applySample(t *testing.T, kv platform.KV) *Editor {
 	t.Helper()
 	editor := newTestEditor(kv, "setup")
@@ -94,10 +94,10 @@
 	}
 }
 
-// Two operators read an organisation's row at the same moment. One raises its weight and
-// is told "accepted", then the other changes its concurrency from the old copy. With
-// last-write-wins the first operator's weight silently returns to the old value.
-func TestTwoOperatorsAtTheSameMoment(t *testing.T) {
+// TestConcurrentEditsOfOneRow: two operators read the same row. One raises its weight and the
+// edit is accepted; then the other edits the row from its old copy. With last-write-wins the
+// weight would silently revert. Instead, the second operator gets a conflict with both values.
+func TestConcurrentEditsOfOneRow(t *testing.T) {
 	t.Run("naive last write wins loses the first edit", func(t *testing.T) {
 		kv := newTestKV()
 		editor := applySample(t, kv)
@@ -108,7 +108,7 @@
 		naiveWrite(t, editor, seen.Row, "weight", "40")
 		naiveWrite(t, editor, seen.Row, "concurrency", "9")
 		if got := cellOf(t, editor, SheetOrganisations, "acme", "weight"); got != "10" {
-			t.Fatalf("the naive table kept the first edit (%s); the story no longer shows the fault", got)
+			t.Fatalf("the naive table kept the first edit (%s); the test no longer shows the fault", got)
 		}
 	})
 	t.Run("second operator gets both values", func(t *testing.T) {
@@ -143,8 +143,8 @@
 	})
 }
 
-// naiveWrite writes the row as the operator saw it with one cell changed, whatever the
-// row has become since.
+// naiveWrite writes the row that the operator has read with one cell changed, whatever the
+// current row is.
 func naiveWrite(t *testing.T, e *Editor, seen Row, column, value string) {
 	t.Helper()
 	stored, err := e.loadPage(t.Context(), PageName(seen.Sheet, seen.ID), seen.Sheet)
@@ -165,17 +165,17 @@
 	}
 }
 
-// Both operators plan from files, and the second one's write of the page meets the first
-// one's in the middle: after the look at the row, before the swap. Two rows of one page
-// must both be written; two edits of one row must not.
-func TestApplyMeetsAnotherWriteInBetween(t *testing.T) {
+// TestApplyWithConcurrentPageWrite: another operator writes the page between an editor's read
+// and its compare-and-swap. Edits of two rows of one page must both be written; the second
+// edit of the same row must be rejected with a conflict.
+func TestApplyWithConcurrentPageWrite(t *testing.T) {
 	for _, sameRow := range []bool{false, true} {
 		t.Run(fmt.Sprintf("same row %v", sameRow), func(t *testing.T) {
 			kv := newTestKV()
 			editor := applySample(t, kv)
 			other := "acme"
 			if !sameRow {
-				other = addNeighbour(t, editor, "acme")
+				other = addRowOnSamePage(t, editor, "acme")
 			}
 			kv.beforeWrite = func() {
 				mustSet(t, newTestEditor(kv, "ana"), other, "weight", "40")
@@ -188,7 +188,7 @@
 				t.Fatalf("conflict %v, want %v: %v", got, sameRow, err)
 			}
 			if got := cellOf(t, editor, SheetOrganisations, other, "weight"); got != "40" {
-				t.Fatalf("ana's accepted weight became %s", got)
+				t.Fatalf("ana's accepted weight changed to %s", got)
 			}
 		})
 	}
@@ -202,8 +202,8 @@
 	}
 }
 
-// addNeighbour adds an organisation that lies in the same page as id.
-func addNeighbour(t *testing.T, e *Editor, id string) string {
+// addRowOnSamePage adds an organisation on the page of id and returns its id.
+func addRowOnSamePage(t *testing.T, e *Editor, id string) string {
 	t.Helper()
 	for i := 0; ; i++ {
 		other := fmt.Sprintf("neighbour%d", i)
@@ -223,9 +223,10 @@
 	}
 }
 
-// The service writes the page and its answer is lost. The operator must be told that the
-// edit is accepted, once, and not that somebody else (in truth the operator) was faster.
-func TestLostAnswerOfAnAcceptedEdit(t *testing.T) {
+// TestSetWithLostWriteResponse: the key-value service writes the page but its response is lost.
+// The editor must report the edit as written exactly once, and must not take its own write
+// for a conflicting edit of another operator.
+func TestSetWithLostWriteResponse(t *testing.T) {
 	kv := newTestKV()
 	editor := applySample(t, kv)
 	kv.LoseWrites(1)
@@ -242,8 +243,8 @@
 	}
 }
 
-// 35,000 organisations lie in pages below the service's cap, and a page grown full gives
-// up histories but no row.
+// TestPageSizes checks that 35,000 organisations fit in pages below MaxPageBytes, and that a
+// full page drops histories but no rows.
 func TestPageSizes(t *testing.T) {
 	const organisations = 35000
 	pages := make(map[string]*page)
@@ -257,7 +258,7 @@
 		cells := append([]string{id}, row[1:]...)
 		change := Change{Kind: EditAdd, Sheet: SheetOrganisations, ID: id, After: cells}
 		for range historyLength + 1 {
-			pages[name].edit(change, editStamp{id: "edit", who: "operator"})
+			pages[name].edit(change, editStamp{id: "edit", operator: "operator"})
 			change = Change{Kind: EditChange, Sheet: SheetOrganisations, ID: id, Before: cells, After: cells}
 		}
 	}
--- a/internal/table/kv_test.go
+++ b/internal/table/kv_test.go
@@ -7,8 +7,8 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/kv"
 )
 
-// testKV is the key-value service in the same process, with a hook that runs once before
-// the next write is looked at.
+// testKV is an in-process key-value service with a hook that runs once, before the service
+// handles the next write.
 type testKV struct {
 	platform.KV
 	*kv.Fake
--- a/internal/table/machine_test.go
+++ b/internal/table/machine_test.go
@@ -11,45 +11,46 @@
 
 	"github.com/bluebellscale/bluebellscale/internal/peer"
 
-	_ "github.com/bluebellscale/bluebellscale/internal/testseed" // the same seeds in each run
+	_ "github.com/bluebellscale/bluebellscale/internal/testseed" // makes rapid use the same seeds in each run
 )
 
-// naiveTable is the reference: rows in a map, each with a count of its edits. It has one
-// place and no pages, so an edit is allowed if the row's count is what the operator saw.
-type naiveTable map[string]naiveRow
+// referenceTable is the reference model: a map of rows, each with the number of its edits. It
+// has no pages and no replicas. An edit is allowed if the row's number of edits is the one
+// that the operator has read.
+type referenceTable map[string]referenceRow
 
-type naiveRow struct {
-	weight string // "" if there is no such row
+type referenceRow struct {
+	weight string // "" if the row does not exist
 	edits  int
 }
 
-// edit carries out an edit and tells whether it conflicts.
-func (n naiveTable) edit(id, weight string, seen naiveRow) (conflict bool) {
-	now := n[id]
-	if now.weight == weight {
+// edit applies an edit and reports whether it conflicts.
+func (n referenceTable) edit(id, weight string, seen referenceRow) (conflict bool) {
+	current := n[id]
+	if current.weight == weight {
 		return false
 	}
-	if now.edits != seen.edits {
+	if current.edits != seen.edits {
 		return true
 	}
-	n[id] = naiveRow{weight: weight, edits: now.edits + 1}
+	n[id] = referenceRow{weight: weight, edits: current.edits + 1}
 	return false
 }
 
-// operator is a person with an Editor and the table as last read.
+// operator is an Editor with the table that the operator read last.
 type operator struct {
 	editor *Editor
-	saw    naiveTable
-	plan   storedTable
+	seen   referenceTable
+	stored storedTable
 }
 
-// tableMachine drives two operators and replicas against the reference.
+// tableMachine compares two operators and two replicas with the reference model.
 type tableMachine struct {
 	kv        *testKV
-	reference naiveTable
+	reference referenceTable
 	operators []*operator
 	replicas  []*Replica
-	late      [][]*peer.Page
+	delayed   [][]*peer.Page
 }
 
 var machineIDs = []string{"a", "b", "c", "d"}
@@ -59,10 +60,10 @@
 }
 
 func newTableMachine(t *rapid.T) *tableMachine {
-	m := &tableMachine{kv: newTestKV(), reference: make(naiveTable)}
+	m := &tableMachine{kv: newTestKV(), reference: make(referenceTable)}
 	for i := range 2 {
 		m.operators = append(m.operators, &operator{editor: newTestEditor(m.kv, strconv.Itoa(i))})
-		m.see(t, m.operators[i])
+		m.readTable(t, m.operators[i])
 	}
 	for range 2 {
 		m.replicas = append(m.replicas, NewReplica(ReplicaOptions{KV: m.kv}))
@@ -70,22 +71,22 @@
 	return m
 }
 
-func (m *tableMachine) see(t *rapid.T, o *operator) {
+func (m *tableMachine) readTable(t *rapid.T, o *operator) {
 	stored, err := o.editor.load(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.plan = stored
-	o.saw = make(naiveTable)
+	o.stored = stored
+	o.seen = make(referenceTable)
 	for id, row := range m.reference {
-		o.saw[id] = row
+		o.seen[id] = row
 	}
 }
 
-// change makes an operator's wish a Change from what it saw.
+// change returns the Change that sets a weight, based on the table that the operator has read.
 func (o *operator) change(id, weight string) (Change, bool) {
-	seen, existed := o.saw[id]
-	c := Change{Kind: EditChange, Sheet: SheetOrganisations, ID: id, SeenRevision: seenRevision(o.plan, SheetOrganisations, id)}
+	seen, existed := o.seen[id]
+	c := Change{Kind: EditChange, Sheet: SheetOrganisations, ID: id, SeenRevision: seenRevision(o.stored, SheetOrganisations, id)}
 	if weight != "" {
 		c.After = machineCells(id, weight)
 	}
@@ -94,7 +95,7 @@
 	}
 	switch {
 	case weight == "" && seen.weight == "":
-		return c, false // an operator removes only what it sees
+		return c, false // an operator removes only rows that it has read
 	case weight == "":
 		c.Kind = EditRemove
 	case !existed || seen.weight == "":
@@ -103,15 +104,16 @@
 	return c, true
 }
 
-// TestTableAgainstNaive compares edits of two operators, with stale views and lost
-// answers, and replicas that read, gossip, restart and get late pages, with the reference.
-func TestTableAgainstNaive(t *testing.T) {
+// TestTableMatchesReferenceModel compares the table with the reference model under edits of two
+// operators with stale reads and lost responses, and with replicas that read, gossip, restart
+// and receive delayed pages.
+func TestTableMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTableMachine(t)
 		pick := func(t *rapid.T) *operator { return rapid.SampledFrom(m.operators).Draw(t, "operator") }
 		replica := func(t *rapid.T) int { return rapid.IntRange(0, 1).Draw(t, "replica") }
 		t.Repeat(map[string]func(*rapid.T){
-			"see": func(t *rapid.T) { m.see(t, pick(t)) },
+			"see": func(t *rapid.T) { m.readTable(t, pick(t)) },
 			"edit": func(t *rapid.T) {
 				if rapid.IntRange(0, 3).Draw(t, "lose") == 0 {
 					m.kv.LoseWrites(1)
@@ -120,12 +122,12 @@
 				m.edit(t, pick(t), rapid.SampledFrom(machineIDs).Draw(t, "id"), weight)
 				m.kv.LoseWrites(0)
 			},
-			"read":    func(t *rapid.T) { m.take(t, replica(t), nil) },
-			"gossip":  func(t *rapid.T) { m.take(t, replica(t), m.keep(m.replicas[replica(t)].PagesNewerThan(nil))) },
+			"read":    func(t *rapid.T) { m.update(t, replica(t), nil) },
+			"gossip":  func(t *rapid.T) { m.update(t, replica(t), m.recordDelayed(m.replicas[replica(t)].PagesNewerThan(nil))) },
 			"restart": func(t *rapid.T) { m.replicas[replica(t)] = NewReplica(ReplicaOptions{KV: m.kv}) },
 			"late": func(t *rapid.T) {
-				if len(m.late) > 0 {
-					m.take(t, replica(t), rapid.SampledFrom(m.late).Draw(t, "pages"))
+				if len(m.delayed) > 0 {
+					m.update(t, replica(t), rapid.SampledFrom(m.delayed).Draw(t, "pages"))
 				}
 			},
 			"": m.check,
@@ -133,9 +135,9 @@
 	})
 }
 
-func (m *tableMachine) keep(pages []*peer.Page) []*peer.Page {
-	m.late = append(m.late, pages)
-	return append([]*peer.Page{}, pages...) // not nil, which stands for a read
+func (m *tableMachine) recordDelayed(pages []*peer.Page) []*peer.Page {
+	m.delayed = append(m.delayed, pages)
+	return append([]*peer.Page{}, pages...) // not nil, since nil stands for a read
 }
 
 func (m *tableMachine) edit(t *rapid.T, o *operator, id, weight string) {
@@ -143,22 +145,23 @@
 	if !possible {
 		return
 	}
-	wantConflict := m.reference.edit(id, weight, o.saw[id])
+	wantConflict := m.reference.edit(id, weight, o.seen[id])
 	_, err := o.editor.Apply(context.Background(), &Plan{Changes: []Change{change}})
 	var conflict *ConflictError
 	if errors.As(err, &conflict) != wantConflict {
-		t.Fatalf("conflict wanted %v, got %v", wantConflict, err)
+		t.Fatalf("want conflict %v, got error %v", wantConflict, err)
 	}
 	if err != nil && !wantConflict {
 		t.Fatal(err)
 	}
 	if wantConflict && conflict.CurrentRevision == conflict.SeenRevision {
-		t.Fatalf("a conflict without a difference: %+v", conflict)
+		t.Fatalf("conflict between equal revisions: %+v", conflict)
 	}
 }
 
-// take lets a replica read (nil pages) or merge, and checks that no page goes back.
-func (m *tableMachine) take(t *rapid.T, i int, pages []*peer.Page) {
+// update makes a replica read (nil pages) or merge pages, and checks that no page goes back to
+// an earlier revision.
+func (m *tableMachine) update(t *rapid.T, i int, pages []*peer.Page) {
 	r := m.replicas[i]
 	_, before := r.Digest()
 	if pages == nil {
@@ -169,7 +172,7 @@
 		r.Merge(pages)
 	}
 	if r.IsBehind(before) {
-		t.Fatal("a page went back to a lower revision")
+		t.Fatal("a page went back to an earlier revision")
 	}
 	if pages == nil {
 		m.checkReplica(t, r)
@@ -185,12 +188,12 @@
 			}
 		}
 		if want := m.reference[id].weight; weight != want {
-			t.Fatalf("row %s: weight %q in force, want %q", id, weight, want)
+			t.Fatalf("row %s: replica has weight %q, want %q", id, weight, want)
 		}
 	}
 }
 
-// check compares an export with the reference, and reads it back.
+// check exports and parses the table, and compares it with the reference model.
 func (m *tableMachine) check(t *rapid.T) {
 	editor := m.operators[0].editor
 	files, err := editor.Export(context.Background())
--- a/internal/table/page.go
+++ b/internal/table/page.go
@@ -9,24 +9,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// historyLength is how many edits of a row are kept.
+// historyLength is the number of edits that a row retains.
 const historyLength = 6
 
-// ErrPageFull reports an edit that would make a page larger than MaxPageBytes even
-// without histories; it was not written.
+// ErrPageFull reports an edit that would make a page exceed MaxPageBytes even after
+// histories were trimmed; the edit was not written.
 var ErrPageFull = errors.New("table: page full")
 
 // ErrBadPage reports a stored page that can't be decoded.
-var ErrBadPage = errors.New("table: stored page can't be decoded")
+var ErrBadPage = errors.New("table: cannot decode stored page")
 
-// CellChange is one cell's text before and after an edit.
+// CellChange is the text of one cell before and after an edit.
 type CellChange struct {
 	Column string `json:"column"`
 	Old    string `json:"old"`
 	New    string `json:"new"`
 }
 
-// EditKind tells what an edit does to a row.
+// EditKind is the effect of an edit on a row.
 type EditKind string
 
 // The kinds of edits.
@@ -38,7 +38,7 @@
 
 // Edit is one accepted edit of a row.
 type Edit struct {
-	ID       string       `json:"id"` // identity of the write, the same for all rows of one apply
+	ID       string       `json:"id"` // id of the write, shared by all rows of one Apply
 	Kind     EditKind     `json:"kind"`
 	Revision uint64       `json:"revision"` // the row's revision after the edit
 	Operator string       `json:"who"`
@@ -46,8 +46,8 @@
 	Cells    []CellChange `json:"cells,omitempty"` // empty for an added row
 }
 
-// record is a row as stored. A removed row stays as a record without cells, so that an
-// operator who still sees the row is told that it was removed.
+// record is a stored row. A removed row remains as a record without cells, so that an operator
+// that read the row earlier gets a conflict that reports the removal.
 type record struct {
 	ID       string   `json:"id"`
 	Revision uint64   `json:"revision"`
@@ -60,8 +60,8 @@
 	return slices.ContainsFunc(r.History, func(e Edit) bool { return e.ID == id })
 }
 
-// cellsAt returns the row's cells at an earlier revision by undoing later edits, as far
-// as the history reaches.
+// cellsAt returns the row's cells at an earlier revision by undoing the later edits that the
+// history contains.
 func (r *record) cellsAt(sheet Sheet, revision uint64) []string {
 	columns := Columns(sheet)
 	cells := make([]string, len(columns))
@@ -79,9 +79,8 @@
 	return cells
 }
 
-// page is the unit of storage and distribution. Row revisions count the edits of the
-// whole page, so that a row that was removed and forgotten never gets an old revision
-// again.
+// page is the unit of storage and distribution. Row revisions count the edits of the whole
+// page, so that a row never reuses a revision after its removal record was dropped.
 type page struct {
 	Name    string    `json:"name"`
 	Columns []string  `json:"columns"`
@@ -93,33 +92,33 @@
 	return &page{Name: name, Columns: Columns(sheet)}
 }
 
-// decodePage reads a stored page and brings its cells into the order of today's columns.
+// decodePage decodes a stored page and reorders its cells to the current columns.
 func decodePage(name string, value []byte) (*page, error) {
 	sheet, ok := sheetOfPage(name)
 	if !ok {
-		return nil, errors.Mark(errors.Newf("no page %q", name), ErrBadPage)
+		return nil, errors.Mark(errors.Newf("unknown page %q", name), ErrBadPage)
 	}
 	p := new(page)
 	if err := json.Unmarshal(value, p); err != nil {
 		return nil, errors.Mark(errors.Wrapf(err, "page %s", name), ErrBadPage)
 	}
 	if p.Name != name {
-		return nil, errors.Mark(errors.Newf("page %s holds page %q", name, p.Name), ErrBadPage)
+		return nil, errors.Mark(errors.Newf("page %s contains page %q", name, p.Name), ErrBadPage)
 	}
-	if err := p.reorder(Columns(sheet)); err != nil {
+	if err := p.reorderColumns(Columns(sheet)); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-func (p *page) reorder(columns []string) error {
-	places := make([]int, len(columns))
+func (p *page) reorderColumns(columns []string) error {
+	positions := make([]int, len(columns))
 	for i, column := range columns {
-		places[i] = slices.Index(p.Columns, column)
+		positions[i] = slices.Index(p.Columns, column)
 	}
 	for _, r := range p.Records {
 		if r == nil {
-			return errors.Mark(errors.Newf("page %s: empty record", p.Name), ErrBadPage)
+			return errors.Mark(errors.Newf("page %s: null record", p.Name), ErrBadPage)
 		}
 		if r.Removed {
 			continue
@@ -127,17 +126,17 @@
 		if len(r.Cells) != len(p.Columns) {
 			return errors.Mark(errors.Newf("page %s: row %q has %d cells, want %d", p.Name, r.ID, len(r.Cells), len(p.Columns)), ErrBadPage)
 		}
-		r.Cells = pick(r.Cells, places)
+		r.Cells = reorderCells(r.Cells, positions)
 	}
 	p.Columns = columns
 	return nil
 }
 
-func pick(cells []string, places []int) []string {
-	out := make([]string, len(places))
-	for i, place := range places {
-		if place >= 0 {
-			out[i] = cells[place]
+func reorderCells(cells []string, positions []int) []string {
+	out := make([]string, len(positions))
+	for i, position := range positions {
+		if position >= 0 {
+			out[i] = cells[position]
 		}
 	}
 	return out
@@ -147,7 +146,7 @@
 	return slices.BinarySearchFunc(p.Records, id, func(r *record, id string) int { return strings.Compare(r.ID, id) })
 }
 
-// get returns the record of a row, nil if it never existed or is forgotten.
+// get returns the record of a row, or nil if the row never existed or its record was dropped.
 func (p *page) get(id string) *record {
 	i, ok := p.find(id)
 	if !ok {
@@ -156,7 +155,7 @@
 	return p.Records[i]
 }
 
-// edit carries out a change that was checked against the row's revision.
+// edit applies a change that was checked against the row's revision.
 func (p *page) edit(c Change, stamp editStamp) {
 	i, ok := p.find(c.ID)
 	if !ok {
@@ -167,7 +166,7 @@
 	r.Revision = p.Edits
 	r.Removed = c.Kind == EditRemove
 	r.Cells = c.After
-	edit := Edit{ID: stamp.id, Kind: c.Kind, Revision: r.Revision, Operator: stamp.who, Time: stamp.when}
+	edit := Edit{ID: stamp.id, Kind: c.Kind, Revision: r.Revision, Operator: stamp.operator, Time: stamp.time}
 	if c.Kind != EditAdd {
 		edit.Cells = c.Cells()
 	}
@@ -179,8 +178,8 @@
 	return history[max(0, len(history)-n):]
 }
 
-// encode returns the page's value. A page above the limit loses old history first and
-// removed rows then; rows in force are never dropped.
+// encode returns the page's value. If the value exceeds MaxPageBytes, encode drops old
+// history first and the records of removed rows next; it never drops other rows.
 func (p *page) encode() ([]byte, error) {
 	for _, keep := range []int{historyLength, 2, 1} {
 		for _, r := range p.Records {
@@ -200,7 +199,7 @@
 		return nil, errors.Wrapf(err, "page %s", p.Name)
 	}
 	if len(value) > MaxPageBytes {
-		return nil, errors.Mark(errors.Newf("page %s would hold %d bytes, at most %d", p.Name, len(value), MaxPageBytes), ErrPageFull)
+		return nil, errors.Mark(errors.Newf("page %s has %d bytes, limit is %d", p.Name, len(value), MaxPageBytes), ErrPageFull)
 	}
 	return value, nil
 }
--- a/internal/table/problem.go
+++ b/internal/table/problem.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Problem is one thing wrong with a file, row or cell.
+// Problem is one error in a file, row or cell.
 type Problem struct {
 	File    string `json:"file,omitempty"`
-	Line    int    `json:"line,omitempty"` // first line is 1; 0: the whole file
+	Line    int    `json:"line,omitempty"` // 1-based; 0: the whole file
 	Sheet   Sheet  `json:"sheet,omitempty"`
 	Row     string `json:"row,omitempty"`
 	Column  string `json:"column,omitempty"`
@@ -17,7 +17,7 @@
 	Allowed string `json:"allowed,omitempty"`
 }
 
-// String returns the problem on one line.
+// String formats the problem on one line.
 func (p Problem) String() string {
 	var b strings.Builder
 	if p.File != "" {
@@ -36,8 +36,7 @@
 	return b.String()
 }
 
-// CheckError reports everything wrong with the given files or edit. Nothing of them was
-// written.
+// CheckError lists all problems of the given files or edit. No row of them was written.
 type CheckError struct {
 	Problems []Problem
 }
@@ -48,10 +47,10 @@
 	for i, p := range e.Problems {
 		lines[i] = p.String()
 	}
-	return "table: refused whole:\n  " + strings.Join(lines, "\n  ")
+	return "table: rejected, no row was written:\n  " + strings.Join(lines, "\n  ")
 }
 
-func checkError(problems []Problem) error {
+func problemsToError(problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
 	}
--- a/internal/table/replica.go
+++ b/internal/table/replica.go
@@ -14,11 +14,11 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// NeverConfirmed is the age that Confirmed returns before the first proof.
+// NeverConfirmed is the age that ProofAge returns before the first freshness proof.
 const NeverConfirmed = time.Duration(math.MaxInt64)
 
-// maxAnswerBytes bounds the pages in one answer to a peer; the peer asks again.
-const maxAnswerBytes = 1 << 20
+// maxResponseBytes bounds the pages in one response to a peer; the peer requests the rest.
+const maxResponseBytes = 1 << 20
 
 // ReplicaOptions configures a Replica. Zero durations stand for the defaults.
 type ReplicaOptions struct {
@@ -29,9 +29,12 @@
 	Timing  Timing
 }
 
-// Replica is a daemon's copy of the table. It takes a page only at a higher revision,
-// from the service or from a peer, so an accepted edit that was once in force here is
-// never undone by an older copy. It is safe for concurrent use.
+// Replica is a daemon's copy of the table. It replaces a page only by a higher revision,
+// from the key-value service or from a peer, so that an older copy never reverts an accepted
+// edit that the replica has applied. It is safe for concurrent use.
+//
+// The replica's freshness proof is the latest time at which its table was known to equal the
+// one in the key-value service.
 type Replica struct {
 	kv      platform.KV
 	log     hclog.Logger
@@ -41,12 +44,12 @@
 
 	current atomic.Pointer[Snapshot]
 
-	mu      sync.Mutex // guards what follows and replacing current
+	mu      sync.Mutex // guards the fields below and replacement of current
 	changed chan struct{}
-	proof   time.Time // when the table was last known to be the service's; zero: never
+	proof   time.Time // time of the freshness proof; zero: none
 }
 
-// NewReplica returns an empty replica that has no proof yet.
+// NewReplica returns an empty replica without a freshness proof.
 func NewReplica(o ReplicaOptions) *Replica {
 	r := &Replica{kv: o.KV, log: o.Logger, metrics: o.Metrics, now: o.Now, timing: o.Timing.withDefaults()}
 	if r.log == nil {
@@ -63,51 +66,51 @@
 	return r
 }
 
-// Current returns the table in force here.
+// Current returns the replica's latest snapshot.
 func (r *Replica) Current() *Snapshot { return r.current.Load() }
 
-// Changed returns a channel that is closed at the next change of Current. Take it before
-// reading Current, so that no change is missed.
+// Changed returns a channel that is closed at the next change of Current. Callers must call
+// Changed before Current in order not to miss a change.
 func (r *Replica) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// Merge takes the pages that are newer than those held and returns how many it took. A
-// page that can't be decoded is left out, and the earlier one stays in force.
+// Merge applies the pages that are newer than the replica's own and returns their number. It
+// skips a page that can't be decoded and keeps the earlier one.
 func (r *Replica) Merge(pages []*peer.Page) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	taken, _ := r.merge(pages)
-	return taken
+	merged, _ := r.merge(pages)
+	return merged
 }
 
-// merge also returns how many pages were refused as undecodable.
-func (r *Replica) merge(pages []*peer.Page) (taken, refused int) {
+// merge also returns how many pages it rejected as undecodable. The caller holds r.mu.
+func (r *Replica) merge(pages []*peer.Page) (merged, rejected int) {
 	held := r.current.Load().pages
 	next := maps.Clone(held)
 	if next == nil {
-		next = make(map[string]*livePage)
+		next = make(map[string]*decodedPage)
 	}
 	for _, p := range pages {
 		if old, ok := next[p.Name]; ok && old.revision >= p.Revision {
 			continue
 		}
-		live, err := decodeLive(p.Name, p.Revision, p.Value)
+		decoded, err := decodePageRows(p.Name, p.Revision, p.Value)
 		if err != nil {
-			r.log.Error("Page refused", "page", p.Name, "revision", p.Revision, "error", err)
+			r.log.Error("Page cannot be decoded; earlier revision kept", "page", p.Name, "revision", p.Revision, "error", err)
 			r.metrics.Counter("table_pages_refused").Inc(1)
-			refused++
+			rejected++
 			continue
 		}
-		next[p.Name] = live
-		taken++
+		next[p.Name] = decoded
+		merged++
 	}
-	if taken > 0 {
+	if merged > 0 {
 		r.publish(newSnapshot(next))
 	}
-	return taken, refused
+	return merged, rejected
 }
 
 func (r *Replica) publish(s *Snapshot) {
@@ -115,10 +118,10 @@
 	close(r.changed)
 	r.changed = make(chan struct{})
 	r.metrics.Gauge("table_revision").Update(float64(s.revision))
-	r.log.Info("Table changed", "revision", s.revision, "hash", s.hash)
+	r.log.Info("Table updated", "revision", s.revision, "hash", s.hash)
 }
 
-// Digest returns the hash over all pages and each page's revision, ordered by name.
+// Digest returns the hash over all pages, and each page's revision ordered by page name.
 func (r *Replica) Digest() (uint64, []*peer.PageDigest) {
 	s := r.current.Load()
 	return s.hash, s.digest()
@@ -132,8 +135,8 @@
 	return digest
 }
 
-// PagesNewerThan returns pages held here at a higher revision than in have. The answer is bounded
-// in bytes: a caller that took some merges them and asks again.
+// PagesNewerThan returns pages of which the replica has a higher revision than have lists.
+// The result is bounded in bytes; a caller merges it and calls again for the rest.
 func (r *Replica) PagesNewerThan(have []*peer.PageDigest) []*peer.Page {
 	known := make(map[string]uint64, len(have))
 	for _, d := range have {
@@ -146,7 +149,7 @@
 			continue
 		}
 		size += len(p.value)
-		if size > maxAnswerBytes && len(pages) > 0 {
+		if size > maxResponseBytes && len(pages) > 0 {
 			break
 		}
 		pages = append(pages, &peer.Page{Name: p.name, Revision: p.revision, Value: p.value})
@@ -154,7 +157,7 @@
 	return pages
 }
 
-// IsBehind tells whether a digest names a page at a higher revision than held here.
+// IsBehind reports whether a digest lists a page at a higher revision than the replica has.
 func (r *Replica) IsBehind(theirs []*peer.PageDigest) bool {
 	held := r.current.Load().pages
 	for _, d := range theirs {
@@ -166,9 +169,9 @@
 	return false
 }
 
-// ProofAge returns the age of the last proof that the table here was the service's, or
-// NeverConfirmed. A daemon whose proof is older than its setting allows takes no new
-// requests: it may have missed an accepted edit.
+// ProofAge returns the age of the freshness proof, or NeverConfirmed. A daemon accepts no new
+// requests while its proof is older than its settings allow, because it may have missed an
+// accepted edit.
 func (r *Replica) ProofAge(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,17 +181,18 @@
 	return max(0, now.Sub(r.proof))
 }
 
-// PeerProof is what a peer's answer says about how current its table is.
+// PeerProof is a peer's freshness proof as its response to a request carries it.
 type PeerProof struct {
-	Age   time.Duration // age of the peer's own proof when it answered
+	Age   time.Duration // age of the peer's own proof when it responded
 	Hash  uint64
-	Pages []*peer.PageDigest // may be empty if the hashes agree
+	Pages []*peer.PageDigest // may be empty if the hashes are equal
 }
 
-// AdoptPeerProof takes a peer's proof from its answer to a question sent at sent. It holds
-// here only if this replica has everything that the peer has. The age counts from when
-// the question was sent, so a delay on the way makes the proof older, never younger; a
-// proof is not taken from a peer's question, whose time on the way is unknown.
+// AdoptPeerProof adopts the proof in a peer's response to a request that was sent at sent, and
+// reports whether it did. The proof is valid for this replica only if the replica has every
+// page revision that the peer has. The age counts from the sending of the request, so that
+// network delay makes the proof older, never younger. Proofs in a peer's requests are not
+// adopted, since their time in transit is unknown.
 func (r *Replica) AdoptPeerProof(sent time.Time, p PeerProof) bool {
 	if p.Age == NeverConfirmed {
 		return false
--- a/internal/table/replica_test.go
+++ b/internal/table/replica_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fastTiming makes Run look at once where a daemon would take its time.
+// fastTiming shortens the periods of Run for tests.
 var fastTiming = Timing{
 	WatchWait: 20 * time.Millisecond, PollInterval: time.Millisecond, FirstReadDelay: time.Millisecond,
 	BackoffMin: time.Millisecond, BackoffMax: 2 * time.Millisecond,
@@ -33,7 +33,7 @@
 	})
 }
 
-// waitFor waits until the replica fulfils a condition; the test's own timeout ends it.
+// waitFor waits until the replica meets a condition or the test's timeout ends.
 func waitFor(t *testing.T, r *Replica, condition func() bool) {
 	t.Helper()
 	for {
@@ -43,17 +43,17 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(time.Millisecond): // a proof may come without a change
+		case <-time.After(time.Millisecond): // a new proof does not signal Changed
 		case <-t.Context().Done():
 			t.Fatal("condition not met")
 		}
 	}
 }
 
-// A daemon restarts while the key-value service is down. It has nothing, and the peer it
-// meets first is one that missed the last edits. It must take the newer pages from the
-// second peer, keep them when the first tells its old ones again, and count itself
-// current only as long ago as the peer that was.
+// TestRestartDuringOutageLearnsFromPeers: a daemon restarts with an empty replica while the
+// key-value service is down. Its first peer has missed the last edit. The daemon must merge
+// the newer pages of the second peer, keep them when the first peer sends its old pages again,
+// and adopt a proof that is no younger than that of the up-to-date peer.
 func TestRestartDuringOutageLearnsFromPeers(t *testing.T) {
 	kv := newTestKV()
 	editor := applySample(t, kv)
@@ -74,7 +74,7 @@
 	now = now.Add(20 * time.Second)
 
 	restarted := NewReplica(ReplicaOptions{KV: kv, Now: clock})
-	learn := func(from *Replica) {
+	pullFrom := func(from *Replica) {
 		_, have := restarted.Digest()
 		restarted.Merge(from.PagesNewerThan(have))
 		hash, pages := from.Digest()
@@ -82,33 +82,34 @@
 	}
 	naive := map[string][]byte{}
 	for _, from := range []*Replica{old, current, old} {
-		learn(from)
+		pullFrom(from)
 		for _, p := range from.PagesNewerThan(nil) {
-			naive[p.Name] = p.Value // takes whatever it is told
+			naive[p.Name] = p.Value // replaces pages regardless of their revision
 		}
 	}
 	if o, _ := restarted.Current().Organisation("acme"); o == nil || o.Weight != 77 {
 		t.Fatalf("acme after the restart: %+v", o)
 	}
 	name := PageName(SheetOrganisations, "acme")
-	if live, err := decodeLive(name, 1, naive[name]); err != nil || live.organisations["acme"].Weight == 77 {
-		t.Fatal("the naive copy did not revert; the story no longer shows the fault")
+	if decoded, err := decodePageRows(name, 1, naive[name]); err != nil || decoded.organisations["acme"].Weight == 77 {
+		t.Fatal("the naive copy did not revert; the test no longer shows the fault")
 	}
 	if age := restarted.ProofAge(now); age != 20*time.Second {
 		t.Fatalf("proof is %v old, want 20s", age)
 	}
 	if age := old.ProofAge(now); age != 30*time.Second {
-		t.Fatalf("the daemon that missed the edit counts its proof %v old, want 30s", age)
+		t.Fatalf("proof of the daemon that missed the edit is %v old, want 30s", age)
 	}
 	hash, pages := restarted.Digest()
 	if old.AdoptPeerProof(now, PeerProof{Age: 0, Hash: hash, Pages: pages}) {
-		t.Fatal("a daemon that lacks a page took a proof")
+		t.Fatal("a daemon that is behind its peer adopted the peer's proof")
 	}
 }
 
-// The service goes away and comes back while a watcher waits on it. The edit made right
-// after must come into force there, although the watch in between failed.
-func TestWatcherOutlivesOutage(t *testing.T) {
+// TestWatcherRecoversAfterOutage: the key-value service fails and recovers while a replica
+// watches it. The replica must apply an edit made right after the outage, although its watch
+// failed in between.
+func TestWatcherRecoversAfterOutage(t *testing.T) {
 	kv := newTestKV()
 	editor := applySample(t, kv)
 	replica := NewReplica(ReplicaOptions{KV: kv, Timing: fastTiming})
@@ -127,8 +128,8 @@
 	waitFor(t, replica, func() bool { return weight() == 55 })
 }
 
-// A page that a newer program wrote can't be read here. The rows in force stay, and the
-// daemon must not count itself current.
+// TestUndecodablePageKeepsRowsAndProof: a page that a newer version of the program wrote can't
+// be decoded. The replica must keep the earlier rows and must not renew its proof.
 func TestUndecodablePageKeepsRowsAndProof(t *testing.T) {
 	kv := newTestKV()
 	applySample(t, kv)
@@ -148,33 +149,34 @@
 	}
 	now = now.Add(time.Minute)
 	if err := loop.read(t.Context(), 0); err == nil {
-		t.Fatal("a bad page was read without an error")
+		t.Fatal("an undecodable page was read without an error")
 	}
 	if _, ok := replica.Current().Organisation("acme"); !ok {
-		t.Fatal("acme is gone")
+		t.Fatal("acme was removed")
 	}
 	if age := replica.ProofAge(now); age != time.Minute {
 		t.Fatalf("proof is %v old, want 1m", age)
 	}
 }
 
-// smallListKV fails lists of everything, as a slow link does with some megabytes.
-type smallListKV struct{ *testKV }
+// partialListKV fails a list of all pages, as a slow link does for some megabytes.
+type partialListKV struct{ *testKV }
 
-func (kv smallListKV) List(ctx context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
+func (kv partialListKV) List(ctx context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
 	if prefix == KeyPrefix {
 		return nil, 0, platform.ErrUnavailable
 	}
 	return kv.testKV.List(ctx, prefix)
 }
 
-// All daemons start while the link to the service is slow: a list of the whole table never
-// comes in time. Without any table they would refuse everybody; they must read it in
-// parts, and go on with watches from there.
-func TestReadsInPartsWhenTheListIsTooSlow(t *testing.T) {
+// TestReadsInPartsWhenFullListFails: all daemons start while the link to the key-value service
+// is slow, so that a list of the whole table always times out. Without a table the daemons
+// would reject all requests. A replica must list the pages by prefix and then watch for
+// changes from there.
+func TestReadsInPartsWhenFullListFails(t *testing.T) {
 	kv := newTestKV()
 	editor := applySample(t, kv)
-	replica := NewReplica(ReplicaOptions{KV: smallListKV{kv}, Timing: fastTiming})
+	replica := NewReplica(ReplicaOptions{KV: partialListKV{kv}, Timing: fastTiming})
 	runReplica(t, replica, true)
 	weight := func() int {
 		o, ok := replica.Current().Organisation("acme")
--- a/internal/table/row.go
+++ b/internal/table/row.go
@@ -2,28 +2,28 @@
 
 import "github.com/bluebellscale/bluebellscale/internal/request"
 
-// Organisation is a row of the organisations sheet: who may call and how much.
+// Organisation is a row of the organisations sheet: an organisation with its key, permissions and limits.
 type Organisation struct {
 	ID                request.OrgID
 	KeySHA256         string                            // hexadecimal digest of the bearer key
 	Weight            int                               // share of a contended target, 1..1000
-	RequestsPerSecond float64                           // over all daemons
-	Burst             int                               // requests at once above the rate
-	Concurrency       int                               // requests running at once, over all daemons
-	TokensPerSecond   float64                           // prompt and output tokens, over all daemons
-	Models            map[request.Model]request.Version // models it may use, each with the wanted version; empty version: the model's default
-	Services          []string                          // plain services it may call
+	RequestsPerSecond float64                           // summed over all daemons
+	Burst             int                               // requests that may exceed the rate at once
+	Concurrency       int                               // concurrent requests, summed over all daemons
+	TokensPerSecond   float64                           // prompt and output tokens, summed over all daemons
+	Models            map[request.Model]request.Version // permitted models with their weight versions; empty version: the model's default
+	Services          []string                          // permitted plain services
 }
 
 // ModelRow is a row of the models sheet.
 type ModelRow struct {
 	ID             request.Model
 	DefaultVersion request.Version
-	BytesPerToken  int64 // size of KV cache
-	LoadCap        int   // replicas that may load weights at once
+	BytesPerToken  int64 // KV cache size
+	LoadCap        int   // replicas that may load weights concurrently
 }
 
-// TargetKind tells model engines from plain services.
+// TargetKind distinguishes model engines from plain services.
 type TargetKind string
 
 const (
@@ -37,16 +37,16 @@
 type Target struct {
 	ID            request.TargetID
 	Kind          TargetKind
-	Address       string // host:port, host an IP number
+	Address       string // host:port with an IP address
 	FailureDomain string
 	Model         request.Model   // engines
-	Version       request.Version // engines: the weight version wanted there; empty: the model's default
-	Adapter       string          // engines: the adapter wanted there; empty: any
-	Role          string          // engines: the role wanted there; empty: any
-	Service       string          // plain services: the service's name
-	ChecksFencing bool            // refuses orders with an old epoch
-	Repeatable    bool            // plain services: a call may be sent twice
-	Capacity      int             // requests at once
+	Version       request.Version // engines: weight version to serve; empty: the model's default
+	Adapter       string          // engines: adapter to serve; empty: any
+	Role          string          // engines: role to serve; empty: any
+	Service       string          // plain services: name of the service
+	ChecksFencing bool            // the target rejects orders with an outdated epoch
+	Repeatable    bool            // plain services: calls are idempotent and may be sent more than once
+	Capacity      int             // concurrent requests
 }
 
 // Store is a row of the stores sheet.
--- a/internal/table/run.go
+++ b/internal/table/run.go
@@ -19,14 +19,14 @@
 
 // Timing holds the periods of Run. Zero values stand for the defaults.
 type Timing struct {
-	WatchWait      time.Duration // longest wait of one watch; 2 s
-	CallTimeout    time.Duration // on top of WatchWait; 3 s
-	PollInterval   time.Duration // how often a daemon looks whether it is a watcher; 250 ms
-	FirstReadDelay time.Duration // a daemon that peers told nothing reads for itself after this; 2 s
-	MaxProofAge    time.Duration // a daemon whose proof is older reads for itself; 8 s
-	RereadInterval time.Duration // every daemon reads for itself once in this time; 10 min
-	BackoffMin     time.Duration // first pause after a failed read; 200 ms
-	BackoffMax     time.Duration // longest pause after a failed read; 10 s
+	WatchWait      time.Duration // maximum duration of one watch; default 2 s
+	CallTimeout    time.Duration // timeout of a call, added to WatchWait; default 3 s
+	PollInterval   time.Duration // interval at which a daemon checks whether it is a watcher; default 250 ms
+	FirstReadDelay time.Duration // a daemon without a proof from its peers reads the table itself after this time; default 2 s
+	MaxProofAge    time.Duration // a daemon whose proof is older reads the table itself; default 8 s
+	RereadInterval time.Duration // interval at which every daemon reads the table itself, before jitter; default 10 min
+	BackoffMin     time.Duration // first backoff after a failed read; default 200 ms
+	BackoffMax     time.Duration // maximum backoff after a failed read; default 10 s
 }
 
 // DefaultTiming returns the periods that Run uses by default.
@@ -49,134 +49,134 @@
 	return t
 }
 
-// Run reads the table from the service until ctx ends. While watcher returns true this
-// daemon waits for changes there; otherwise it reads only when peers leave it without a
-// proof, and rarely in any case. The service's calls so grow with the number of watchers,
-// not of daemons.
+// Run reads the table from the key-value service until ctx ends. While watcher returns true,
+// the daemon watches the service for changes. Otherwise it reads the table only if its peers
+// provide no recent proof, and at the long RereadInterval. The number of calls to the service
+// thus grows with the number of watchers, not of daemons.
 func (r *Replica) Run(ctx context.Context, watcher func() bool) error {
-	loop := &runLoop{replica: r, started: r.now(), pause: backoff.NewExponentialBackOff()}
-	loop.pause.InitialInterval = r.timing.BackoffMin
-	loop.pause.MaxInterval = r.timing.BackoffMax
+	loop := &runLoop{replica: r, started: r.now(), backoff: backoff.NewExponentialBackOff()}
+	loop.backoff.InitialInterval = r.timing.BackoffMin
+	loop.backoff.MaxInterval = r.timing.BackoffMax
 	loop.lastRead = loop.started
 	loop.setRereadJitter()
 	for ctx.Err() == nil {
 		wait := loop.step(ctx, watcher())
-		_ = sleep.For(ctx, wait) // the loop asks the context itself
+		_ = sleep.For(ctx, wait) // the loop checks ctx.Err
 	}
 	return ctx.Err()
 }
 
-// Read reads all pages from the service once. Run does so by itself; it is for callers that
-// hold the clock, such as fault schedules.
+// Read reads all pages from the key-value service once. It serves callers that control the
+// clock, such as fault schedules, in place of Run.
 func (r *Replica) Read(ctx context.Context) error {
 	loop := &runLoop{replica: r, started: r.now()}
 	return loop.read(ctx, 0)
 }
 
-// runLoop is the state of one Run.
+// runLoop holds the state of one Run.
 type runLoop struct {
-	replica  *Replica
-	started  time.Time
-	lastRead time.Time
-	reread   time.Duration
-	listed   bool              // after is valid
-	inParts  bool              // list in several calls, since a list of all failed
-	after    platform.Revision // everything up to here was read
-	pause    *backoff.ExponentialBackOff
+	replica      *Replica
+	started      time.Time
+	lastRead     time.Time
+	rereadAfter  time.Duration
+	listed       bool              // lastRevision is valid
+	listInParts  bool              // list by prefix, since a list of all pages failed
+	lastRevision platform.Revision // all changes up to this revision were read
+	backoff      *backoff.ExponentialBackOff
 }
 
-// setRereadJitter spreads the rare reads of a fleet that started at once.
+// setRereadJitter spreads the periodic reads of daemons that started at the same time.
 func (l *runLoop) setRereadJitter() {
-	l.reread = l.replica.timing.RereadInterval + rand.N(l.replica.timing.RereadInterval/2)
+	l.rereadAfter = l.replica.timing.RereadInterval + rand.N(l.replica.timing.RereadInterval/2)
 }
 
-// step does at most one call and returns how long to wait before the next step.
+// step makes at most one read and returns the delay before the next step.
 func (l *runLoop) step(ctx context.Context, watching bool) time.Duration {
 	wait := l.replica.timing.WatchWait
 	if !watching {
-		if !l.due(l.replica.now()) {
+		if !l.needsRead(l.replica.now()) {
 			return l.replica.timing.PollInterval
 		}
 		wait = 0
 	}
 	if err := l.read(ctx, wait); err != nil {
 		if ctx.Err() == nil {
-			l.replica.log.Warn("Table was not read", "error", err)
+			l.replica.log.Warn("Cannot read table from the key-value service", "error", err)
 			l.replica.metrics.Counter("table_read_errors").Inc(1)
 		}
-		return l.pause.NextBackOff()
+		return l.backoff.NextBackOff()
 	}
-	l.pause.Reset()
+	l.backoff.Reset()
 	if watching {
 		return 0
 	}
 	return l.replica.timing.PollInterval
 }
 
-// due tells whether a daemon that is no watcher should read for itself.
-func (l *runLoop) due(now time.Time) bool {
+// needsRead reports whether a daemon that is not a watcher should read the table itself.
+func (l *runLoop) needsRead(now time.Time) bool {
 	age := l.replica.ProofAge(now)
 	if age == NeverConfirmed {
 		return now.Sub(l.started) >= l.replica.timing.FirstReadDelay
 	}
-	return age >= l.replica.timing.MaxProofAge || now.Sub(l.lastRead) >= l.reread
+	return age >= l.replica.timing.MaxProofAge || now.Sub(l.lastRead) >= l.rereadAfter
 }
 
-// read takes what changed in the service. The proof dates from before the call: the
-// answer shows the table at some moment after that.
+// read applies the changes in the key-value service since the last read. The new proof carries
+// the time before the call, because the response shows the table at some later moment.
 //
-// The failure: a connection to the service gone silent. The call has its own timeout, so
-// the watch ends and the next one is tried; until one answers, the proof grows old.
+// The call has its own timeout, so that a watch on an unresponsive connection ends and is
+// retried. The proof ages until a call succeeds.
 func (l *runLoop) read(ctx context.Context, wait time.Duration) error {
-	limit := wait + l.replica.timing.CallTimeout
-	if l.inParts {
-		limit *= time.Duration(len(partPrefixes()))
+	timeout := wait + l.replica.timing.CallTimeout
+	if l.listInParts {
+		timeout *= time.Duration(len(listPrefixes()))
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	asked := l.replica.now()
+	requestedAt := l.replica.now()
 	entries, revision, err := l.fetch(ctx, wait)
 	if err != nil {
 		return errors.Mark(errors.Wrap(err, "read table"), ErrRead)
 	}
-	if l.listed && revision < l.after {
-		// The failure: the service was restored from an older copy. What was accepted and
-		// is in force here stays; everything is listed again to see what the service has.
+	if l.listed && revision < l.lastRevision {
+		// The service was restored from an older backup. The replica keeps the accepted
+		// edits that it has applied, and lists all pages again to get the service's state.
 		l.listed = false
-		return errors.Mark(errors.Newf("service went back from revision %d to %d", l.after, revision), ErrRead)
+		return errors.Mark(errors.Newf("key-value service went back from revision %d to %d", l.lastRevision, revision), ErrRead)
 	}
-	if err := l.replica.takeEntries(entries, asked); err != nil {
+	if err := l.replica.mergeEntries(entries, requestedAt); err != nil {
 		l.listed = false
 		return err
 	}
 	l.listed = true
-	l.after = revision
-	l.lastRead = asked
+	l.lastRevision = revision
+	l.lastRead = requestedAt
 	l.setRereadJitter()
 	return nil
 }
 
 func (l *runLoop) fetch(ctx context.Context, wait time.Duration) ([]platform.Entry, platform.Revision, error) {
 	if l.listed {
-		return l.replica.kv.Watch(ctx, KeyPrefix, l.after, wait)
+		return l.replica.kv.Watch(ctx, KeyPrefix, l.lastRevision, wait)
 	}
-	if l.inParts {
-		return l.listParts(ctx)
+	if l.listInParts {
+		return l.listByPrefix(ctx)
 	}
 	entries, revision, err := l.replica.kv.List(ctx, KeyPrefix)
-	// The failure: the service or the link to it is slow, and a list of all pages, some
-	// megabytes, does not come within a call's timeout, now or later. The next read asks
-	// for parts of a megabyte.
-	l.inParts = err != nil
+	// If the service or the link to it is slow, a list of all pages, which has some
+	// megabytes, may exceed the call's timeout in every attempt. The next read therefore
+	// lists pages by prefix, in parts of a megabyte.
+	l.listInParts = err != nil
 	return entries, revision, err
 }
 
-// listParts lists the pages in several calls. What changes between them shows in a watch
-// after the revision of the first.
-func (l *runLoop) listParts(ctx context.Context) ([]platform.Entry, platform.Revision, error) {
+// listByPrefix lists the pages in several calls. It returns the revision of the first call,
+// so that the next watch reports the changes that happened between the calls.
+func (l *runLoop) listByPrefix(ctx context.Context) ([]platform.Entry, platform.Revision, error) {
 	var all []platform.Entry
 	var first platform.Revision
-	for i, prefix := range partPrefixes() {
+	for i, prefix := range listPrefixes() {
 		entries, revision, err := l.replica.kv.List(ctx, prefix)
 		if err != nil {
 			return nil, 0, err
@@ -186,28 +186,28 @@
 		}
 		all = append(all, entries...)
 	}
-	l.inParts = false
+	l.listInParts = false
 	return all, first, nil
 }
 
-// takeEntries merges pages read from the service. A page that can't be decoded leaves the
-// replica without a new proof, since an accepted edit may be in it.
-func (r *Replica) takeEntries(entries []platform.Entry, asked time.Time) error {
+// mergeEntries merges pages read from the key-value service. If a page can't be decoded, the
+// replica gets no new proof, since the page may contain an accepted edit.
+func (r *Replica) mergeEntries(entries []platform.Entry, requestedAt time.Time) error {
 	var pages []*peer.Page
 	for _, entry := range entries {
 		name := strings.TrimPrefix(entry.Key, KeyPrefix)
 		if entry.Deleted {
-			r.log.Error("Page was deleted from the service; it is kept here", "page", name)
+			r.log.Error("Page was deleted from the key-value service; replica keeps it", "page", name)
 			continue
 		}
 		pages = append(pages, &peer.Page{Name: name, Revision: uint64(entry.Revision), Value: entry.Value})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, refused := r.merge(pages)
-	if refused > 0 {
-		return errors.Mark(errors.Newf("%d pages refused", refused), ErrRead)
+	_, rejected := r.merge(pages)
+	if rejected > 0 {
+		return errors.Mark(errors.Newf("cannot decode %d pages", rejected), ErrRead)
 	}
-	r.confirm(asked)
+	r.confirm(requestedAt)
 	return nil
 }
--- a/internal/table/schema.go
+++ b/internal/table/schema.go
@@ -5,7 +5,7 @@
 // schema describes a sheet whose rows have type T; the first column is the id.
 type schema[T any] []column[T]
 
-// cellError is one cell that can't be parsed.
+// cellError describes one cell that can't be parsed.
 type cellError struct {
 	column  string
 	value   string
@@ -21,7 +21,7 @@
 	return names
 }
 
-// decode parses cells, in the schema's order, into a row.
+// decode parses cells in the schema's order into a row.
 func (s schema[T]) decode(cells []string) (*T, []cellError) {
 	row := new(T)
 	var problems []cellError
@@ -86,13 +86,13 @@
 	nameColumn(columnRole, true, func(t *Target) *string { return &t.Role }),
 }
 
-// Columns that a file may leave out; their cells are then empty.
+// Columns that a file may omit; their cells are then empty.
 const (
 	columnAdapter = "adapter"
 	columnRole    = "role"
 )
 
-func mayBeLeftOut(column string) bool { return column == columnAdapter || column == columnRole }
+func isOptionalColumn(column string) bool { return column == columnAdapter || column == columnRole }
 
 var storeSchema = schema[Store]{
 	nameColumn(idColumn, false, func(s *Store) *request.StoreID { return &s.ID }),
@@ -114,5 +114,5 @@
 	}
 }
 
-// Columns returns a sheet's column names in their order of export.
+// Columns returns a sheet's column names in export order.
 func Columns(s Sheet) []string { return schemaOf(s).names() }
--- a/internal/table/sheet.go
+++ b/internal/table/sheet.go
@@ -11,7 +11,7 @@
 // Sheet names one of the table's sheets.
 type Sheet string
 
-// The sheets, each kept in the file that FileName returns.
+// The sheets; FileName returns the file name of each.
 const (
 	SheetOrganisations Sheet = "organisations"
 	SheetModels        Sheet = "models"
@@ -19,14 +19,14 @@
 	SheetStores        Sheet = "stores"
 )
 
-// KeyPrefix is where pages lie in the key-value service.
+// KeyPrefix is the key prefix of pages in the key-value service.
 const KeyPrefix = "table/"
 
-// MaxPageBytes bounds an encoded page; it leaves room below the service's value cap of 1 MiB.
+// MaxPageBytes bounds an encoded page. It is below the key-value service's value limit of 1 MiB.
 const MaxPageBytes = 960 << 10
 
-// Numbers of pages. They can't change once rows are written, since a row's page
-// follows from its id. 35,000 organisations make about 270 rows a page.
+// Numbers of pages of each sheet. They must not change once rows are written, since a row's
+// id determines its page. With 35,000 organisations a page has about 270 rows.
 const (
 	organisationPages = 128
 	targetPages       = 8
@@ -37,13 +37,13 @@
 // FileName returns the sheet's file name.
 func (s Sheet) FileName() string { return string(s) + ".csv" }
 
-// Sheets returns all sheets in the order in which rows are added, so that a row is
-// written after the rows it names.
+// Sheets returns all sheets in the order in which rows are added, so that a row is written
+// after the rows that it refers to.
 func Sheets() []Sheet {
 	return []Sheet{SheetModels, SheetStores, SheetTargets, SheetOrganisations}
 }
 
-// ParseSheet returns the sheet of a name or a file name.
+// ParseSheet returns the sheet with the given name or file name.
 func ParseSheet(name string) (Sheet, error) {
 	base := strings.TrimSuffix(name, ".csv")
 	for _, s := range Sheets() {
@@ -51,10 +51,10 @@
 			return s, nil
 		}
 	}
-	return "", fmt.Errorf("no sheet %q; allowed: organisations, models, targets, stores", name)
+	return "", fmt.Errorf("unknown sheet %q; allowed: organisations, models, targets, stores", name)
 }
 
-func (s Sheet) pages() uint64 {
+func (s Sheet) pageCount() uint64 {
 	switch s {
 	case SheetOrganisations:
 		return organisationPages
@@ -69,22 +69,22 @@
 
 // PageName returns the name of the page that holds a row.
 func PageName(s Sheet, id string) string {
-	return pageName(s, xxhash.Sum64String(id)%s.pages())
+	return pageName(s, xxhash.Sum64String(id)%s.pageCount())
 }
 
 func pageName(s Sheet, n uint64) string {
 	return string(s) + "/" + fmt.Sprintf("%03d", n)
 }
 
-// partPrefixes returns prefixes of the service's keys that together cover all pages, each
-// only a few of them.
-func partPrefixes() []string {
+// listPrefixes returns key prefixes that together cover all pages, with at most ten pages
+// per prefix.
+func listPrefixes() []string {
 	seen := make(map[string]bool)
 	var prefixes []string
 	for _, sheet := range Sheets() {
-		for n := range sheet.pages() {
+		for n := range sheet.pageCount() {
 			name := KeyPrefix + pageName(sheet, n)
-			prefix := name[:len(name)-1] // ten pages have one
+			prefix := name[:len(name)-1] // ten pages share a prefix
 			if !seen[prefix] {
 				seen[prefix] = true
 				prefixes = append(prefixes, prefix)
@@ -94,7 +94,7 @@
 	return prefixes
 }
 
-// sheetOfPage returns the sheet of a page name, and false if there is no such page.
+// sheetOfPage returns the sheet of a page, and false if no such page exists.
 func sheetOfPage(name string) (Sheet, bool) {
 	base, number, ok := strings.Cut(name, "/")
 	if !ok {
@@ -105,7 +105,7 @@
 		return "", false
 	}
 	n, err := strconv.ParseUint(number, 10, 16)
-	if err != nil || n >= sheet.pages() || pageName(sheet, n) != name {
+	if err != nil || n >= sheet.pageCount() || pageName(sheet, n) != name {
 		return "", false
 	}
 	return sheet, true
--- a/internal/table/snapshot.go
+++ b/internal/table/snapshot.go
@@ -10,12 +10,12 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Snapshot is the table at one moment. It never changes; readers share it without locks
-// and must not change the rows.
+// Snapshot is an immutable version of the table. Readers share it without locks and must not
+// modify the rows.
 type Snapshot struct {
 	revision uint64
 	hash     uint64
-	pages    map[string]*livePage
+	pages    map[string]*decodedPage
 	byKey    map[string]*Organisation
 	targets  []*Target
 	engines  map[request.Model][]*Target
@@ -23,8 +23,8 @@
 	stores   []*Store
 }
 
-// livePage is a page that the replica holds, with its rows decoded.
-type livePage struct {
+// decodedPage is a page of a replica with its decoded rows.
+type decodedPage struct {
 	name          string
 	revision      uint64
 	value         []byte
@@ -34,29 +34,29 @@
 	stores        map[request.StoreID]*Store
 }
 
-// decodeLive decodes a page's rows. A row that can't be parsed makes the whole page
-// ErrBadPage, so that an earlier copy stays in force rather than a page with holes.
-func decodeLive(name string, revision uint64, value []byte) (*livePage, error) {
+// decodePageRows decodes a page's rows. It returns ErrBadPage if any row can't be parsed, so
+// that the replica keeps the earlier page instead of one with missing rows.
+func decodePageRows(name string, revision uint64, value []byte) (*decodedPage, error) {
 	p, err := decodePage(name, value)
 	if err != nil {
 		return nil, err
 	}
-	live := &livePage{name: name, revision: revision, value: value}
+	decoded := &decodedPage{name: name, revision: revision, value: value}
 	sheet, _ := sheetOfPage(name)
 	switch sheet {
 	case SheetOrganisations:
-		live.organisations, err = decodeRows(p, organisationSchema, func(o *Organisation) request.OrgID { return o.ID })
+		decoded.organisations, err = decodeRecords(p, organisationSchema, func(o *Organisation) request.OrgID { return o.ID })
 	case SheetModels:
-		live.models, err = decodeRows(p, modelSchema, func(m *ModelRow) request.Model { return m.ID })
+		decoded.models, err = decodeRecords(p, modelSchema, func(m *ModelRow) request.Model { return m.ID })
 	case SheetTargets:
-		live.targets, err = decodeRows(p, targetSchema, func(t *Target) request.TargetID { return t.ID })
+		decoded.targets, err = decodeRecords(p, targetSchema, func(t *Target) request.TargetID { return t.ID })
 	case SheetStores:
-		live.stores, err = decodeRows(p, storeSchema, func(s *Store) request.StoreID { return s.ID })
+		decoded.stores, err = decodeRecords(p, storeSchema, func(s *Store) request.StoreID { return s.ID })
 	}
-	return live, err
+	return decoded, err
 }
 
-func decodeRows[K comparable, T any](p *page, s schema[T], key func(*T) K) (map[K]*T, error) {
+func decodeRecords[K comparable, T any](p *page, s schema[T], key func(*T) K) (map[K]*T, error) {
 	rows := make(map[K]*T, len(p.Records))
 	for _, r := range p.Records {
 		if r.Removed {
@@ -71,11 +71,11 @@
 	return rows, nil
 }
 
-// newSnapshot indexes pages. Two organisations with one key can only come from two
-// operators at the same moment, since an edit is checked against the table that its
-// operator read. Such a key identifies nobody, so that neither organisation can act as
-// the other.
-func newSnapshot(pages map[string]*livePage) *Snapshot {
+// newSnapshot indexes pages. Two organisations can have the same key only after concurrent
+// edits of two operators, since an edit is checked against the table that its operator read.
+// newSnapshot drops such a key from the index, so that neither organisation can act as the
+// other.
+func newSnapshot(pages map[string]*decodedPage) *Snapshot {
 	s := &Snapshot{
 		pages:    pages,
 		byKey:    make(map[string]*Organisation),
@@ -115,31 +115,31 @@
 	}
 }
 
-// hashPages covers the names and revisions of all pages.
-func hashPages(pages map[string]*livePage) uint64 {
+// hashPages returns a hash over the names and revisions of all pages.
+func hashPages(pages map[string]*decodedPage) uint64 {
 	digest := xxhash.New()
 	var revision [8]byte
 	for _, p := range sortedValues(pages) {
 		binary.LittleEndian.PutUint64(revision[:], p.revision)
-		_, _ = digest.WriteString(p.name) // never fails
+		_, _ = digest.WriteString(p.name) // never returns an error
 		_, _ = digest.Write(revision[:])
 	}
 	return digest.Sum64()
 }
 
-// Revision returns the highest revision of a page; 0 is a table never written.
+// Revision returns the highest page revision; 0 if the table was never written.
 func (s *Snapshot) Revision() uint64 { return s.revision }
 
-// Hash covers the revisions of all pages; equal hashes mean equal tables.
+// Hash returns a hash over the revisions of all pages; equal hashes mean equal tables.
 func (s *Snapshot) Hash() uint64 { return s.hash }
 
 // Organisation returns an organisation's row.
 func (s *Snapshot) Organisation(id request.OrgID) (*Organisation, bool) {
-	return pageRow(s, SheetOrganisations, id, func(p *livePage) map[request.OrgID]*Organisation { return p.organisations })
+	return pageRow(s, SheetOrganisations, id, func(p *decodedPage) map[request.OrgID]*Organisation { return p.organisations })
 }
 
-// OrganisationByKey returns the organisation whose bearer key has a SHA-256 digest,
-// given in lower-case hexadecimal.
+// OrganisationByKey returns the organisation whose bearer key has the given SHA-256 digest,
+// in lower-case hexadecimal.
 func (s *Snapshot) OrganisationByKey(digest string) (*Organisation, bool) {
 	o, ok := s.byKey[digest]
 	return o, ok
@@ -147,15 +147,15 @@
 
 // Model returns a model's row.
 func (s *Snapshot) Model(id request.Model) (*ModelRow, bool) {
-	return pageRow(s, SheetModels, id, func(p *livePage) map[request.Model]*ModelRow { return p.models })
+	return pageRow(s, SheetModels, id, func(p *decodedPage) map[request.Model]*ModelRow { return p.models })
 }
 
 // Target returns a target's row.
 func (s *Snapshot) Target(id request.TargetID) (*Target, bool) {
-	return pageRow(s, SheetTargets, id, func(p *livePage) map[request.TargetID]*Target { return p.targets })
+	return pageRow(s, SheetTargets, id, func(p *decodedPage) map[request.TargetID]*Target { return p.targets })
 }
 
-func pageRow[K ~string, T any](s *Snapshot, sheet Sheet, id K, rows func(*livePage) map[K]*T) (*T, bool) {
+func pageRow[K ~string, T any](s *Snapshot, sheet Sheet, id K, rows func(*decodedPage) map[K]*T) (*T, bool) {
 	p, ok := s.pages[PageName(sheet, string(id))]
 	if !ok {
 		return nil, false
@@ -196,9 +196,9 @@
 	return all
 }
 
-// VersionFor returns the weight version wanted for an organisation's use of a model: the
-// organisation's own, else the model's default; false if the organisation may not use
-// the model or the model has no row.
+// VersionFor returns the weight version that an organisation's requests for a model use: the
+// organisation's own version or else the model's default. It returns false if the
+// organisation may not use the model or the model has no row.
 func (s *Snapshot) VersionFor(org request.OrgID, model request.Model) (request.Version, bool) {
 	o, ok := s.Organisation(org)
 	if !ok {
@@ -218,8 +218,8 @@
 	return row.DefaultVersion, true
 }
 
-// TargetVersion returns the weight version wanted on an engine: its own, else the
-// model's default; empty for a plain service or a model without a row.
+// TargetVersion returns the weight version that an engine should serve: its own version or
+// else the model's default. It is empty for a plain service and for a model without a row.
 func (s *Snapshot) TargetVersion(t *Target) request.Version {
 	if t.Version != "" {
 		return t.Version
--- a/internal/table/state.go
+++ b/internal/table/state.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// StatePath is where a daemon's peer address serves State.
+// StatePath is the path at which a daemon serves State on its peer address.
 const StatePath = "/debug/table"
 
-// PageState is one page's revision.
+// PageState is the revision of one page.
 type PageState struct {
 	Page     string `json:"page"`
 	Revision uint64 `json:"revision"`
 }
 
-// State tells which table a daemon has in force.
+// State describes the version of the table that a daemon has applied.
 type State struct {
 	Revision   uint64      `json:"revision"`
 	Hash       uint64      `json:"hash"`
-	Confirmed  bool        `json:"confirmed"`    // there is a proof
-	ProofAgeMS int64       `json:"proof_age_ms"` // age of the last proof
+	Confirmed  bool        `json:"confirmed"`    // the replica has a freshness proof
+	ProofAgeMS int64       `json:"proof_age_ms"` // age of the freshness proof
 	Pages      []PageState `json:"pages"`        // ordered by name
-	Rows       RowCounts   `json:"rows"`         // rows in force
+	Rows       RowCounts   `json:"rows"`         // rows that are not removed
 }
 
 // RowCounts counts the rows of each sheet.
@@ -33,7 +33,7 @@
 	Stores        int `json:"stores"`
 }
 
-// State describes the replica at a moment.
+// State returns the replica's state at the given time.
 func (r *Replica) State(now time.Time) State {
 	s := r.Current()
 	state := State{Revision: s.revision, Hash: s.hash, Pages: []PageState{}}
@@ -60,7 +60,7 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(r.State(r.now())); err != nil {
-			r.log.Debug("State not sent", "error", err)
+			r.log.Debug("Cannot send table state", "error", err)
 		}
 	})
 }
--- a/internal/table/tableschedule/operator.go
+++ b/internal/table/tableschedule/operator.go
@@ -11,10 +11,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// errNotSeen reports an edit of a row that the operator never read.
-var errNotSeen = errors.New("tableschedule: row not seen")
+// errNotRead reports an edit of a row that the operator has not read.
+var errNotRead = errors.New("tableschedule: operator has not read the row")
 
-// EditorOperator edits with a table.Editor at the revisions that it saw.
+// EditorOperator edits rows with a table.Editor at the revisions that it has read.
 type EditorOperator struct {
 	editor *table.Editor
 	seen   map[string]uint64
@@ -40,7 +40,7 @@
 func (o *EditorOperator) Set(ctx context.Context, id, column, value string) error {
 	seen, ok := o.seen[id]
 	if !ok {
-		return errNotSeen
+		return errNotRead
 	}
 	_, err := o.editor.Set(ctx, table.SetRequest{
 		Sheet: table.SheetOrganisations, ID: id, SeenRevision: seen,
--- a/internal/table/tableschedule/schedule.go
+++ b/internal/table/tableschedule/schedule.go
@@ -1,6 +1,6 @@
-// Package tableschedule runs randomised fault schedules against the table: operators that
-// edit the same rows, answers that get lost, a service that is down, daemons that
-// restart, and copies of pages that arrive late. A seed fully determines a schedule.
+// Package tableschedule runs randomised fault schedules against the table: concurrent edits of
+// the same rows, lost responses, outages of the key-value service, restarts of daemons, and
+// delayed pages. A seed fully determines a schedule.
 package tableschedule
 
 import (
@@ -20,33 +20,33 @@
 
 // Sizes of a schedule.
 const (
-	steps     = 120
-	replicas  = 3
-	operators = 2
-	rows      = 3
-	lateKept  = 16 // answers kept to arrive late
-	maxPass   = 3 * time.Second
+	steps       = 120
+	replicas    = 3
+	operators   = 2
+	rows        = 3
+	maxDelayed  = 16 // sets of pages kept for delayed delivery
+	maxStepTime = 3 * time.Second
 )
 
-// columns are the cells that operators edit. Each edit sets one to a number that no other
-// edit uses, so that a cell's value names the edit it comes from.
+// columns lists the columns that operators edit. Each edit sets a cell to a number that no
+// other edit uses, so that a cell's value identifies its edit.
 var columns = [...]string{"burst", "concurrency"}
 
-// firstValue is above the values that the rows begin with.
+// firstValue is the value of the first edit; it is above the initial values of the rows.
 const firstValue = 100
 
-// Outcome counts what a schedule did and found.
+// Outcome counts the events and the violations of a schedule.
 type Outcome struct {
-	Edits     int      // accepted
-	Conflicts int      // told "conflict"
-	Uncertain int      // ended in an error of the service
-	Faults    int      // answers lost, outages, restarts, late pages
-	Reverted  int      // times a daemon had an older edit in force than it had or must have
-	Lost      int      // accepted edits that the service no longer holds at the end
-	Events    []string // what happened, if anything was reverted or lost
+	Edits     int      // accepted edits
+	Conflicts int      // edits rejected because of a conflict or because the operator had not read the row
+	Uncertain int      // edits that failed with an error of the key-value service
+	Faults    int      // lost responses, outages, restarts, delayed pages
+	Reverted  int      // checks in which a daemon had an older edit than before or than its proof requires
+	Lost      int      // accepted edits that the key-value service no longer has at the end
+	Events    []string // log of the schedule, if any edit was reverted or lost
 }
 
-// Replica is what a schedule needs of a daemon's copy; *table.Replica is one.
+// Replica is a daemon's copy of the table; *table.Replica implements it.
 type Replica interface {
 	Read(ctx context.Context) error
 	Merge(pages []*peer.Page) int
@@ -57,22 +57,21 @@
 	Current() *table.Snapshot
 }
 
-// Operator is what a schedule needs of an operator; EditorOperator is one.
+// Operator reads and edits rows; EditorOperator implements it.
 type Operator interface {
-	// Read reads a row, to edit it later.
+	// Read reads a row for a later edit.
 	Read(ctx context.Context, id string) error
-	// Set edits a cell of a row as it was when last seen.
+	// Set edits a cell at the revision of the row that Read last returned.
 	Set(ctx context.Context, id, column, value string) error
 }
 
-// Options replaces the parts under test; tests put naive ones in their place.
+// Options replaces the components under test. Tests use it to run naive implementations.
 type Options struct {
 	NewReplica  func(service platform.KV, now func() time.Time) Replica
 	NewOperator func(service platform.KV, now func() time.Time, name string) Operator
 }
 
-// RunSchedule runs the schedule of a seed and returns how often an edit was reverted or
-// lost.
+// RunSchedule runs the schedule of a seed and returns the number of reverted and lost edits.
 func RunSchedule(seed uint64) (reverted int) {
 	outcome := Run(seed, Options{})
 	return outcome.Reverted + outcome.Lost
@@ -80,15 +79,15 @@
 
 // Run runs the schedule of a seed.
 func Run(seed uint64, options Options) Outcome {
-	w := newWorld(seed, options)
+	s := newSimulation(seed, options)
 	for range steps {
-		w.step()
+		s.step()
 	}
-	w.finish()
-	if w.outcome.Reverted == 0 && w.outcome.Lost == 0 {
-		w.outcome.Events = nil
+	s.finish()
+	if s.outcome.Reverted == 0 && s.outcome.Lost == 0 {
+		s.outcome.Events = nil
 	}
-	return w.outcome
+	return s.outcome
 }
 
 // cell names one cell of one row.
@@ -97,229 +96,229 @@
 	column string
 }
 
-// accepted is an edit that its operator was told is written.
-type accepted struct {
-	cell  cell
-	place int // in the order of the cell's edits
-	at    time.Time
+// acceptedEdit is an edit that the editor reported as written.
+type acceptedEdit struct {
+	cell       cell
+	index      int // position among the cell's edits
+	acceptedAt time.Time
 }
 
-// world is the state of one schedule.
-type world struct {
-	rng       *rand.Rand
-	now       time.Time
-	options   Options
-	service   *kv.Fake
-	down      bool
-	operators []Operator
-	daemons   []*daemon
-	late      [][]*peer.Page
-	nextValue int
-	edits     map[cell][]string // values that took effect or may have, in order
-	accepted  []accepted
-	nested    bool // an edit runs in the middle of another
-	outcome   Outcome
+// simulation holds the state of one schedule.
+type simulation struct {
+	rng          *rand.Rand
+	now          time.Time
+	options      Options
+	service      *kv.Fake
+	down         bool
+	operators    []Operator
+	daemons      []*daemon
+	delayedPages [][]*peer.Page
+	nextValue    int
+	edits        map[cell][]string // values that took effect or may have, in order
+	accepted     []acceptedEdit
+	nested       bool // an edit runs during another one
+	outcome      Outcome
 }
 
-// daemon is a process with its copy and what it had in force.
+// daemon is a process with its replica and the newest edit of each cell that it has applied.
 type daemon struct {
-	name    string
-	replica Replica
-	had     map[cell]int
+	name        string
+	replica     Replica
+	newestEdits map[cell]int
 }
 
-func newWorld(seed uint64, options Options) *world {
-	w := &world{
+func newSimulation(seed uint64, options Options) *simulation {
+	s := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(1_000_000, 0), options: options,
 		nextValue: firstValue, edits: make(map[cell][]string),
 	}
-	if w.options.NewReplica == nil {
-		w.options.NewReplica = newReplica
+	if s.options.NewReplica == nil {
+		s.options.NewReplica = newReplica
 	}
-	if w.options.NewOperator == nil {
-		w.options.NewOperator = NewEditorOperator
+	if s.options.NewOperator == nil {
+		s.options.NewOperator = NewEditorOperator
 	}
-	w.service = kv.NewFake(w.clock)
-	w.service.SetHook(w.fault)
-	w.writeRows()
+	s.service = kv.NewFake(s.clock)
+	s.service.SetHook(s.injectFault)
+	s.writeRows()
 	for i := range operators {
 		name := "operator-" + strconv.Itoa(i)
-		w.operators = append(w.operators, w.options.NewOperator(w.service.Client(name), w.clock, name))
+		s.operators = append(s.operators, s.options.NewOperator(s.service.Client(name), s.clock, name))
 	}
 	for i := range replicas {
-		w.daemons = append(w.daemons, &daemon{name: "daemon-" + strconv.Itoa(i)})
-		w.restart(w.daemons[i])
+		s.daemons = append(s.daemons, &daemon{name: "daemon-" + strconv.Itoa(i)})
+		s.restart(s.daemons[i])
 	}
-	return w
+	return s
 }
 
 func newReplica(service platform.KV, now func() time.Time) Replica {
 	return table.NewReplica(table.ReplicaOptions{KV: service, Now: now})
 }
 
-func (w *world) clock() time.Time { return w.now }
+func (s *simulation) clock() time.Time { return s.now }
 
-func (w *world) tell(format string, args ...any) {
-	at := w.now.Sub(time.Unix(1_000_000, 0))
-	w.outcome.Events = append(w.outcome.Events, fmt.Sprintf("%8v ", at)+fmt.Sprintf(format, args...))
+func (s *simulation) logEvent(format string, args ...any) {
+	at := s.now.Sub(time.Unix(1_000_000, 0))
+	s.outcome.Events = append(s.outcome.Events, fmt.Sprintf("%8v ", at)+fmt.Sprintf(format, args...))
 }
 
 func rowID(i int) string { return "org" + strconv.Itoa(i) }
 
 // writeRows writes the rows that operators edit.
-func (w *world) writeRows() {
+func (s *simulation) writeRows() {
 	data := "id,key_sha256,weight,requests_per_second,burst,concurrency,tokens_per_second,models,services\n"
 	for i := range rows {
 		data += fmt.Sprintf("%s,%064x,1,1,1,1,1,,\n", rowID(i), i+1)
 	}
-	editor := table.NewEditor(table.EditorOptions{KV: w.service.Client("setup"), Operator: "setup", Now: w.clock})
+	editor := table.NewEditor(table.EditorOptions{KV: s.service.Client("setup"), Operator: "setup", Now: s.clock})
 	plan, err := editor.Plan(context.Background(), []table.File{{Name: "organisations.csv", Data: []byte(data)}})
 	if err == nil {
 		_, err = editor.Apply(context.Background(), plan)
 	}
 	if err != nil {
-		panic(err) // nothing fails before the first step
+		panic(err) // faults start with the first step
 	}
 	for i := range rows {
 		for _, column := range columns {
-			w.edits[cell{rowID(i), column}] = []string{"1"}
+			s.edits[cell{rowID(i), column}] = []string{"1"}
 		}
 	}
 }
 
-// fault is the service's hook: now and then another operator edits in the middle of an
-// edit, or the answer of a write gets lost, perhaps at the start of an outage.
-func (w *world) fault(client string, write bool, _ string) kv.Fault {
+// injectFault is the hook of the key-value service. On some writes it runs a concurrent edit of
+// an operator, drops the response, which may start an outage, or fails the write.
+func (s *simulation) injectFault(client string, write bool, _ string) kv.Fault {
 	if !write || client == "setup" {
 		return kv.FaultNone
 	}
-	if !w.nested && w.rng.IntN(6) == 0 {
-		w.nested = true
-		w.edit()
-		w.nested = false
+	if !s.nested && s.rng.IntN(6) == 0 {
+		s.nested = true
+		s.edit()
+		s.nested = false
 	}
-	switch w.rng.IntN(12) {
+	switch s.rng.IntN(12) {
 	case 0:
-		w.outcome.Faults++
-		w.tell("the answer to %s is lost", client)
+		s.outcome.Faults++
+		s.logEvent("response to %s lost", client)
 		return kv.FaultLostAnswer
 	case 1:
-		w.outcome.Faults++
-		w.tell("the answer to %s is lost and the service goes down", client)
-		w.setDown(true)
+		s.outcome.Faults++
+		s.logEvent("response to %s lost, service goes down", client)
+		s.setDown(true)
 		return kv.FaultLostAnswer
 	case 2:
-		w.outcome.Faults++
+		s.outcome.Faults++
 		return kv.FaultUnavailable
 	}
 	return kv.FaultNone
 }
 
-func (w *world) setDown(down bool) {
-	w.down = down
-	w.service.SetDown(down)
+func (s *simulation) setDown(down bool) {
+	s.down = down
+	s.service.SetDown(down)
 }
 
-// step does one random thing and looks at all daemons.
-func (w *world) step() {
-	w.now = w.now.Add(time.Duration(w.rng.Int64N(int64(maxPass))))
-	d := w.daemons[w.rng.IntN(len(w.daemons))]
-	switch w.rng.IntN(12) {
+// step performs one random action and then checks all daemons.
+func (s *simulation) step() {
+	s.now = s.now.Add(time.Duration(s.rng.Int64N(int64(maxStepTime))))
+	d := s.daemons[s.rng.IntN(len(s.daemons))]
+	switch s.rng.IntN(12) {
 	case 0, 1, 2:
-		w.edit()
+		s.edit()
 	case 3, 4:
-		w.see()
+		s.readRow()
 	case 5, 6:
-		_ = d.replica.Read(context.Background()) // an outage leaves the daemon without a new proof
+		_ = d.replica.Read(context.Background()) // during an outage the daemon gets no new proof
 	case 7, 8:
-		w.gossip(d, w.daemons[w.rng.IntN(len(w.daemons))])
+		s.gossip(d, s.daemons[s.rng.IntN(len(s.daemons))])
 	case 9:
-		w.deliverLate(d)
+		s.deliverDelayed(d)
 	case 10:
-		w.outcome.Faults++
-		w.setDown(!w.down)
-		w.tell("service down: %v", w.down)
+		s.outcome.Faults++
+		s.setDown(!s.down)
+		s.logEvent("service down: %v", s.down)
 	case 11:
-		w.outcome.Faults++
-		w.restart(d)
-		w.tell("%s restarts", d.name)
+		s.outcome.Faults++
+		s.restart(d)
+		s.logEvent("%s restarts", d.name)
 	}
-	for _, d := range w.daemons {
-		w.check(d)
+	for _, d := range s.daemons {
+		s.checkDaemon(d)
 	}
 }
 
-func (w *world) see() {
-	id := rowID(w.rng.IntN(rows))
-	_ = w.operators[w.rng.IntN(operators)].Read(context.Background(), id) // else it keeps what it saw
+func (s *simulation) readRow() {
+	id := rowID(s.rng.IntN(rows))
+	_ = s.operators[s.rng.IntN(operators)].Read(context.Background(), id) // on failure the operator keeps the revision that it read before
 }
 
-// edit lets an operator set a cell.
-func (w *world) edit() {
-	c := cell{rowID(w.rng.IntN(rows)), columns[w.rng.IntN(len(columns))]}
-	operator := w.rng.IntN(operators)
-	value := strconv.Itoa(w.nextValue)
-	w.nextValue++
-	err := w.operators[operator].Set(context.Background(), c.row, c.column, value)
+// edit makes a random operator set a random cell.
+func (s *simulation) edit() {
+	c := cell{rowID(s.rng.IntN(rows)), columns[s.rng.IntN(len(columns))]}
+	operator := s.rng.IntN(operators)
+	value := strconv.Itoa(s.nextValue)
+	s.nextValue++
+	err := s.operators[operator].Set(context.Background(), c.row, c.column, value)
 	var conflict *table.ConflictError
 	switch {
 	case err == nil:
-		w.outcome.Edits++
-		w.edits[c] = append(w.edits[c], value)
-		w.accepted = append(w.accepted, accepted{cell: c, place: len(w.edits[c]) - 1, at: w.now})
-		w.tell("operator %d sets %s %s to %s", operator, c.row, c.column, value)
-	case errors.As(err, &conflict), errors.Is(err, errNotSeen):
-		w.outcome.Conflicts++
+		s.outcome.Edits++
+		s.edits[c] = append(s.edits[c], value)
+		s.accepted = append(s.accepted, acceptedEdit{cell: c, index: len(s.edits[c]) - 1, acceptedAt: s.now})
+		s.logEvent("operator %d sets %s %s to %s", operator, c.row, c.column, value)
+	case errors.As(err, &conflict), errors.Is(err, errNotRead):
+		s.outcome.Conflicts++
 	default:
-		w.outcome.Uncertain++
-		w.edits[c] = append(w.edits[c], value)
-		w.tell("operator %d sets %s %s to %s, outcome unclear", operator, c.row, c.column, value)
+		s.outcome.Uncertain++
+		s.edits[c] = append(s.edits[c], value)
+		s.logEvent("operator %d sets %s %s to %s, outcome unknown", operator, c.row, c.column, value)
 	}
 }
 
-// gossip lets one daemon learn from another, as an exchange and a pull do. The answer may
-// arrive a second time later.
-func (w *world) gossip(to, from *daemon) {
+// gossip transfers pages and the freshness proof from one daemon to another, as an exchange and
+// a pull do. The pages may be delivered a second time later.
+func (s *simulation) gossip(to, from *daemon) {
 	if to == from {
 		return
 	}
-	sent := w.now
+	sent := s.now
 	_, have := to.replica.Digest()
 	pages := from.replica.PagesNewerThan(have)
-	if all := from.replica.PagesNewerThan(nil); len(all) > 0 && len(w.late) < lateKept {
-		w.late = append(w.late, all)
+	if all := from.replica.PagesNewerThan(nil); len(all) > 0 && len(s.delayedPages) < maxDelayed {
+		s.delayedPages = append(s.delayedPages, all)
 	}
 	hash, digest := from.replica.Digest()
-	proof := table.PeerProof{Age: from.replica.ProofAge(w.now), Hash: hash, Pages: digest}
-	w.now = w.now.Add(time.Duration(w.rng.Int64N(int64(time.Second))))
-	if w.rng.IntN(4) > 0 { // else only the proof arrives
+	proof := table.PeerProof{Age: from.replica.ProofAge(s.now), Hash: hash, Pages: digest}
+	s.now = s.now.Add(time.Duration(s.rng.Int64N(int64(time.Second))))
+	if s.rng.IntN(4) > 0 { // otherwise only the proof arrives
 		to.replica.Merge(pages)
 	}
 	to.replica.AdoptPeerProof(sent, proof)
 }
 
-func (w *world) deliverLate(d *daemon) {
-	if len(w.late) == 0 {
+func (s *simulation) deliverDelayed(d *daemon) {
+	if len(s.delayedPages) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.late))
-	w.outcome.Faults++
-	d.replica.Merge(w.late[i])
-	w.tell("late pages reach %s", d.name)
-	w.late = append(w.late[:i], w.late[i+1:]...)
+	i := s.rng.IntN(len(s.delayedPages))
+	s.outcome.Faults++
+	d.replica.Merge(s.delayedPages[i])
+	s.logEvent("delayed pages reach %s", d.name)
+	s.delayedPages = append(s.delayedPages[:i], s.delayedPages[i+1:]...)
 }
 
-// restart begins a new process of a daemon, which has nothing.
-func (w *world) restart(d *daemon) {
-	d.replica = w.options.NewReplica(w.service.Client(d.name), w.clock)
-	d.had = make(map[cell]int)
+// restart replaces a daemon by a new process with an empty replica.
+func (s *simulation) restart(d *daemon) {
+	d.replica = s.options.NewReplica(s.service.Client(d.name), s.clock)
+	d.newestEdits = make(map[cell]int)
 }
 
-// check compares what a daemon has in force with what it had, and with what its proof
-// promises: every edit accepted before the proof.
-func (w *world) check(d *daemon) {
+// checkDaemon compares a daemon's table with the newest edits that the daemon has applied, and
+// with those that its proof requires: every edit accepted before the time of the proof.
+func (s *simulation) checkDaemon(d *daemon) {
 	snapshot := d.replica.Current()
-	must := w.promised(d)
+	required := s.requiredEdits(d)
 	for i := range rows {
 		o, known := snapshot.Organisation(organisationID(i))
 		values := [...]int{0, 0}
@@ -328,24 +327,24 @@
 		}
 		for j, column := range columns {
 			c := cell{rowID(i), column}
-			place := w.place(c, values[j], known)
-			if place < d.had[c] || place < must[c] {
-				w.outcome.Reverted++
-				w.tell("%s has %s %s = %d (edit %d), had edit %d, promised edit %d", d.name, c.row, c.column, values[j], place, d.had[c], must[c])
+			index := s.editIndex(c, values[j], known)
+			if index < d.newestEdits[c] || index < required[c] {
+				s.outcome.Reverted++
+				s.logEvent("%s has %s %s = %d (edit %d), had edit %d, proof requires edit %d", d.name, c.row, c.column, values[j], index, d.newestEdits[c], required[c])
 			}
-			d.had[c] = max(d.had[c], place)
+			d.newestEdits[c] = max(d.newestEdits[c], index)
 		}
 	}
 }
 
-// place returns which edit of a cell a value comes from; -1 stands for none. A row that
-// is not known yet is before all edits.
-func (w *world) place(c cell, value int, known bool) int {
+// editIndex returns the index of the edit that wrote a value, or -1 if no edit did. A row that
+// the replica does not have yet counts as index 0, the initial value.
+func (s *simulation) editIndex(c cell, value int, known bool) int {
 	if !known {
 		return 0
 	}
 	text := strconv.Itoa(value)
-	for i, edit := range w.edits[c] {
+	for i, edit := range s.edits[c] {
 		if edit == text {
 			return i
 		}
@@ -353,52 +352,52 @@
 	return -1
 }
 
-// promised returns the last edit of each cell that a daemon's proof covers.
-func (w *world) promised(d *daemon) map[cell]int {
-	must := make(map[cell]int)
-	age := d.replica.ProofAge(w.now)
+// requiredEdits returns the index of the last edit of each cell that a daemon's proof covers.
+func (s *simulation) requiredEdits(d *daemon) map[cell]int {
+	required := make(map[cell]int)
+	age := d.replica.ProofAge(s.now)
 	if age == table.NeverConfirmed {
-		return must
+		return required
 	}
-	for _, a := range w.accepted {
-		if a.at.Before(w.now.Add(-age)) {
-			must[a.cell] = max(must[a.cell], a.place)
+	for _, a := range s.accepted {
+		if a.acceptedAt.Before(s.now.Add(-age)) {
+			required[a.cell] = max(required[a.cell], a.index)
 		}
 	}
-	return must
+	return required
 }
 
-// finish ends all faults and looks for accepted edits that the service does not hold, nor
-// anything later in their place.
-func (w *world) finish() {
-	w.setDown(false)
-	w.service.SetHook(nil)
+// finish ends all faults and counts the accepted edits for which the key-value service has
+// neither the edit's value nor a later one.
+func (s *simulation) finish() {
+	s.setDown(false)
+	s.service.SetHook(nil)
 	last := &daemon{name: "reader"}
-	w.restart(last)
+	s.restart(last)
 	if err := last.replica.Read(context.Background()); err != nil {
-		w.outcome.Lost++
-		w.tell("the table can't be read at the end: %v", err)
+		s.outcome.Lost++
+		s.logEvent("cannot read the table at the end: %v", err)
 		return
 	}
 	snapshot := last.replica.Current()
 	for i := range rows {
 		o, known := snapshot.Organisation(organisationID(i))
 		if !known {
-			w.outcome.Lost++
+			s.outcome.Lost++
 			continue
 		}
 		for j, value := range [...]int{o.Burst, o.Concurrency} {
 			c := cell{rowID(i), columns[j]}
-			w.countLost(c, w.place(c, value, true))
+			s.countLost(c, s.editIndex(c, value, true))
 		}
 	}
 }
 
-func (w *world) countLost(c cell, place int) {
-	for _, a := range w.accepted {
-		if a.cell == c && a.place > place {
-			w.outcome.Lost++
-			w.tell("edit %d of %s %s is lost; edit %d is in force", a.place, c.row, c.column, place)
+func (s *simulation) countLost(c cell, index int) {
+	for _, a := range s.accepted {
+		if a.cell == c && a.index > index {
+			s.outcome.Lost++
+			s.logEvent("edit %d of %s %s is lost; stored is edit %d", a.index, c.row, c.column, index)
 		}
 	}
 }
--- a/internal/table/tableschedule/schedule_test.go
+++ b/internal/table/tableschedule/schedule_test.go
@@ -15,7 +15,7 @@
 	schedules = 100
 )
 
-// runAll adds up the outcomes of many seeds.
+// runAll sums the outcomes of all seeds.
 func runAll(t *testing.T, options Options) Outcome {
 	t.Helper()
 	var sum Outcome
@@ -23,7 +23,7 @@
 		o := Run(seed, options)
 		if sum.Reverted+sum.Lost == 0 && o.Reverted+o.Lost > 0 {
 			sum.Events = append([]string{"seed"}, o.Events...)
-			t.Logf("first seed with a fault: %d", seed)
+			t.Logf("first seed with a violation: %d", seed)
 		}
 		sum.Edits += o.Edits
 		sum.Conflicts += o.Conflicts
@@ -32,12 +32,12 @@
 		sum.Reverted += o.Reverted
 		sum.Lost += o.Lost
 	}
-	t.Logf("schedules=%d edits=%d refused=%d unclear=%d faults=%d reverted=%d lost=%d",
+	t.Logf("schedules=%d edits=%d conflicts=%d uncertain=%d faults=%d reverted=%d lost=%d",
 		schedules, sum.Edits, sum.Conflicts, sum.Uncertain, sum.Faults, sum.Reverted, sum.Lost)
 	return sum
 }
 
-func TestNothingIsRevertedOrLost(t *testing.T) {
+func TestNoEditIsRevertedOrLost(t *testing.T) {
 	sum := runAll(t, Options{})
 	if sum.Reverted+sum.Lost > 0 {
 		for _, line := range sum.Events {
@@ -46,11 +46,11 @@
 		t.Fatal("an accepted edit was reverted or lost")
 	}
 	if sum.Edits < schedules || sum.Conflicts < schedules || sum.Faults < schedules {
-		t.Fatal("the schedules do too little to show anything")
+		t.Fatal("the schedules have too few edits, conflicts or faults")
 	}
 }
 
-// naiveReplica takes whatever it is told last.
+// naiveReplica replaces each page by the one received last, whatever its revision.
 type naiveReplica struct {
 	*table.Replica
 	service platform.KV
@@ -58,30 +58,31 @@
 }
 
 func (n *naiveReplica) Merge(pages []*peer.Page) int {
-	told := make(map[string]*peer.Page)
+	latest := make(map[string]*peer.Page)
 	for _, p := range append(n.PagesNewerThan(nil), pages...) {
-		told[p.Name] = p
+		latest[p.Name] = p
 	}
 	n.Replica = table.NewReplica(table.ReplicaOptions{KV: n.service, Now: n.now})
-	for _, p := range told {
+	for _, p := range latest {
 		n.Replica.Merge([]*peer.Page{p})
 	}
 	return len(pages)
 }
 
-// A page that was sent before an edit arrives after it, at a daemon that already has the
-// edit in force. A daemon that takes whatever it is told reverts it.
+// TestNaiveReplicaReverts shows that the schedules detect reverted edits: a page that was sent
+// before an edit arrives at a daemon that has already applied the edit. A replica that does
+// not compare revisions reverts it.
 func TestNaiveReplicaReverts(t *testing.T) {
 	sum := runAll(t, Options{NewReplica: func(service platform.KV, now func() time.Time) Replica {
 		return &naiveReplica{Replica: table.NewReplica(table.ReplicaOptions{KV: service, Now: now}), service: service, now: now}
 	}})
 	if sum.Reverted == 0 {
-		t.Fatal("the naive replica never reverted; the schedules don't show the fault")
+		t.Fatal("the naive replica reverted no edit; the schedules do not detect the fault")
 	}
 }
 
-// naiveOperator writes the row as it saw it with one cell changed, at whatever revision
-// the row is now.
+// naiveOperator writes the whole row that it has read with one cell changed, whatever the
+// current revision of the row.
 type naiveOperator struct {
 	editor *table.Editor
 	seen   map[string]table.StoredRow
@@ -98,7 +99,7 @@
 func (o *naiveOperator) Set(ctx context.Context, id, column, value string) error {
 	seen, ok := o.seen[id]
 	if !ok {
-		return errNotSeen
+		return errNotRead
 	}
 	var cells []table.CellValue
 	for _, name := range table.Columns(table.SheetOrganisations)[1:] {
@@ -111,14 +112,15 @@
 	return err
 }
 
-// Two operators edit different cells of one row that both read before. If each writes the
-// whole row, the second puts the first one's cell back.
+// TestNaiveOperatorLosesEdits shows that the schedules detect lost edits: two operators read
+// one row and edit different cells of it. If each writes the whole row, the second write
+// reverts the first operator's cell.
 func TestNaiveOperatorLosesEdits(t *testing.T) {
 	sum := runAll(t, Options{NewOperator: func(service platform.KV, now func() time.Time, name string) Operator {
 		editor := table.NewEditor(table.EditorOptions{KV: service, Operator: name, Now: now})
 		return &naiveOperator{editor: editor, seen: make(map[string]table.StoredRow)}
 	}})
 	if sum.Reverted+sum.Lost == 0 {
-		t.Fatal("the naive operator never lost an edit; the schedules don't show the fault")
+		t.Fatal("the naive operator lost no edit; the schedules do not detect the fault")
 	}
 }
--- a/internal/table/wait.go
+++ b/internal/table/wait.go
@@ -13,16 +13,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Periods of Wait.
+// Periods of WaitUntilApplied.
 const (
-	waitPoll    = 100 * time.Millisecond
-	waitTimeout = 2 * time.Second // of one question to one daemon
+	waitPollInterval = 100 * time.Millisecond
+	stateCallTimeout = 2 * time.Second // of one state request to one daemon
 )
 
-// ErrNotApplied reports that some daemon had not confirmed the table when ctx ended.
-var ErrNotApplied = errors.New("table: not in force everywhere")
+// ErrNotApplied reports that at least one daemon had not applied the table when ctx ended.
+var ErrNotApplied = errors.New("table: not applied on all daemons")
 
-// DaemonState is what one daemon answered.
+// DaemonState is the last state that one daemon reported.
 type DaemonState struct {
 	Address string `json:"address"` // host:port of the peer address
 	Applied bool   `json:"in_force"`
@@ -30,9 +30,10 @@
 	Err     string `json:"error,omitempty"`
 }
 
-// WaitUntilApplied asks the daemons at the peer addresses until each has every page at the revision
-// that the service holds now, or later. It returns the last answers, in the order of the
-// addresses, and ErrNotInForce if ctx ends first.
+// WaitUntilApplied polls the daemons at the peer addresses until each has every page at the
+// revision that the key-value service stores at the time of the call, or a later one. It
+// returns the last reported states in the order of the addresses, and ErrNotApplied if ctx
+// ends first.
 func (e *Editor) WaitUntilApplied(ctx context.Context, addresses []string, client *http.Client) ([]DaemonState, error) {
 	stored, err := e.load(ctx)
 	if err != nil {
@@ -45,23 +46,23 @@
 	states := make([]DaemonState, len(addresses))
 	var group sync.WaitGroup
 	for i, address := range addresses {
-		group.Go(func() { states[i] = waitDaemon(ctx, address, wanted, client) })
+		group.Go(func() { states[i] = waitForDaemon(ctx, address, wanted, client) })
 	}
 	group.Wait()
-	var late []string
+	var pending []string
 	for _, s := range states {
 		if !s.Applied {
-			late = append(late, s.Address)
+			pending = append(pending, s.Address)
 		}
 	}
-	if len(late) > 0 {
-		return states, errors.Mark(errors.Newf("not in force on %s", strings.Join(late, ", ")), ErrNotApplied)
+	if len(pending) > 0 {
+		return states, errors.Mark(errors.Newf("table not applied on %s", strings.Join(pending, ", ")), ErrNotApplied)
 	}
 	return states, nil
 }
 
-func waitDaemon(ctx context.Context, address string, wanted []PageState, client *http.Client) DaemonState {
-	last := DaemonState{Address: address, Err: "not asked"}
+func waitForDaemon(ctx context.Context, address string, wanted []PageState, client *http.Client) DaemonState {
+	last := DaemonState{Address: address, Err: "daemon was not queried"}
 	for ctx.Err() == nil {
 		state, err := fetchState(ctx, address, client)
 		if err == nil {
@@ -72,7 +73,7 @@
 		if last.Applied {
 			return last
 		}
-		_ = sleep.For(ctx, waitPoll) // the loop asks the context itself
+		_ = sleep.For(ctx, waitPollInterval) // the loop checks ctx.Err
 	}
 	return last
 }
@@ -91,7 +92,7 @@
 }
 
 func fetchState(ctx context.Context, address string, client *http.Client) (State, error) {
-	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
+	ctx, cancel := context.WithTimeout(ctx, stateCallTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+StatePath, nil)
 	if err != nil {
--- a/internal/tabletest/tabletest.go
+++ b/internal/tabletest/tabletest.go
@@ -1,4 +1,4 @@
-// Package tabletest gives tests a table that holds given rows.
+// Package tabletest provides tests with a table of given rows.
 package tabletest
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// loadTimeout bounds the wait for the rows to be in force.
+// loadTimeout bounds the write of the rows and the wait for the replica to apply them.
 const loadTimeout = 10 * time.Second
 
-// Rows are the sheets of a test's table, without their header lines.
+// Rows holds the sheets of a test's table as CSV without header lines.
 type Rows struct {
 	Organisations string
 	Models        string
@@ -21,14 +21,14 @@
 	Stores        string
 }
 
-// Load writes rows to a key-value service and returns a replica that holds them. The
-// replica follows the service until the test ends.
+// Load writes rows to a key-value service and returns a replica that has applied them. The
+// replica watches the service until the test ends.
 func Load(t testing.TB, kv platform.KV, rows Rows) *table.Replica {
 	t.Helper()
-	return follow(t, kv, Write(t, kv, rows))
+	return startReplica(t, kv, Write(t, kv, rows))
 }
 
-// Write writes rows to a key-value service and returns how many it changed.
+// Write writes rows to a key-value service and returns the number of changed rows.
 func Write(t testing.TB, kv platform.KV, rows Rows) int {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
@@ -53,7 +53,7 @@
 	return table.File{Name: name + ".csv", Data: []byte(header + "\n" + rows)}
 }
 
-func follow(t testing.TB, kv platform.KV, changes int) *table.Replica {
+func startReplica(t testing.TB, kv platform.KV, changes int) *table.Replica {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
@@ -69,14 +69,14 @@
 		<-done
 	})
 	for changes > 0 {
-		changed := replica.Changed() // taken first, so that no change is missed
+		changed := replica.Changed() // must precede Current in order not to miss a change
 		if replica.Current().Revision() > 0 {
 			break
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			t.Fatal("the table did not come into force")
+			t.Fatal("the replica did not apply the table in time")
 		}
 	}
 	return replica
