--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -11,7 +11,7 @@
 // proofLimit is the age of a proof above which these daemons would reject new requests.
 const proofLimit = 500 * time.Millisecond
 
-func (d *daemon) fresh() bool { return d.replica.Confirmed(time.Now()) < proofLimit }
+func (d *daemon) fresh() bool { return d.replica.ProofAge(time.Now()) < proofLimit }
 
 func (d *daemon) loadCap() int {
 	m, ok := d.replica.Current().Model("verdict")
@@ -24,7 +24,7 @@
 // setLoadCap writes the model's row as an operator does.
 func (e *environment) setLoadCap(t *testing.T, loadCap int) {
 	t.Helper()
-	editor := table.NewEditor(table.EditorOptions{KV: e.keyValue.Client("operator"), Who: "ana"})
+	editor := table.NewEditor(table.EditorOptions{KV: e.keyValue.Client("operator"), Operator: "ana"})
 	data := fmt.Sprintf("id,default_version,bytes_per_token,load_cap\nverdict,v3,131072,%d\n", loadCap)
 	plan, err := editor.Plan(t.Context(), []table.File{{Name: "models.csv", Data: []byte(data)}})
 	if err != nil {
@@ -97,7 +97,7 @@
 	fleet[1].stop()
 	restarted := e.start(t, fleet[1].Self().Id, fleet[0].Self().PeerAddress)
 	eventually(t, "the row applied", func() bool { return restarted.loadCap() == 1 })
-	eventually(t, "a proof from a peer", func() bool { return restarted.replica.Confirmed(time.Now()) != table.NeverConfirmed })
+	eventually(t, "a proof from a peer", func() bool { return restarted.replica.ProofAge(time.Now()) != table.NeverConfirmed })
 	if restarted.fresh() {
 		t.Fatal("the restart renewed an expired proof")
 	}
@@ -115,8 +115,8 @@
 	const size = 5
 	e := newEnvironment()
 	fleet := e.startFleet(t, size)
-	e.timing.FirstRead = time.Hour // a daemon on a busy machine would read from the service
-	e.timing.ProofAge = time.Hour
+	e.timing.FirstReadDelay = time.Hour // a daemon on a busy machine would read from the service
+	e.timing.MaxProofAge = time.Hour
 	e.firstContactTimeout = time.Hour
 	for i, d := range fleet {
 		watching := d.RanksInRegion("table", 2)
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -171,7 +171,7 @@
 // pull requests pages until the table has all pages of p.want or the peer returns no newer
 // ones.
 func (s *Service) pull(ctx context.Context, p pull) {
-	for s.options.Table.Lacks(p.want) {
+	for s.options.Table.IsBehind(p.want) {
 		call, cancel := context.WithTimeout(ctx, s.options.PullTimeout)
 		response, err := s.peer(p.from.Address).Pages(call, s.node.pagesRequest())
 		cancel()
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -141,10 +141,10 @@
 // once per WatchWait, other daemons read if their proof is too old.
 func (n *simNode) poll() {
 	watched := n.isWatcher() && n.sim.now.Sub(n.lastRead) >= timing.WatchWait
-	if watched || n.replica.Confirmed(n.sim.now) >= timing.ProofAge {
+	if watched || n.replica.ProofAge(n.sim.now) >= timing.MaxProofAge {
 		n.readTable()
 	}
-	n.schedule(timing.Poll, n.poll)
+	n.schedule(timing.PollInterval, n.poll)
 }
 
 func (n *simNode) readTable() {
@@ -176,7 +176,7 @@
 
 // edit writes a row of the table and completes the watches of the running watchers.
 func (s *sim) edit(loadCap int) error {
-	editor := table.NewEditor(table.EditorOptions{KV: s.keyValue.Client("operator"), Who: "ana"})
+	editor := table.NewEditor(table.EditorOptions{KV: s.keyValue.Client("operator"), Operator: "ana"})
 	data := fmt.Sprintf("id,default_version,bytes_per_token,load_cap\nverdict,v3,131072,%d\n", loadCap)
 	plan, err := editor.Plan(context.Background(), []table.File{{Name: "models.csv", Data: []byte(data)}})
 	if err != nil {
@@ -276,7 +276,7 @@
 }
 
 func (n *simNode) pull(p *pull) {
-	if p == nil || !n.replica.Lacks(p.want) {
+	if p == nil || !n.replica.IsBehind(p.want) {
 		return
 	}
 	request := n.pagesRequest()
--- a/internal/table/tableschedule/operator.go
+++ b/internal/table/tableschedule/operator.go
@@ -11,10 +11,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// errNotSeen reports an edit of a row that the operator never read.
-var errNotSeen = errors.New("tableschedule: row not seen")
+// errNotRead reports an edit of a row that the operator has not read.
+var errNotRead = errors.New("tableschedule: operator has not read the row")
 
-// EditorOperator edits with a table.Editor at the revisions that it saw.
+// EditorOperator edits rows with a table.Editor at the revisions that it has read.
 type EditorOperator struct {
 	editor *table.Editor
 	seen   map[string]uint64
@@ -22,12 +22,12 @@
 
 // NewEditorOperator returns an operator.
 func NewEditorOperator(service platform.KV, now func() time.Time, name string) Operator {
-	editor := table.NewEditor(table.EditorOptions{KV: service, Who: name, Now: now})
+	editor := table.NewEditor(table.EditorOptions{KV: service, Operator: name, Now: now})
 	return &EditorOperator{editor: editor, seen: make(map[string]uint64)}
 }
 
-// See implements Operator.
-func (o *EditorOperator) See(ctx context.Context, id string) error {
+// Read implements Operator.
+func (o *EditorOperator) Read(ctx context.Context, id string) error {
 	row, err := o.editor.Get(ctx, table.SheetOrganisations, id)
 	if err != nil {
 		return err
@@ -40,10 +40,10 @@
 func (o *EditorOperator) Set(ctx context.Context, id, column, value string) error {
 	seen, ok := o.seen[id]
 	if !ok {
-		return errNotSeen
+		return errNotRead
 	}
 	_, err := o.editor.Set(ctx, table.SetRequest{
-		Sheet: table.SheetOrganisations, ID: id, Seen: seen,
+		Sheet: table.SheetOrganisations, ID: id, SeenRevision: seen,
 		Cells: []table.CellValue{{Column: column, Value: value}},
 	})
 	return err
