--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -31,14 +31,14 @@
 
 const (
 	atlasKey = "atlas-key"
-	// fastEngines is the time scale of engines whose speed does not matter: their nominal
-	// seconds pass in a twentieth.
-	fastEngines = 0.05
-	// patience bounds every wait of these tests, for busy machines.
-	patience = 60 * time.Second
+	// fastTimeScale is the time scale of engines in tests that don't depend on their speed.
+	// A nominal second of such an engine lasts 50 ms.
+	fastTimeScale = 0.05
+	// waitTimeout bounds every wait of these tests and allows for a busy machine.
+	waitTimeout = 60 * time.Second
 )
 
-// cluster is daemons with stand-ins around them, in one process.
+// cluster runs daemons and stand-ins for their environment in one process.
 type cluster struct {
 	t        *testing.T
 	kv       string
@@ -48,21 +48,21 @@
 	servers  []*fault.Server // of the engines
 	services []string
 	store    *fault.Server
-	weights  weightCount
+	weights  loadingCounter
 	daemons  []*runningDaemon
 	// timeScale is the real time of a nominal second of the engines.
 	timeScale float64
 }
 
-// weightCount counts the engines that load weights at once.
-type weightCount struct {
+// loadingCounter counts the engines that load weights at the same time.
+type loadingCounter struct {
 	mu      sync.Mutex
 	loading map[string]bool
-	most    int
+	peak    int
 }
 
 // Report implements engine.WeightStore.
-func (w *weightCount) Report(r vmlist.LoadReport) vmlist.LoadAnswer {
+func (w *loadingCounter) Report(r vmlist.LoadReport) vmlist.LoadAnswer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.loading == nil {
@@ -72,16 +72,16 @@
 	if r.Loading {
 		w.loading[r.Replica] = true
 	}
-	w.most = max(w.most, len(w.loading))
-	return vmlist.LoadAnswer{Loading: len(w.loading), Cap: 2, Peak: w.most}
+	w.peak = max(w.peak, len(w.loading))
+	return vmlist.LoadAnswer{Loading: len(w.loading), Cap: 2, Peak: w.peak}
 }
 
-// atOnce returns the most engines that loaded weights at once. The last of them tells that it
-// has ended when its new version shows already.
-func (w *weightCount) atOnce() int {
+// peakLoading returns the highest number of engines that loaded weights at the same time.
+// An engine reports the end of loading only after its state shows the new version.
+func (w *loadingCounter) peakLoading() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.most
+	return w.peak
 }
 
 type runningDaemon struct {
@@ -92,10 +92,10 @@
 
 func newCluster(t *testing.T, engines, daemons int) *cluster {
 	t.Helper()
-	return newClusterAt(t, fastEngines, engines, daemons)
+	return newClusterAt(t, fastTimeScale, engines, daemons)
 }
 
-// newClusterAt is newCluster with engines of another speed.
+// newClusterAt is newCluster with engines of the given time scale.
 func newClusterAt(t *testing.T, timeScale float64, engines, daemons int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, timeScale: timeScale}
@@ -247,8 +247,8 @@
 	return out
 }
 
-// load drives callers and fails the test if an answer was lost, wrong or doubled.
-func (c *cluster) load(change func(*loadgen.Config)) loadgen.Report {
+// load runs callers and fails the test if a response was lost, wrong or duplicated.
+func (c *cluster) load(configure func(*loadgen.Config)) loadgen.Report {
 	c.t.Helper()
 	settings := loadgen.Config{
 		Daemons: c.addresses(), Services: c.services,
@@ -256,22 +256,22 @@
 		Model: "verdict", Seed: 1,
 		Contexts: 6, Turns: 4, ContextTokens: 2000, TurnTokens: 32, MaxTokens: 16, Gap: 50 * time.Millisecond,
 		Service: "cards", Calls: 20, Callers: 2, CallGap: 10 * time.Millisecond, CallBody: 16,
-		Patience: patience, SilentAfter: 10 * time.Second, MaxBackoff: 200 * time.Millisecond,
+		Patience: waitTimeout, SilentAfter: 10 * time.Second, MaxBackoff: 200 * time.Millisecond,
 	}
-	if change != nil {
-		change(&settings)
+	if configure != nil {
+		configure(&settings)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	defer cancel()
 	report, err := loadgen.Run(ctx, settings)
 	c.check(err)
 	if report.Failed() {
-		c.t.Fatalf("a promise was broken: %+v", report)
+		c.t.Fatalf("load generator found a violated guarantee: %+v", report)
 	}
 	return report
 }
 
-// complete sends one prompt and returns the status and body of the answer.
+// complete sends one prompt and returns the status and body of the response.
 func (c *cluster) complete(d *runningDaemon, prompt string) (int, string) {
 	c.t.Helper()
 	body, _ := json.Marshal(map[string]any{"model": "verdict", "prompt": prompt, "max_tokens": 4})
@@ -292,19 +292,19 @@
 	return resp.StatusCode, text.String()
 }
 
-// await waits for a condition.
+// await waits until condition holds.
 func (c *cluster) await(what string, condition func() bool) {
 	c.t.Helper()
-	c.awaitOr(what, condition, func() string { return "no more is known" })
+	c.awaitWithState(what, condition, func() string { return "no state recorded" })
 }
 
-// awaitOr is await that says on failure how things stand.
-func (c *cluster) awaitOr(what string, condition func() bool, state func() string) {
+// awaitWithState is await with a failure message that includes state.
+func (c *cluster) awaitWithState(what string, condition func() bool, state func() string) {
 	c.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("waited in vain for %s: %s", what, state())
+			c.t.Fatalf("timed out waiting for %s: %s", what, state())
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires a daemon together: the gateway for callers, the stewards, the
-// journal, membership and the table, their listeners, and the planned stop.
+// Package daemon assembles a daemon: the gateway for callers, the coordinator of targets,
+// the journal, membership and the table, their listeners, and the planned stop.
 package daemon
 
 import (
@@ -38,15 +38,16 @@
 
 const (
 	watcherKey = "table/watcher"
-	// firstSilence is the longest wait for a first frame: prefill of a long prompt.
-	firstSilence = 60 * time.Second
+	// firstFrameTimeout bounds the wait for a stream's first frame, which covers the
+	// prefill of a long prompt.
+	firstFrameTimeout = 60 * time.Second
 	// writeTimeout bounds one write to a caller.
 	writeTimeout = 30 * time.Second
-	// releaseTimeout bounds giving up leases in a planned stop.
+	// releaseTimeout bounds the release of leases in a planned stop.
 	releaseTimeout = 5 * time.Second
-	// witnessTimeout bounds the write of a finding.
-	witnessTimeout = 5 * time.Second
-	// readHeaderTimeout bounds the head of a request.
+	// crashReportTimeout bounds the write of a crash record.
+	crashReportTimeout = 5 * time.Second
+	// readHeaderTimeout bounds the read of a request's header.
 	readHeaderTimeout = 10 * time.Second
 )
 
@@ -63,20 +64,20 @@
 	callers net.Listener
 	peers   net.Listener
 
-	kv       *platform.Client
-	vms      platform.VMList
-	table    *table.Replica
-	members  *membership.Service
-	leases   *lease.Manager
-	journal  *journal.Journal
-	targets  *targetPool
-	peerPool *peerPool
-	stewards *steward.Service
-	limiter  *limiter.Limiter
-	planner  *planner.Planner
-	suspects *suspect.Keeper
-	gateway  *gateway.Gateway
-	fleet    *fleet.Fleet
+	kv          *platform.Client
+	vms         platform.VMList
+	table       *table.Replica
+	members     *membership.Service
+	leases      *lease.Manager
+	journal     *journal.Journal
+	targets     *targetPool
+	peerPool    *peerPool
+	coordinator *steward.Service
+	limiter     *limiter.Limiter
+	planner     *planner.Planner
+	suspects    *suspect.Keeper
+	gateway     *gateway.Gateway
+	fleet       *fleet.Fleet
 
 	quorumMu sync.Mutex
 	quorum   *quorum
@@ -85,7 +86,7 @@
 	drain    chan struct{}
 }
 
-// New opens the listeners and builds all parts. Nothing runs before Run.
+// New opens the listeners and builds all components. No component runs before Run.
 func New(c *config.Config, log hclog.Logger) (*Daemon, error) {
 	callers, err := net.Listen("tcp", c.Daemon.Listen)
 	if err != nil {
@@ -108,23 +109,24 @@
 		quorum:      newQuorum(c.Table.StaleAfter),
 	}
 	d.metrics, d.scrape, d.reporter = metrics.New()
-	d.buildShared()
-	d.buildPath()
+	d.buildClusterState()
+	d.buildRequestPath()
 	d.buildFleet()
 	return d, nil
 }
 
-// CallerAddress returns the address that callers reach.
+// CallerAddress returns the address that serves callers.
 func (d *Daemon) CallerAddress() string { return d.callers.Addr().String() }
 
-// PeerAddress returns the address for peers, debug and metrics.
+// PeerAddress returns the address that serves peers, debug endpoints and metrics.
 func (d *Daemon) PeerAddress() string { return d.peers.Addr().String() }
 
-// instance differs for every start of every daemon.
+// instance returns an ID that is unique to each start of each daemon.
 func (d *Daemon) instance() string { return fmt.Sprintf("%s.%x", d.config.Daemon.ID, d.incarnation) }
 
-// buildShared builds what rests on the platform and on peers.
-func (d *Daemon) buildShared() {
+// buildClusterState builds the components that share state through the key-value service
+// and peers.
+func (d *Daemon) buildClusterState() {
 	c := d.config
 	d.kv = platform.NewClient(platform.Options{
 		Addresses:       c.Platform.KV,
@@ -181,8 +183,9 @@
 	d.journal.SetPreferred(d.prefersPartition)
 }
 
-// leaseMarginShare is the part of a lease's time that a holder does not use, against
-// clocks that run at different rates and pauses between a check and an act.
+// leaseMarginShare is the divisor of a lease's TTL that gives its safety margin. A holder
+// does not use the margin, which covers clock drift and process stalls between checking
+// the lease and acting on it.
 const leaseMarginShare = 5
 
 func membershipParams(m config.Membership, seed uint64) membership.Params {
@@ -195,44 +198,45 @@
 	}
 }
 
-// journalHolders returns the live daemons that may hold partitions of the journal. The
-// same few do so for as long as they live, however large the fleet is.
+// journalHolders returns the live daemons that may hold partitions of the journal. Their
+// number does not grow with the fleet, and a daemon remains a holder while it is live.
 func (d *Daemon) journalHolders() []*peer.Member {
 	return d.members.Rank("journal", d.config.Journal.Holders)
 }
 
-// onStandby tells whether this daemon is none of them.
+// onStandby reports whether this daemon is not a journal holder.
 func (d *Daemon) onStandby() bool {
 	return !slices.ContainsFunc(d.journalHolders(), d.isSelf)
 }
 
 func (d *Daemon) isSelf(m *peer.Member) bool { return m.Id == d.config.Daemon.ID }
 
-// placeOf spreads the journal's partitions over those daemons.
-func (d *Daemon) placeOf(partition int) *peer.Member {
+// assignedHolder returns the journal holder to which a partition is assigned by hash, or
+// nil if there is none.
+func (d *Daemon) assignedHolder(partition int) *peer.Member {
 	return membership.Place(d.journalHolders(), fmt.Sprintf("journal/%d", partition))
 }
 
 func (d *Daemon) prefersPartition(partition int) bool {
-	place := d.placeOf(partition)
-	return place != nil && d.isSelf(place)
+	holder := d.assignedHolder(partition)
+	return holder != nil && d.isSelf(holder)
 }
 
 func (d *Daemon) likelyHolder(partition int) (journal.Holder, bool) {
-	place := d.placeOf(partition)
-	if place == nil {
+	holder := d.assignedHolder(partition)
+	if holder == nil {
 		return journal.Holder{}, false
 	}
-	return journal.Holder{ID: request.DaemonID(place.Id), Address: place.PeerAddress}, true
+	return journal.Holder{ID: request.DaemonID(holder.Id), Address: holder.PeerAddress}, true
 }
 
-// buildPath builds the parts on the way of a request.
-func (d *Daemon) buildPath() {
+// buildRequestPath builds the components that process a request.
+func (d *Daemon) buildRequestPath() {
 	c := d.config
 	d.targets = newTargetPool(c.Streams, d.log, d.metrics)
 	peers := newPeerPool()
 	d.peerPool = peers
-	d.stewards = steward.New(steward.Options{
+	d.coordinator = steward.New(steward.Options{
 		Tables:       d.table,
 		Members:      d.members,
 		Targets:      d.targets,
@@ -241,7 +245,7 @@
 		Instance:     d.instance(),
 		PollInterval: c.Fleet.PollInterval,
 		QueueLimit:   c.Admission.QueuePerTarget,
-		OnDied:       d.witness,
+		OnDied:       d.reportCrash,
 		Logger:       d.log,
 		Metrics:      d.metrics,
 	})
@@ -251,9 +255,9 @@
 	d.planner = planner.New(planner.Options{
 		Params:   placementParams(c.Placement),
 		Tables:   d.table,
-		Looker:   d.stewards,
+		Looker:   d.coordinator,
 		Targets:  d.targets,
-		Keeps:    func(id request.StoreID) bool { return d.isPlace("store/" + string(id)) },
+		Keeps:    func(id request.StoreID) bool { return d.isAssigned("store/" + string(id)) },
 		Instance: d.instance(),
 		Seed:     d.incarnation,
 		Logger:   d.log,
@@ -265,7 +269,7 @@
 		Limiter:           d.limiter,
 		Journal:           d.journal,
 		Contexts:          d.planner,
-		Stewards:          d.stewards,
+		Stewards:          d.coordinator,
 		Targets:           d.targets,
 		Quarantine:        d.suspects,
 		Logger:            d.log,
@@ -278,7 +282,7 @@
 		MaxResumes:        c.Streams.MaxResumes,
 		Seed:              d.incarnation,
 		StreamSilentAfter: c.Streams.SilentAfter,
-		FirstSilentAfter:  firstSilence,
+		FirstSilentAfter:  firstFrameTimeout,
 		HopSilentAfter:    c.Streams.SilentAfter,
 		WriteTimeout:      writeTimeout,
 	})
@@ -289,8 +293,8 @@
 		Tables:       d.table,
 		Targets:      d.targets,
 		Leases:       d.leases,
-		Mine:         func() bool { return d.isPlace("fleet") },
-		Leaving:      d.stewards.VMLeaving,
+		Mine:         func() bool { return d.isAssigned("fleet") },
+		Leaving:      d.coordinator.VMLeaving,
 		OrderTimeout: d.config.Fleet.OrderTimeout,
 		Interval:     d.config.Fleet.PollInterval,
 		Logger:       d.log,
@@ -298,14 +302,14 @@
 	})
 }
 
-func (d *Daemon) isPlace(key string) bool {
-	place := d.members.Place(key)
-	return place != nil && place.Id == d.config.Daemon.ID
+func (d *Daemon) isAssigned(key string) bool {
+	assigned := d.members.Place(key)
+	return assigned != nil && assigned.Id == d.config.Daemon.ID
 }
 
-// witness passes on what a steward saw of a target's death.
-func (d *Daemon) witness(t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint) {
-	ctx, cancel := context.WithTimeout(context.Background(), witnessTimeout)
+// reportCrash passes the coordinator's report of a target's crash to the quarantine.
+func (d *Daemon) reportCrash(t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint) {
+	ctx, cancel := context.WithTimeout(context.Background(), crashReportTimeout)
 	defer cancel()
 	d.suspects.Witness(ctx, t, incarnation, fingerprints)
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// A caller gets words of another caller's answer. The target mixes up the frames of
-// two streams, and others end in the middle because something between the ends lost
-// track of the connections, which stay open and silent.
-func TestEachCallerGetsItsOwnWholeAnswer(t *testing.T) {
+// A caller receives tokens of another caller's response because the target swaps frames
+// between two streams. Other streams stop midway because a middlebox lost the state of
+// their connections, which stay open without traffic.
+func TestEachCallerGetsItsOwnCompleteAnswer(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	swaps := 20
 	for _, e := range c.engines {
@@ -45,45 +45,45 @@
 	})
 }
 
-// One request crashes each target that runs it, and its caller sends it again to one
-// daemon after the other. Without quarantine all four engines would fall; at most two
-// may, the caller is told when to come back, and others are served by what is left.
+// One request crashes each target that runs it, and its caller retries it on one daemon
+// after the other. Without quarantine all four engines would crash. At most two may crash,
+// the caller gets a retry time, and the remaining engines serve the other callers.
 func TestRequestThatCrashesTargetsIsQuarantined(t *testing.T) {
 	c := newCluster(t, 4, 2)
 	marker := "MARKER-OF-THE-CRASH"
 	for _, e := range c.engines {
 		e.Switches().Apply(fault.Command{CrashMarker: &marker})
 	}
-	poison := strings.Repeat("batch ", 100) + marker
+	crashing := strings.Repeat("batch ", 100) + marker
 	var status int
 	var body string
 	for i := range 6 {
-		// On a starved machine a daemon may not be sure of the table for a moment, and says
-		// so before it looks at the request: its caller comes back.
-		c.await("a daemon that is sure of the table", func() bool {
-			status, body = c.complete(c.daemons[i%2], poison)
+		// On an overloaded machine a daemon's table may be unconfirmed for a moment. The
+		// daemon then refuses the request before it examines it, and its caller retries.
+		c.await("a daemon with a confirmed table", func() bool {
+			status, body = c.complete(c.daemons[i%2], crashing)
 			return !strings.Contains(body, string(request.CodeStale))
 		})
 	}
 	if status != http.StatusServiceUnavailable || !strings.Contains(body, string(request.CodeQuarantined)) {
-		t.Fatalf("the last try got %d %s", status, body)
+		t.Fatalf("the last attempt got %d %s", status, body)
 	}
-	dead := 0
+	crashed := 0
 	for _, s := range c.servers {
 		select {
 		case <-s.Done():
-			dead++
+			crashed++
 		default:
 		}
 	}
-	if dead == 0 || dead > 2 {
-		t.Fatalf("%d targets fell", dead)
+	if crashed == 0 || crashed > 2 {
+		t.Fatalf("%d targets crashed, want 1 or 2", crashed)
 	}
 	c.load(nil)
 }
 
-// An operator sets a new default version while requests run. Loading takes each
-// target away for a while; were all told at once, every caller would be refused.
+// An operator sets a new default version while requests run. A target is unavailable while
+// it loads, so ordering all targets to load at once would refuse every caller.
 func TestVersionIsRolledOutWhileRequestsRun(t *testing.T) {
 	c := newCluster(t, 6, 2)
 	set := false
@@ -104,13 +104,13 @@
 		}
 		return true
 	})
-	if most := c.weights.atOnce(); most == 0 || most > 2 {
-		t.Fatalf("%d engines loaded weights at once, the cap is 2", most)
+	if peak := c.weights.peakLoading(); peak == 0 || peak > 2 {
+		t.Fatalf("%d engines loaded weights at once, the cap is 2", peak)
 	}
 	c.load(nil)
 }
 
-// An operator gives one engine another role and an adapter.
+// An operator assigns another role and an adapter to one engine.
 func TestRoleAndAdapterAreOrdered(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	c.set(table.SheetTargets, "engine-1", "role", "prefill")
@@ -122,7 +122,7 @@
 	})
 }
 
-// set edits one cell as an operator does.
+// set edits one cell of the table as an operator.
 func (c *cluster) set(sheet table.Sheet, id, column, value string) {
 	c.t.Helper()
 	editor := table.NewEditor(table.EditorOptions{KV: c.client(), Who: "operator"})
@@ -146,15 +146,15 @@
 	return ""
 }
 
-// A daemon is stopped as planned while streams are open and callers still hold route
-// answers that name it. Were it to exit at once, callers would see cut streams. Were it to
-// hold its journal partitions until its address is closed, a call forwarded to it in that
+// A planned stop happens while streams are open and callers still cache routes to the
+// daemon. If the daemon exited at once, callers would see truncated streams. If it held
+// its journal partitions until it closes its listener, a call that a peer forwards at that
 // moment would be in doubt.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopInterruptsNoRequest(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	report := c.load(func(l *loadgen.Config) {
 		l.Turns = 8
-		l.Calls = 120 // calls go on until after the daemon is gone
+		l.Calls = 120 // calls continue after the daemon has stopped
 		l.OnSettled = func(settled int) {
 			if settled == 10 {
 				c.daemons[1].Drain()
@@ -162,7 +162,7 @@
 		}
 	})
 	if report.Cut > 0 || report.InDoubt > 0 {
-		t.Fatalf("the stop was seen by callers: %+v", report)
+		t.Fatalf("callers were affected by the stop: %+v", report)
 	}
 	if err := <-c.daemons[1].done; err != nil {
 		t.Fatalf("the stopped daemon returned %v", err)
@@ -170,9 +170,9 @@
 	c.daemons[1].done <- nil
 }
 
-// A context returns after every daemon has been replaced and its blocks have been
-// evicted from accelerator memory. The daemons kept nothing, so a new one knows
-// neither the context nor the export in the store, and would compute all of it again.
+// A context returns after every daemon has been replaced and its blocks have been evicted
+// from accelerator memory. The replaced daemons persisted no state, so a new daemon that
+// does not search the store for the export would recompute the complete context.
 func TestContextSurvivesTheReplacementOfAllDaemons(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	prompts := make([]string, 16)
@@ -195,26 +195,27 @@
 	for _, d := range c.daemons {
 		c.await("the new daemons", func() bool { return c.ready(d, 2) })
 	}
-	// The first prompts have been evicted. On a busy machine an import may be given up
-	// for prefilling, hence several; without the search none brings back anything.
+	// The blocks of the first prompts have been evicted. On a busy machine the planner may
+	// abandon an import in favour of prefill, so the test tries several prompts. Without the
+	// search of the store none of them is imported.
 	cached := 0
 	for _, prompt := range prompts[:4] {
 		_, body := c.complete(c.daemons[0], prompt)
 		cached = max(cached, usageOf(t, body).Cached)
 	}
 	if cached < 2000 {
-		t.Fatalf("at most %d tokens of 2,300 were brought back", cached)
+		t.Fatalf("at most %d tokens of 2,300 were imported", cached)
 	}
 }
 
-// A context grows a little with each return. Were it written anew each time, links
-// would carry the whole context for a few new words; were the earlier export freed
-// with all its blocks, the new one would begin with holes and bring nothing back.
+// A context grows a little with each return. Exporting it anew each time would transfer the
+// complete context for a few new tokens. Freeing the earlier export with all its blocks
+// would leave the new export without its first blocks, and it could not be imported.
 //
-// The engine computes at its nominal speed, 300 ms for the context. Sped up as in other
-// tests it takes 15 ms, which is less than an import takes on a busy machine: the planner
-// then rightly computes each time, and nothing is ever brought back.
-func TestGrowingContextIsExportedByItsNewBlocksOnly(t *testing.T) {
+// The engine runs at its nominal speed and needs 300 ms for the context. At the time scale
+// of the other tests it needs 15 ms, which is less than an import takes on a busy machine,
+// so the planner would rightly choose prefill each time and never import.
+func TestGrowingContextExportsOnlyItsNewBlocks(t *testing.T) {
 	c := newClusterAt(t, 1, 1, 1)
 	head := strings.Repeat("chapter with cue notes. ", 400)
 	longer := head + strings.Repeat("one more page of it. ", 60)
@@ -222,22 +223,22 @@
 	c.await("the first export", func() bool { return c.exports() == 1 })
 	first := c.storeStatus().BytesIn
 	c.complete(c.daemons[0], longer)
-	c.await("the second export in place of the first", func() bool {
+	c.await("the second export to replace the first", func() bool {
 		return c.exports() == 1 && c.storeStatus().BytesIn > first
 	})
 	if second := c.storeStatus().BytesIn - first; second > first/2 {
-		t.Fatalf("the first export carried %d bytes, the second %d", first, second)
+		t.Fatalf("the first export wrote %d bytes, the second %d", first, second)
 	}
-	c.awaitBroughtBack(longer)
+	c.awaitImport(longer)
 }
 
-// awaitBroughtBack evicts a context and lets it return until nearly all of it comes
-// from the store. On a busy machine an import may be given up for prefilling; what is
-// not in the store never comes back.
-func (c *cluster) awaitBroughtBack(prompt string) {
+// awaitImport evicts a context and sends its prompt again until at least nine tenths of it
+// are imported from the store. On a busy machine the planner may abandon an import in
+// favour of prefill, hence the retries; blocks missing in the store are never imported.
+func (c *cluster) awaitImport(prompt string) {
 	c.t.Helper()
 	round := 0
-	c.await("the context to be brought back", func() bool {
+	c.await("the context to be imported", func() bool {
 		for i := range 16 {
 			c.complete(c.daemons[0], strings.Repeat(fmt.Sprintf("other context %d.%d. ", round, i), 400))
 		}
@@ -268,17 +269,17 @@
 	return answer.Usage
 }
 
-// The key-value service goes away for longer than leases last. A caller that repeats
-// a finished call was refused although a daemon knew the result, and each refusal came
-// only after seconds of asking the silent service.
-func TestOutageAnswersWhatIsKnownAndRefusesAtOnce(t *testing.T) {
+// The key-value service is down for longer than a lease's TTL. A caller that repeated a
+// finished call was refused although a daemon had the result in memory, and each refusal
+// came only after seconds of requests to the unresponsive service.
+func TestOutageAnswersFinishedCallsAndRefusesNewOnesAtOnce(t *testing.T) {
 	c := newCluster(t, 1, 1)
-	c.await("the first call to be taken", func() bool {
+	c.await("the first call to be accepted", func() bool {
 		status, _ := c.call(c.daemons[0], "known")
 		return status == http.StatusOK
 	})
 	c.kvServer.SetDown(true)
-	c.await("the partitions to lapse", func() bool { return c.heldPartitions(c.daemons[0]) == 0 })
+	c.await("the partitions to expire", func() bool { return c.heldPartitions(c.daemons[0]) == 0 })
 	status, body := c.call(c.daemons[0], "known")
 	if status != http.StatusOK {
 		t.Fatalf("the repeat of a finished call got %d %s", status, body)
@@ -290,13 +291,13 @@
 		t.Fatalf("a prompt got %d", prompt)
 	}
 	c.kvServer.SetDown(false)
-	c.await("new calls to be taken", func() bool {
+	c.await("new calls to be accepted", func() bool {
 		status, _ := c.call(c.daemons[0], "new")
 		return status == http.StatusOK
 	})
 }
 
-// call sends one call of the plain service.
+// call sends one call to the service cards with the given idempotency key.
 func (c *cluster) call(d *runningDaemon, key string) (int, string) {
 	c.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+d.CallerAddress()+"/v1/services/cards/print", strings.NewReader("card"))
@@ -323,7 +324,7 @@
 	return held
 }
 
-// exports counts the manifests in the store.
+// exports returns the number of manifests in the store.
 func (c *cluster) exports() int {
 	var list storeapi.ListResponse
 	c.get("http://"+c.store.Address()+storeapi.PathList+"?contains="+store.ManifestMark+"&limit=1000", &list)
--- a/internal/daemon/debug.go
+++ b/internal/daemon/debug.go
@@ -12,25 +12,26 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// stewardServer joins the two halves of peer.Steward.
+// stewardServer implements peer.Steward: the coordinator serves targets and the limiter
+// serves slices.
 type stewardServer struct {
 	*steward.Server
 	slices *limiter.Limiter
 }
 
-// peerHandler serves peers, metrics and state dumps.
+// peerHandler returns the handler for peers, metrics and state dumps.
 func (d *Daemon) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	gossip := peer.NewGossipServer(d.members)
 	mux.Handle(gossip.PathPrefix(), gossip)
-	stewards := peer.NewStewardServer(stewardServer{Server: d.stewards.Server(), slices: d.limiter})
-	mux.Handle(stewards.PathPrefix(), stewards)
+	stewardHandler := peer.NewStewardServer(stewardServer{Server: d.coordinator.Server(), slices: d.limiter})
+	mux.Handle(stewardHandler.PathPrefix(), stewardHandler)
 	mux.Handle("/v1/", d.gateway.HopHandler())
 	mux.Handle("GET /metrics", d.scrape)
 	mux.Handle(table.StatePath, table.StateHandler(d.table))
 	mux.HandleFunc("GET /debug/state", d.dump(func() any { return d.State() }))
 	mux.HandleFunc("GET /debug/members", d.dump(d.members.State))
-	mux.HandleFunc("GET /debug/targets", d.dump(func() any { return d.stewards.State() }))
+	mux.HandleFunc("GET /debug/targets", d.dump(func() any { return d.coordinator.State() }))
 	mux.HandleFunc("GET /debug/contexts", d.dump(d.planner.State))
 	mux.HandleFunc("POST /debug/drain", d.handleDrain)
 	return mux
@@ -42,7 +43,7 @@
 		encoder := json.NewEncoder(w)
 		encoder.SetIndent("", "  ")
 		if err := encoder.Encode(state()); err != nil {
-			d.log.Debug("Dump was not read to its end", "error", err)
+			d.log.Debug("State dump was not written completely", "error", err)
 		}
 	}
 }
@@ -52,7 +53,7 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// State is the dump of a daemon.
+// State is a dump of a daemon's state.
 type State struct {
 	ID            string `json:"id"`
 	Instance      string `json:"instance"`
@@ -74,7 +75,7 @@
 	Fleet         any    `json:"fleet"`
 }
 
-// State returns the dump of this daemon.
+// State returns a dump of this daemon's state.
 func (d *Daemon) State() State {
 	return State{
 		ID:            d.config.Daemon.ID,
@@ -91,14 +92,14 @@
 		Members:       d.members.State(),
 		Leases:        d.leases.State(),
 		Journal:       d.journal.State(),
-		Targets:       d.stewards.State(),
+		Targets:       d.coordinator.State(),
 		Contexts:      d.planner.State(),
 		Quarantine:    d.suspects.State(),
 		Fleet:         d.fleet.State(),
 	}
 }
 
-// Slice serves peer.Steward.
+// Slice implements peer.Steward.
 func (s stewardServer) Slice(ctx context.Context, r *peer.SliceRequest) (*peer.SliceResponse, error) {
 	return s.slices.Slice(ctx, r)
 }
--- a/internal/daemon/peerbytes.go
+++ b/internal/daemon/peerbytes.go
@@ -6,9 +6,9 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// countingListener counts the bytes of accepted connections. Each connection between
-// two daemons is accepted by one of them, so the sum over all daemons counts every byte
-// between them once. Bytes of operators who read the peer address are among them.
+// countingListener counts the bytes of accepted connections. One of two connected daemons
+// accepts their connection, so the sum over all daemons counts every byte between daemons
+// once. The count includes the traffic of operators' requests to the peer address.
 type countingListener struct {
 	net.Listener
 	in, out tally.Counter
@@ -31,7 +31,7 @@
 	return countingConn{Conn: c, in: l.in, out: l.out}, nil
 }
 
-// countingConn is a connection whose bytes are counted.
+// countingConn counts the bytes of a connection.
 type countingConn struct {
 	net.Conn
 	in, out tally.Counter
--- a/internal/daemon/pools.go
+++ b/internal/daemon/pools.go
@@ -17,7 +17,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/target"
 )
 
-// targetPool holds the clients of targets.
+// targetPool caches one client per target and address.
 type targetPool struct {
 	streams config.Streams
 	log     hclog.Logger
@@ -31,7 +31,7 @@
 	return &targetPool{streams: streams, log: log, metrics: metrics, clients: map[string]*target.Client{}}
 }
 
-// Client returns the client of a target at its present address.
+// Client returns the client of a target at its current address.
 func (p *targetPool) Client(t table.Target) *target.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +66,7 @@
 	maxIdlePerPeer  = 32
 )
 
-// peerPool holds the twirp clients of peers.
+// peerPool caches the twirp clients of peers.
 type peerPool struct {
 	http *http.Client
 
@@ -97,22 +97,22 @@
 	return c
 }
 
-// Reset closes idle connections to peers. One that has gone silent shows as a question
-// without an answer; the others in the pool may have gone with it.
+// Reset closes idle connections to peers. Callers use it after a request got no response:
+// the failure that broke its connection may have broken the other pooled ones too.
 func (p *peerPool) Reset() { p.http.CloseIdleConnections() }
 
-// vmListKept is how long one answer of the VM list serves all parts of a daemon. The
-// list lags anyway, and its calls must not grow with the number of readers.
-const vmListKept = 2 * time.Second
+// vmListCacheTTL is how long a daemon reuses a response of the VM list. The list lags
+// behind anyway, and the number of calls must not grow with the number of readers.
+const vmListCacheTTL = 2 * time.Second
 
-// vmCache asks the VM list at most once in vmListKept.
+// vmCache caches the responses of the VM list for vmListCacheTTL each.
 type vmCache struct {
 	list platform.VMList
 
-	mu   sync.Mutex
-	read time.Time
-	vms  []platform.VM
-	err  error
+	mu     sync.Mutex
+	readAt time.Time
+	vms    []platform.VM
+	err    error
 }
 
 func newVMCache(list platform.VMList) *vmCache { return &vmCache{list: list} }
@@ -121,10 +121,10 @@
 func (c *vmCache) VMs(ctx context.Context) ([]platform.VM, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Since(c.read) < vmListKept {
+	if time.Since(c.readAt) < vmListCacheTTL {
 		return c.vms, c.err
 	}
 	c.vms, c.err = c.list.VMs(ctx)
-	c.read = time.Now()
+	c.readAt = time.Now()
 	return c.vms, c.err
 }
--- a/internal/daemon/quorum.go
+++ b/internal/daemon/quorum.go
@@ -2,44 +2,47 @@
 
 import "time"
 
-// freshProof is the age up to which a proof that the table is current tells that the
-// service is reached, directly or by way of peers.
-const freshProof = 8 * time.Second
+// maxFreshProofAge is the age up to which a proof that the table is current shows that this
+// daemon reaches the key-value service, directly or through peers.
+const maxFreshProofAge = 8 * time.Second
 
-// quorum tells an outage of the key-value service from a daemon that is cut off.
+// quorum distinguishes an outage of the key-value service from a network partition that
+// isolates this daemon.
 //
-// Neither has a proof that the table is current. In an outage nobody can edit the table,
-// so what the daemons have is current, and refusing every prompt for as long as it lasts
-// would help nobody. A daemon that is cut off may miss edits that others follow: callers
-// would get two answers to one question, depending on the daemon asked. The difference
-// that it can see is its peers: while it still sees more than half of the daemons that
-// it saw when it last had a proof, the service is away; else it is the daemon.
+// In both cases the daemon has no proof that its table is current. In an outage operators
+// can't edit the table, so the daemons' copies are current, and refusing prompts for the
+// length of the outage would only harm callers. A partitioned daemon may miss edits that
+// other daemons apply, and callers would get different answers from different daemons.
+// The daemon decides by its peers: while it sees more than half of the daemons that it
+// saw when it last had a fresh proof, it assumes an outage; otherwise it assumes that it
+// is partitioned.
 //
-// What this can not tell: a part with more than half of the daemons that is cut off
-// from the service while operators still reach it. It goes on until the outage limit.
+// The quorum can't detect a partition that separates more than half of the daemons from
+// the service while operators still reach the service. These daemons continue to serve
+// until the outage limit.
 type quorum struct {
-	window   time.Duration // over which the most daemons seen are remembered, at least
-	now, old int           // most seen in the present window and in the one before
-	turned   time.Time
+	window                  time.Duration // minimum time for which the highest number of live daemons is kept
+	currentMax, previousMax int           // highest number of live daemons in the current and the previous window
+	windowStart             time.Time
 }
 
 func newQuorum(window time.Duration) *quorum { return &quorum{window: window} }
 
-// observe takes the number of live daemons and the age of the proof. Only what was seen
-// with a fresh proof counts: later the peers are already missing.
-func (q *quorum) observe(now time.Time, live int, proof time.Duration) {
-	if proof > freshProof {
+// observe records the number of live daemons if the proof is fresh. With an older proof
+// a partition may already hide peers, so the number would be too low.
+func (q *quorum) observe(now time.Time, live int, proofAge time.Duration) {
+	if proofAge > maxFreshProofAge {
 		return
 	}
-	if now.Sub(q.turned) > q.window {
-		q.now, q.old = 0, q.now
-		q.turned = now
+	if now.Sub(q.windowStart) > q.window {
+		q.currentMax, q.previousMax = 0, q.currentMax
+		q.windowStart = now
 	}
-	q.now = max(q.now, live)
+	q.currentMax = max(q.currentMax, live)
 }
 
-// reached tells whether live daemons are more than half of those seen.
-func (q *quorum) reached(live int) bool { return 2*live > max(q.now, q.old) }
+// hasMajority reports whether live is more than half of the highest recorded number.
+func (q *quorum) hasMajority(live int) bool { return 2*live > max(q.currentMax, q.previousMax) }
 
 func (d *Daemon) observeQuorum() {
 	now := time.Now()
@@ -49,7 +52,7 @@
 	d.quorum.observe(now, live, d.table.Confirmed(now))
 }
 
-// tableStale tells whether this daemon must not start requests by its table any more.
+// tableStale reports whether this daemon's table is too old to start requests with.
 func (d *Daemon) tableStale() bool {
 	age := d.table.Confirmed(time.Now())
 	if age <= d.config.Table.StaleAfter {
@@ -60,5 +63,5 @@
 	}
 	d.quorumMu.Lock()
 	defer d.quorumMu.Unlock()
-	return !d.quorum.reached(len(d.members.Live()))
+	return !d.quorum.hasMajority(len(d.members.Live()))
 }
--- a/internal/daemon/quorum_test.go
+++ b/internal/daemon/quorum_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// The key-value service is away for an hour. A daemon without a proof for five minutes
-// refused every prompt, and so did all others: nobody was served for 55 minutes
-// although nobody could have edited the table. A daemon that is cut off from its peers
-// too must still refuse, since others may follow edits that it misses.
-func TestOutageIsNotTakenForACut(t *testing.T) {
+// The key-value service is down for an hour. Every daemon refused all prompts once its last
+// proof was five minutes old, so callers had an outage of 55 minutes although operators
+// could not edit the table. A daemon that is also partitioned from its peers must still
+// refuse prompts, since other daemons may apply edits that it misses.
+func TestQuorumDistinguishesOutageFromNetworkPartition(t *testing.T) {
 	const fleet = 8
 	start := time.Unix(1_700_000_000, 0)
 	cases := []struct {
-		name  string
-		live  int // seen once the service is not reached
-		going bool
+		name    string
+		live    int // live daemons seen after contact with the service is lost
+		serving bool
 	}{
-		{"outage for all", fleet, true},
-		{"outage, and three daemons died", fleet - 3, true},
-		{"cut off alone", 1, false},
-		{"cut off with half of the fleet", fleet / 2, false},
+		{"outage for every daemon", fleet, true},
+		{"outage and crash of three daemons", fleet - 3, true},
+		{"isolated daemon", 1, false},
+		{"partition with half of the fleet", fleet / 2, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -29,16 +29,16 @@
 			for ; now.Sub(start) < 30*time.Minute; now = now.Add(time.Second) {
 				q.observe(now, fleet, 3*time.Second)
 			}
-			lost := now
-			for ; now.Sub(lost) < time.Hour; now = now.Add(time.Second) {
+			outageStart := now
+			for ; now.Sub(outageStart) < time.Hour; now = now.Add(time.Second) {
 				live := fleet
-				if now.Sub(lost) > 2*time.Second {
+				if now.Sub(outageStart) > 2*time.Second {
 					live = c.live
 				}
-				q.observe(now, live, now.Sub(lost))
+				q.observe(now, live, now.Sub(outageStart))
 			}
-			if q.reached(c.live) != c.going {
-				t.Fatalf("after an hour with %d of %d daemons in sight: going on is %v", c.live, fleet, !c.going)
+			if q.hasMajority(c.live) != c.serving {
+				t.Fatalf("after an hour with %d of %d daemons live: got serving %v", c.live, fleet, !c.serving)
 			}
 		})
 	}
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -14,8 +14,8 @@
 	"github.com/bluebellscale/bluebellscale/internal/peer"
 )
 
-// Run serves until ctx ends or a drain was asked for, then stops as planned: no
-// request in flight is cut off. It returns nil after a planned stop.
+// Run serves until ctx ends or Drain is called, and then performs a planned stop, which
+// lets requests in flight finish. It returns nil after a planned stop.
 func (d *Daemon) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
@@ -38,38 +38,38 @@
 	return err
 }
 
-// startTasks starts one goroutine for each duty.
+// startTasks starts one goroutine for each background task.
 func (d *Daemon) startTasks(ctx context.Context, tasks *sync.WaitGroup) {
-	duties := []func(context.Context){
+	runners := []func(context.Context){
 		func(ctx context.Context) { _ = d.members.Run(ctx) },
 		func(ctx context.Context) {
 			_ = d.table.Run(ctx, func() bool { return d.members.Among(watcherKey, d.config.Table.Watchers) })
 		},
 		func(ctx context.Context) { _ = d.leases.Run(ctx) },
 		func(ctx context.Context) { _ = d.journal.Run(ctx) },
-		d.followMembers,
-		d.stewards.Run,
+		d.watchMembership,
+		d.coordinator.Run,
 		d.limiter.Run,
 		d.planner.Run,
 		d.fleet.Run,
 	}
-	for _, duty := range duties {
-		tasks.Go(func() { duty(ctx) })
+	for _, runTask := range runners {
+		tasks.Go(func() { runTask(ctx) })
 	}
 }
 
-// followMembers acts on changes of the live daemons. Places have then moved, so the
-// stored quarantine findings are read: this daemon may be the new home of a request
-// whose former home has died with it.
-func (d *Daemon) followMembers(ctx context.Context) {
+// watchMembership reloads the stored quarantine records when the set of live daemons
+// changes. A change moves hashed assignments, so this daemon may be the new home of a
+// request whose former home has died.
+func (d *Daemon) watchMembership(ctx context.Context) {
 	tick := time.NewTicker(d.config.Membership.Interval)
 	defer tick.Stop()
-	var acted uint64
+	var loaded uint64
 	for {
 		d.observeQuorum()
-		if seen := liveHash(d.members.Live()); seen != acted {
+		if current := liveHash(d.members.Live()); current != loaded {
 			if err := d.suspects.Load(ctx); err == nil {
-				acted = seen
+				loaded = current
 			}
 		}
 		select {
@@ -80,16 +80,16 @@
 	}
 }
 
-// liveHash covers the ids and incarnations of the live daemons.
+// liveHash returns a hash of the IDs and incarnations of the live daemons.
 func liveHash(live []*peer.Member) uint64 {
 	h := xxhash.New()
 	for _, m := range live {
-		_, _ = fmt.Fprintf(h, "%s/%d;", m.Id, m.Incarnation) // never fails
+		_, _ = fmt.Fprintf(h, "%s/%d;", m.Id, m.Incarnation) // a write to a hash never fails
 	}
 	return h.Sum64()
 }
 
-// server is one HTTP listener being served.
+// server is an HTTP server of one listener.
 type server struct {
 	http   *http.Server
 	failed chan error
@@ -112,50 +112,51 @@
 	return s
 }
 
-// Drain starts a planned stop. It returns at once and may be called again.
+// Drain starts a planned stop and returns at once. It is idempotent.
 func (d *Daemon) Drain() {
 	if d.draining.CompareAndSwap(false, true) {
 		close(d.drain)
 	}
 }
 
-// holdersSeen is how long peers may take a daemon for the holder of a journal partition
-// after it gave the partition up: they look every two seconds.
-const holdersSeen = 3 * time.Second
+// staleHolderWindow is how long peers may still regard a daemon as the holder of a journal
+// partition that it has released. Peers refresh the holders every two seconds.
+const staleHolderWindow = 3 * time.Second
 
-// stop is the planned stop. The journal's partitions are given up first, while this
-// daemon still answers: peers that take it for their holder are then told that it is
-// not. Were its address closed first, a call that a peer forwards at that moment could
-// meet a connection that nobody accepts any more, and would be in doubt.
+// stop performs the planned stop. It releases the journal's partitions first, while this
+// daemon still responds to peers that regard it as their holder. If it closed the listener
+// first, a call that a peer forwards at that moment could be sent on a connection that is
+// never accepted, and its outcome would be in doubt.
 //
-// Callers keep a route answer for a while, so the daemon goes on accepting for that long
-// and forwards what comes; then it finishes what is in flight.
+// Callers cache a route for RouteKeep, so the daemon accepts and forwards requests for at
+// least that long before it waits for the requests in flight.
 func (d *Daemon) stop(callers, peers *server) {
 	d.draining.Store(true)
 	d.members.Leave()
-	keep := max(d.config.Drain.RouteKeep, holdersSeen)
-	d.log.Info("Planned stop began", "in_flight", d.gateway.InFlight(), "accepting_for", keep)
+	acceptFor := max(d.config.Drain.RouteKeep, staleHolderWindow)
+	d.log.Info("Planned stop began", "in_flight", d.gateway.InFlight(), "accepting_for", acceptFor)
 	ctx, cancel := context.WithTimeout(context.Background(), d.config.Drain.Limit)
 	defer cancel()
-	d.release(ctx)
-	time.Sleep(keep)
+	d.releaseLeases(ctx)
+	time.Sleep(acceptFor)
 	for _, s := range []*server{callers, peers} {
 		if err := s.http.Shutdown(ctx); err != nil {
-			d.log.Error("Requests were cut off at the limit of the planned stop", "in_flight", d.gateway.InFlight(), "error", err)
+			d.log.Error("Planned stop reached its time limit; requests in flight are aborted", "in_flight", d.gateway.InFlight(), "error", err)
 			_ = s.http.Close()
 		}
 	}
 }
 
-// release gives up journal partitions, once their calls are concluded, and leases.
-func (d *Daemon) release(ctx context.Context) {
+// releaseLeases releases the journal's partitions, once their calls have ended, and then
+// the leases.
+func (d *Daemon) releaseLeases(ctx context.Context) {
 	if err := d.journal.Shutdown(ctx); err != nil {
-		d.log.Warn("Journal partitions were not released; they lapse", "error", err)
+		d.log.Warn("Journal partitions were not released and will expire", "error", err)
 	}
-	release, cancel := context.WithTimeout(context.Background(), releaseTimeout)
+	releaseCtx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if err := d.leases.Close(release); err != nil {
-		d.log.Warn("Leases were not released; they lapse", "error", err)
+	if err := d.leases.Close(releaseCtx); err != nil {
+		d.log.Warn("Leases were not released and will expire", "error", err)
 	}
 }
 
@@ -163,9 +164,9 @@
 	d.gateway.Shutdown()
 	d.limiter.Shutdown()
 	d.planner.Shutdown()
-	d.stewards.Shutdown()
+	d.coordinator.Shutdown()
 	d.kv.Close()
 	d.targets.close()
 	d.peerPool.Reset()
-	_ = d.reporter.Close() // reports the last values; it can not fail
+	_ = d.reporter.Close() // reports the final values and never fails
 }
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -13,10 +13,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// A daemon is stopped as planned while an answer is under way. It ends whole, and
-// nothing is left running in the process: what is left would go on with the journal,
-// leases or targets after the daemon has given them up.
-func TestPlannedStopLeavesNothingRunning(t *testing.T) {
+// A planned stop happens while a response is in flight. The response must be complete, and
+// the daemon must leave no goroutine behind: a leaked one would continue to use the
+// journal, leases or targets after the daemon has released them.
+func TestPlannedStopLeaksNoGoroutines(t *testing.T) {
 	c := newCluster(t, 1, 0)
 	before := goleak.IgnoreCurrent()
 	d := c.startDaemon("d1")
@@ -31,11 +31,11 @@
 		}
 		answered <- status
 	}()
-	c.await("an answer to be under way", func() bool { return c.inFlight(d) == 1 })
+	c.await("a response to be in flight", func() bool { return c.inFlight(d) == 1 })
 	stopping.Store(true)
 	d.Drain()
 	if status := <-answered; status != http.StatusOK && status != http.StatusTooManyRequests {
-		t.Fatalf("the answer under way at the stop got %d", status)
+		t.Fatalf("the response in flight at the stop got status %d", status)
 	}
 	if err := <-d.done; err != nil {
 		t.Fatalf("the stopped daemon returned %v", err)
@@ -43,11 +43,11 @@
 	d.done <- nil
 	http.DefaultClient.CloseIdleConnections()
 	_ = c.store.Close() // the engine keeps connections to it
-	var left error
-	c.awaitOr("nothing to be left", func() bool {
-		left = goleak.Find(before)
-		return left == nil
-	}, func() string { return left.Error() })
+	var leak error
+	c.awaitWithState("all goroutines to end", func() bool {
+		leak = goleak.Find(before)
+		return leak == nil
+	}, func() string { return leak.Error() })
 }
 
 func (c *cluster) inFlight(d *runningDaemon) int {
@@ -58,10 +58,10 @@
 	return state.InFlight
 }
 
-// The key-value service is down when a daemon starts anew. Its peer has the table: the
-// daemon serves by it. One that starts with no peer either has no table that it could
-// be sure of, and refuses rather than use rules that may have changed.
-func TestDaemonThatStartsInAnOutage(t *testing.T) {
+// The key-value service is down when a daemon starts. The daemon copies the table from its
+// peer and serves prompts. A daemon that starts without a peer has no confirmed table, so
+// it refuses prompts instead of applying rules that may have changed.
+func TestDaemonStartsDuringOutage(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.stopKV()
 	fresh := c.startDaemon("d2")
