--- a/cmd/bluebellctl/main.go
+++ b/cmd/bluebellctl/main.go
@@ -1,4 +1,4 @@
-// Command bluebellctl edits the operators' table and looks into daemons.
+// Command bluebellctl edits the operators' table and inspects daemons.
 package main
 
 import (
@@ -32,7 +32,7 @@
 	os.Exit(code)
 }
 
-// callTimeout is long enough for a list of the whole table, which is some megabytes.
+// callTimeout is long enough to list the complete table, which has some megabytes.
 const callTimeout = 10 * time.Second
 
 func newKV(addresses []string) platform.KV {
@@ -44,7 +44,7 @@
 	return err
 }
 
-// operator names the user for the histories of rows.
+// operator returns the name of the system user, which the histories of rows record.
 func operator() string {
 	u, err := user.Current()
 	if err != nil {
--- a/cmd/bluebellscaled/main.go
+++ b/cmd/bluebellscaled/main.go
@@ -1,4 +1,4 @@
-// Bluebellscaled is the daemon of bluebellscale.
+// Command bluebellscaled runs the daemon of bluebellscale.
 package main
 
 import (
@@ -21,17 +21,17 @@
 func main() {
 	app := &cli.App{
 		Name:    "bluebellscaled",
-		Usage:   "serve prompts that return after long gaps",
+		Usage:   "route prompts whose contexts return after long gaps",
 		Version: version.String(),
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "config", Aliases: []string{"c"}, Usage: "settings in INI"},
+			&cli.StringFlag{Name: "config", Aliases: []string{"c"}, Usage: "INI file with the settings"},
 			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
-			&cli.StringFlag{Name: "addr-file", Usage: "write the addresses for callers and peers to this file, for ports given by the system"},
+			&cli.StringFlag{Name: "addr-file", Usage: "write the addresses for callers and peers to this file; use it with ports chosen by the system"},
 		},
 		Action: run,
 		Commands: []*cli.Command{{
 			Name:   "platform",
-			Usage:  "serve on the users' platform, with the settings that it gives",
+			Usage:  "serve on the users' platform with the settings that the platform provides",
 			Action: runOnPlatform,
 		}},
 	}
@@ -43,7 +43,7 @@
 
 func run(c *cli.Context) error {
 	if c.String("config") == "" {
-		return cli.Exit("bluebellscaled: --config is not given", 2)
+		return cli.Exit("bluebellscaled: --config is required", 2)
 	}
 	settings, err := config.Load(c.String("config"))
 	if err != nil {
@@ -67,8 +67,8 @@
 	return d.Run(ctx)
 }
 
-// runOnPlatform serves until SIGTERM. Logs go to standard output, where the platform
-// collects them.
+// runOnPlatform serves until SIGTERM or SIGINT. It logs to standard output, from which the
+// platform collects the logs.
 func runOnPlatform(c *cli.Context) error {
 	settings, err := platform.LoadSettings(os.Getenv(platform.SettingsVariable))
 	if err != nil {
@@ -85,12 +85,12 @@
 	if err != nil {
 		return err
 	}
-	go reloadOn(reload, d)
+	go reloadOnSignal(reload, d)
 	return d.Run(ctx)
 }
 
-// reloadOn reads the settings again at each signal.
-func reloadOn(signals <-chan os.Signal, d *platform.Daemon) {
+// reloadOnSignal reloads the settings at each signal.
+func reloadOnSignal(signals <-chan os.Signal, d *platform.Daemon) {
 	for range signals {
 		d.Reload(os.Getenv(platform.SettingsVariable))
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads a daemon's settings from an INI file and checks them as a
-// whole: every problem is reported with section, key, value and what is allowed, and
-// a daemon does not start with any.
+// Package config reads and validates a daemon's settings from an INI file. It reports every
+// problem with its section, key, value and the allowed values. A daemon does not start
+// while its settings have a problem.
 package config
 
 import (
@@ -25,26 +25,26 @@
 	Log        Log
 }
 
-// Daemon says who and where this daemon is.
+// Daemon identifies this daemon and sets its addresses.
 type Daemon struct {
 	ID            string
 	Region        string
 	FailureDomain string
-	Listen        string // callers, ip:port
-	Peer          string // peers, debug and metrics, ip:port
-	MaxInFlight   int    // credits of the request path
+	Listen        string // address for callers, ip:port
+	Peer          string // address for peers, debug endpoints and metrics, ip:port
+	MaxInFlight   int    // maximum number of requests in flight
 }
 
-// Platform says where the platform's services are and how much they may be asked.
+// Platform sets the addresses of the platform's services and the rate limits for their use.
 type Platform struct {
-	KV              []string // ip:port, tried in turn
+	KV              []string // ip:port each, tried in turn
 	VMList          string   // ip:port
 	Timeout         time.Duration
 	ReadsPerSecond  float64
 	WritesPerSecond float64
 }
 
-// Membership sets heartbeats between daemons.
+// Membership sets the heartbeats between daemons and their failure detection.
 type Membership struct {
 	Seeds        []string // peer addresses, ip:port
 	Interval     time.Duration
@@ -53,62 +53,62 @@
 	Fanout       int
 }
 
-// Table sets how the operators' table is followed.
+// Table sets how a daemon follows the operators' table.
 type Table struct {
-	Watchers   int           // daemons that watch the service
-	StaleAfter time.Duration // no proof of currency for this long stops new requests of a daemon that is cut off
-	// OutageLimit is StaleAfter while most daemons are in sight, so that it is the
-	// service that is away.
+	Watchers   int           // number of daemons that watch the key-value service
+	StaleAfter time.Duration // a partitioned daemon without proof for this long that its table is current refuses new requests
+	// OutageLimit replaces StaleAfter while most daemons are live, which shows that the
+	// key-value service is down.
 	OutageLimit time.Duration
 }
 
-// Admission bounds waiting.
+// Admission bounds the queues, deadlines and sizes of requests.
 type Admission struct {
 	QueuePerTarget  int
-	DefaultDeadline time.Duration // for requests that name none
+	DefaultDeadline time.Duration // for requests without a deadline
 	MaxPromptBytes  int
 }
 
-// Placement weighs first-token time against recomputation and link use.
+// Placement selects how to weigh time to first token against recomputation and link use.
 type Placement struct {
 	Profile string // atlas or fonografos
 }
 
-// Journal sets the at-most-once journal.
+// Journal sets the journal, which makes calls run at most once.
 type Journal struct {
 	Partitions int
-	Keep       time.Duration // how long a key and its result are kept
+	Keep       time.Duration // retention period of a key and its result
 	LeaseTTL   time.Duration
-	Holders    int // daemons that may hold partitions; the others ask the service nothing
+	Holders    int // number of daemons that may hold partitions; other daemons send the key-value service no requests for them
 }
 
-// Streams sets the deadlines of target connections.
+// Streams sets the timeouts of connections to targets.
 type Streams struct {
 	DialTimeout   time.Duration
-	HeaderTimeout time.Duration // targets answer with a head at once, also when the request waits
-	SilentAfter   time.Duration // no frame for this long makes a stream silent
+	HeaderTimeout time.Duration // targets send response headers at once, even for a queued request
+	SilentAfter   time.Duration // idle timeout: longest time between two frames of a stream
 	MaxResumes    int
 }
 
-// Drain sets the planned stop.
+// Drain sets the times of a planned stop.
 type Drain struct {
-	RouteKeep time.Duration // how long callers keep a route answer
-	Limit     time.Duration // the longest that a planned stop waits for requests in flight
+	RouteKeep time.Duration // how long callers cache a route
+	Limit     time.Duration // maximum time that a planned stop waits for requests in flight
 }
 
-// Fleet sets the duties on targets.
+// Fleet sets the control of targets.
 type Fleet struct {
 	OrderTimeout time.Duration
 	PollInterval time.Duration
 }
 
-// Log sets the log.
+// Log sets the level and format of the log.
 type Log struct {
 	Level string
 	JSON  bool
 }
 
-// Load reads and checks the file at path. The error lists every problem.
+// Load reads and validates the file at path. Its error lists every problem.
 func Load(path string) (*Config, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "="}, path)
 	if err != nil {
@@ -117,7 +117,7 @@
 	return parse(file)
 }
 
-// Parse reads and checks settings from data.
+// Parse reads and validates settings from data. Its error lists every problem.
 func Parse(data []byte) (*Config, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "="}, data)
 	if err != nil {
@@ -129,7 +129,7 @@
 func parse(file *ini.File) (*Config, error) {
 	r := newReader(file)
 	c := readAll(r)
-	r.checkTogether(c)
+	r.checkCombinations(c)
 	r.reportUnknown()
 	if len(r.problems) > 0 {
 		return nil, &InvalidError{Problems: r.problems}
@@ -187,7 +187,7 @@
 	}
 }
 
-// minStaleAfter stays well above the age that proofs of the table reach in a healthy
+// minStaleAfter must stay well above the age that proofs of the table reach in a healthy
 // fleet (5.6 s in a simulation of 390 daemons).
 const minStaleAfter = 10 * time.Second
 
--- a/internal/config/page_test.go
+++ b/internal/config/page_test.go
@@ -14,27 +14,29 @@
 
 const operationsPage = "../../docs/OPERATIONS.md"
 
-// required is what the page gives as the default of a setting that has none.
+// required stands in the page's default column for a setting without a default.
 const required = "required"
 
-// pageRow matches a row of the page's tables of settings: section, key, default, range.
+// pageRow matches a row of the page's tables of settings: section, key, default, allowed
+// values.
 var pageRow = regexp.MustCompile("^\\| `\\[([a-z]+)\\] ([a-z_]+)` \\| ([^|]*?) \\| ([^|]*?) \\|")
 
-// TestPageOfSettings compares the operators' page with what is read: the same keys, and
-// for each the default and the range that a wrong value is answered with.
-func TestPageOfSettings(t *testing.T) {
-	onPage := pageSettings(t)
+// TestOperationsPageMatchesSettings checks that the operators' page lists exactly the
+// settings that config reads, each with its default and with the allowed values that the
+// error for an invalid value states.
+func TestOperationsPageMatchesSettings(t *testing.T) {
+	documented := pageSettings(t)
 	r := newReader(ini.Empty())
 	defaults := readAll(r)
 	for section, keys := range r.known {
 		for key := range keys {
 			setting := fmt.Sprintf("[%s] %s", section, key)
-			row, ok := onPage[setting]
+			row, ok := documented[setting]
 			if !ok {
-				t.Errorf("%s is not on the page", setting)
+				t.Errorf("%s is missing on the page", setting)
 				continue
 			}
-			delete(onPage, setting)
+			delete(documented, setting)
 			if got := allowedFor(t, section, key); got != row.allowed {
 				t.Errorf("%s: the page allows %q, the daemon %q", setting, row.allowed, got)
 			}
@@ -46,12 +48,12 @@
 			}
 		}
 	}
-	for setting := range onPage {
-		t.Errorf("%s is on the page and not a setting", setting)
+	for setting := range documented {
+		t.Errorf("%s is on the page but is not a setting", setting)
 	}
 }
 
-// pageSetting is what the page says about one setting.
+// pageSetting is the page's entry of one setting.
 type pageSetting struct{ def, allowed string }
 
 func pageSettings(t *testing.T) map[string]pageSetting {
@@ -78,7 +80,7 @@
 	return newReader(file)
 }
 
-// allowedFor returns what a daemon that is given a wrong value says is allowed.
+// allowedFor returns the allowed values that the error for an invalid value states.
 func allowedFor(t *testing.T, section, key string) string {
 	file, err := ini.Load([]byte(fmt.Sprintf("[%s]\n%s = ?\n", section, key)))
 	if err != nil {
@@ -87,13 +89,13 @@
 	_, err = parse(file)
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) {
-		t.Fatalf("[%s] %s takes any value", section, key)
+		t.Fatalf("[%s] %s accepts an invalid value", section, key)
 	}
 	for _, p := range invalid.Problems {
 		if p.Section == section && p.Key == key {
 			return p.Allowed
 		}
 	}
-	t.Fatalf("[%s] %s takes any value", section, key)
+	t.Fatalf("[%s] %s accepts an invalid value", section, key)
 	return ""
 }
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -11,7 +11,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Problem is one wrong setting.
+// Problem is one invalid setting.
 type Problem struct {
 	Section string
 	Key     string
@@ -19,7 +19,7 @@
 	Allowed string
 }
 
-// String formats the problem for an operator.
+// String returns the problem as a message for operators.
 func (p Problem) String() string {
 	return fmt.Sprintf("[%s] %s = %q: want %s", p.Section, p.Key, p.Value, p.Allowed)
 }
@@ -41,8 +41,8 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// reader takes typed values from a file and collects problems. It remembers which
-// keys it was asked for, so that all others can be reported as unknown.
+// reader reads typed values from a file and collects problems. It records the requested
+// keys, so that reportUnknown can report any other key of the file.
 type reader struct {
 	file     *ini.File
 	known    map[string]map[string]bool
@@ -53,7 +53,7 @@
 	return &reader{file: file, known: map[string]map[string]bool{}}
 }
 
-func (r *reader) problem(section, key, value, allowed string) {
+func (r *reader) addProblem(section, key, value, allowed string) {
 	r.problems = append(r.problems, Problem{Section: section, Key: key, Value: value, Allowed: allowed})
 }
 
@@ -72,28 +72,28 @@
 func (r *reader) name(section, key string) string {
 	v, _ := r.value(section, key)
 	if !namePattern.MatchString(v) {
-		r.problem(section, key, v, "a name of 1 to 63 letters, digits, dots, dashes and underscores")
+		r.addProblem(section, key, v, "a name of 1 to 63 letters, digits, dots, dashes and underscores")
 	}
 	return v
 }
 
-func checkAddress(v string) bool {
+func isAddress(v string) bool {
 	ap, err := netip.ParseAddrPort(v)
 	return err == nil && ap.Addr().IsValid()
 }
 
 func (r *reader) address(section, key string) string {
 	v, _ := r.value(section, key)
-	if !checkAddress(v) {
-		r.problem(section, key, v, "ip:port with an IP number")
+	if !isAddress(v) {
+		r.addProblem(section, key, v, "ip:port with an IP number")
 	}
 	return v
 }
 
 func (r *reader) optionalAddress(section, key string) string {
 	v, ok := r.value(section, key)
-	if ok && v != "" && !checkAddress(v) {
-		r.problem(section, key, v, "ip:port with an IP number, or nothing")
+	if ok && v != "" && !isAddress(v) {
+		r.addProblem(section, key, v, "ip:port with an IP number, or nothing")
 	}
 	return v
 }
@@ -106,14 +106,14 @@
 		if part == "" {
 			continue
 		}
-		if !checkAddress(part) {
-			r.problem(section, key, part, "ip:port with an IP number, several separated by commas")
+		if !isAddress(part) {
+			r.addProblem(section, key, part, "ip:port with an IP number, several separated by commas")
 			continue
 		}
 		out = append(out, part)
 	}
 	if required && len(out) == 0 && v == "" {
-		r.problem(section, key, v, "at least one ip:port")
+		r.addProblem(section, key, v, "at least one ip:port")
 	}
 	return out
 }
@@ -125,7 +125,7 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < low || n > high {
-		r.problem(section, key, v, fmt.Sprintf("a whole number from %d to %d", low, high))
+		r.addProblem(section, key, v, fmt.Sprintf("a whole number from %d to %d", low, high))
 		return def
 	}
 	return n
@@ -138,7 +138,7 @@
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(f >= low && f <= high) {
-		r.problem(section, key, v, fmt.Sprintf("a number from %g to %g", low, high))
+		r.addProblem(section, key, v, fmt.Sprintf("a number from %g to %g", low, high))
 		return def
 	}
 	return f
@@ -151,7 +151,7 @@
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < low || d > high {
-		r.problem(section, key, v, fmt.Sprintf("a duration from %s to %s, for example 3s", low, high))
+		r.addProblem(section, key, v, fmt.Sprintf("a duration from %s to %s, for example 3s", low, high))
 		return def
 	}
 	return d
@@ -167,7 +167,7 @@
 			return v
 		}
 	}
-	r.problem(section, key, v, "one of "+strings.Join(allowed, ", "))
+	r.addProblem(section, key, v, "one of "+strings.Join(allowed, ", "))
 	return def
 }
 
@@ -178,45 +178,45 @@
 	}
 	b, err := strconv.ParseBool(v)
 	if err != nil {
-		r.problem(section, key, v, "true or false")
+		r.addProblem(section, key, v, "true or false")
 		return def
 	}
 	return b
 }
 
-// checkTogether checks settings that are only wrong in combination.
-func (r *reader) checkTogether(c *Config) {
+// checkCombinations validates settings that depend on each other.
+func (r *reader) checkCombinations(c *Config) {
 	m := c.Membership
 	if m.SuspectAfter <= m.Interval {
-		r.problem("membership", "suspect_after", m.SuspectAfter.String(), "more than interval")
+		r.addProblem("membership", "suspect_after", m.SuspectAfter.String(), "more than interval")
 	}
 	if m.DeadAfter <= m.SuspectAfter {
-		r.problem("membership", "dead_after", m.DeadAfter.String(), "more than suspect_after")
+		r.addProblem("membership", "dead_after", m.DeadAfter.String(), "more than suspect_after")
 	}
-	// The failure: an order to an engine starts only if the lease outlasts it. Of a lease
-	// that is renewed each third of its time, and has a margin taken off, two thirds less
-	// the margin are left at worst. A longer order is mostly put off, and a rollout stands
-	// still without an error.
+	// An order to an engine starts only if the lease outlasts it. A lease is renewed after
+	// each third of its TTL and has a safety margin, so in the worst case two thirds of the
+	// TTL less the margin remain. Longer orders are deferred most of the time, and a rollout
+	// stalls without an error.
 	if longest := c.Journal.LeaseTTL * 2 / 5; c.Fleet.OrderTimeout > longest {
-		r.problem("fleet", "order_timeout", c.Fleet.OrderTimeout.String(),
+		r.addProblem("fleet", "order_timeout", c.Fleet.OrderTimeout.String(),
 			"at most two fifths of [journal] lease_ttl, "+longest.String())
 	}
 	if c.Daemon.Listen != "" && c.Daemon.Listen == c.Daemon.Peer && !strings.HasSuffix(c.Daemon.Peer, ":0") {
-		r.problem("daemon", "peer", c.Daemon.Peer, "another address than listen")
+		r.addProblem("daemon", "peer", c.Daemon.Peer, "an address other than that of listen")
 	}
 }
 
-// reportUnknown adds a problem for each section or key that no setting has.
+// reportUnknown adds a problem for each section or key that is not a setting.
 func (r *reader) reportUnknown() {
 	for _, s := range r.file.Sections() {
 		keys, known := r.known[s.Name()]
 		if !known && s.Name() != ini.DefaultSection {
-			r.problem(s.Name(), "", "", "a known section")
+			r.addProblem(s.Name(), "", "", "a known section")
 			continue
 		}
 		for _, k := range s.Keys() {
 			if !keys[k.Name()] {
-				r.problem(s.Name(), k.Name(), k.String(), "a known key")
+				r.addProblem(s.Name(), k.Name(), k.String(), "a known key")
 			}
 		}
 	}
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -22,19 +22,19 @@
 	ExitConflict = 3
 )
 
-// Deps is what the tool needs from its process.
+// Deps holds the dependencies that the process provides.
 type Deps struct {
-	NewKV       func(addresses []string) platform.KV // client of the key-value service
-	CheckConfig func(path string) error              // checks a daemon's settings
+	NewKV       func(addresses []string) platform.KV // returns a client of the key-value service
+	CheckConfig func(path string) error              // validates a daemon's settings file
 	Client      *http.Client                         // for daemons' debug endpoints
-	Operator    string                               // name for histories
+	Operator    string                               // name recorded in histories of rows
 	Version     string
-	Stdin       io.Reader // for logs
+	Stdin       io.Reader // logs, if a command is given no files
 	Stdout      io.Writer
 	Stderr      io.Writer
 }
 
-// usageError is a wrong use of the tool.
+// usageError reports invalid arguments or flags.
 type usageError struct{ reason string }
 
 // Error implements the error interface.
@@ -44,7 +44,7 @@
 	return &usageError{reason: fmt.Sprintf(format, args...)}
 }
 
-// Run runs the tool with the process's arguments and returns its exit code.
+// Run runs the tool with the process's arguments and returns the exit code.
 func Run(ctx context.Context, args []string, deps Deps) int {
 	err := App(deps).RunContext(ctx, args)
 	if err == nil {
@@ -66,21 +66,21 @@
 	return ExitFailure
 }
 
-// tool is the state that commands share.
+// tool holds the state that commands share.
 type tool struct {
 	deps Deps
 }
 
-// App returns the tool's commands.
+// App returns the command-line application.
 func App(deps Deps) *cli.App {
 	t := &tool{deps: deps}
 	app := &cli.App{
 		Name:      "bluebellctl",
-		Usage:     "edit the operators' table and look into daemons",
+		Usage:     "edit the operators' table and inspect daemons",
 		Writer:    deps.Stdout,
 		ErrWriter: deps.Stderr,
 		Version:   deps.Version,
-		Description: "Exit codes: 0 done, 1 failure, 2 wrong use, 3 conflict with another operator.\n\n" +
+		Description: "Exit codes: 0 success, 1 failure, 2 usage error, 3 conflict with another operator.\n\n" +
 			"Examples:\n" +
 			"  bluebellctl table plan --kv 10.0.0.5:7400 rows/\n" +
 			"  bluebellctl table set --kv 10.0.0.5:7400 organisations acme weight=20\n" +
@@ -92,10 +92,10 @@
 		Commands: []*cli.Command{
 			t.tableCommand(),
 			t.checkCommand(),
-			t.debugCommand("state", "/debug/state", "print a daemon's whole state"),
-			t.debugCommand("members", membersPath, "list the daemons that a daemon knows"),
-			t.debugCommand("targets", "/debug/targets", "list targets as a daemon sees them"),
-			t.debugCommand("contexts", "/debug/contexts", "list contexts that a daemon knows"),
+			t.debugCommand("state", "/debug/state", "print a daemon's complete state"),
+			t.debugCommand("members", membersPath, "list the members that a daemon knows"),
+			t.debugCommand("targets", "/debug/targets", "list the targets with their state as seen by a daemon"),
+			t.debugCommand("contexts", "/debug/contexts", "list the contexts that a daemon knows"),
 			t.drainCommand(),
 			t.explainCommand(),
 			t.lossesCommand(),
@@ -106,7 +106,7 @@
 	return app
 }
 
-// setUsageErrors makes wrong flags of every command a usageError.
+// setUsageErrors makes every command report invalid flags as a usageError.
 func setUsageErrors(commands []*cli.Command) {
 	for _, c := range commands {
 		c.OnUsageError = onUsageError
@@ -121,7 +121,7 @@
 
 func unknownCommand(c *cli.Context) error {
 	if c.Args().Present() {
-		return usagef("no command %q; see %s --help", c.Args().First(), c.App.Name)
+		return usagef("unknown command %q; see %s --help", c.Args().First(), c.App.Name)
 	}
 	return cli.ShowSubcommandHelp(c)
 }
@@ -143,11 +143,11 @@
 )
 
 func outputFlag() cli.Flag {
-	return &cli.StringFlag{Name: flagOutput, Aliases: []string{"o"}, Value: outputTable, Usage: "json or table"}
+	return &cli.StringFlag{Name: flagOutput, Aliases: []string{"o"}, Value: outputTable, Usage: "output format: json or table"}
 }
 
 func timeoutFlag() cli.Flag {
-	return &cli.DurationFlag{Name: flagTimeout, Value: defaultTimeout, Usage: "give up after this"}
+	return &cli.DurationFlag{Name: flagTimeout, Value: defaultTimeout, Usage: "time limit of the command"}
 }
 
 // checkedFile is the JSON output of check.
@@ -164,7 +164,7 @@
 func (t *tool) checkCommand() *cli.Command {
 	return &cli.Command{
 		Name: "check", Usage: "check a daemon's settings file", ArgsUsage: "FILE",
-		Description: "Lists all wrong settings; exit code 1 if there are any.\n\n" +
+		Description: "Lists all invalid settings and exits with code 1 if there are any.\n\n" +
 			"Example:\n  bluebellctl check /etc/bluebellscale.ini",
 		Flags: []cli.Flag{outputFlag()},
 		Action: func(c *cli.Context) error {
@@ -175,7 +175,7 @@
 			if err := t.deps.CheckConfig(path); err != nil {
 				return err
 			}
-			return t.printLine(c, checkedFile{File: path, Valid: true}, path+": fine")
+			return t.printLine(c, checkedFile{File: path, Valid: true}, path+": valid")
 		},
 	}
 }
@@ -193,12 +193,12 @@
 
 func oneArg(c *cli.Context, name string) (string, error) {
 	if c.NArg() != 1 {
-		return "", usagef("%s: want one argument, %s; flags stand before it", c.Command.FullName(), name)
+		return "", usagef("%s: want one argument, %s; flags must precede it", c.Command.FullName(), name)
 	}
 	return c.Args().First(), nil
 }
 
-// withTimeout bounds a command by its flag.
+// withTimeout returns a context that ends after the command's --timeout.
 func withTimeout(c *cli.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(c.Context, c.Duration(flagTimeout))
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -22,8 +22,8 @@
 )
 
 // TestCommands runs each command line of testdata against one key-value service and one
-// daemon. Input lines that follow a "file" directive become files below DIR; ADDR stands
-// for the daemon's peer address.
+// daemon. The input of a "file" directive becomes a file in DIR, and ADDR stands for the
+// daemon's peer address.
 func TestCommands(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		e := newEnvironment(t)
@@ -42,7 +42,7 @@
 	})
 }
 
-// environment is what a command line meets.
+// environment holds the services and files that a command line uses.
 type environment struct {
 	kv      *kv.Fake
 	daemon  *httptest.Server
@@ -63,8 +63,8 @@
 	mux.Handle(table.StatePath, table.StateHandler(e.replica))
 	mux.HandleFunc(membersPath, func(w http.ResponseWriter, _ *http.Request) {
 		self := membership.MemberInfo{ID: "a", State: "alive", PeerAddress: e.daemon.Listener.Addr().String(), Incarnation: "1"}
-		gone := membership.MemberInfo{ID: "b", State: "dead", PeerAddress: "127.0.0.1:1", Incarnation: "1"}
-		_ = json.NewEncoder(w).Encode([]membership.MemberInfo{self, gone})
+		dead := membership.MemberInfo{ID: "b", State: "dead", PeerAddress: "127.0.0.1:1", Incarnation: "1"}
+		_ = json.NewEncoder(w).Encode([]membership.MemberInfo{self, dead})
 	})
 	mux.HandleFunc("POST "+drainPath, func(http.ResponseWriter, *http.Request) {})
 	e.daemon = httptest.NewServer(mux)
@@ -83,11 +83,11 @@
 }
 
 var (
-	instant = regexp.MustCompile(`\d{4}-\d\d-\d\dT[0-9:.]+Z`)
-	spaces  = regexp.MustCompile(`(\S) {2,}`)
+	timestamp = regexp.MustCompile(`\d{4}-\d\d-\d\dT[0-9:.]+Z`)
+	spaces    = regexp.MustCompile(`(\S) {2,}`)
 )
 
-// TestGridIsAligned looks at the columns of a table with cells of different lengths.
+// TestGridIsAligned checks the alignment of columns whose cells differ in length.
 func TestGridIsAligned(t *testing.T) {
 	var b strings.Builder
 	value := json.RawMessage(`[{"id":"a","state":"alive"},{"id":"longer","state":"dead","revision":18446744073709551615}]`)
@@ -100,7 +100,7 @@
 	}
 }
 
-// run returns what the command line prints and its exit code.
+// run returns the output of the command line and its exit code.
 func (e *environment) run(line string) string {
 	address := e.daemon.Listener.Addr().String()
 	line = strings.NewReplacer("DIR", e.dir, "ADDR", address).Replace(line)
@@ -117,8 +117,8 @@
 	})
 	text := strings.NewReplacer(e.dir, "DIR", address, "ADDR").Replace(out.String())
 	var b strings.Builder
-	text = instant.ReplaceAllString(text, "TIME")
-	// The widths of columns follow from the names of the day's directory and port.
+	text = timestamp.ReplaceAllString(text, "TIME")
+	// The widths of columns depend on the temporary directory and the port of this run.
 	text = spaces.ReplaceAllString(text, "$1  ")
 	for _, line := range strings.Split(text, "\n") {
 		b.WriteString(strings.TrimRight(line, " ") + "\n")
--- a/internal/ctl/debug.go
+++ b/internal/ctl/debug.go
@@ -15,19 +15,19 @@
 	"github.com/bluebellscale/bluebellscale/internal/membership"
 )
 
-// Paths of a daemon's peer address.
+// Paths of endpoints at a daemon's peer address.
 const (
 	membersPath = "/debug/members"
 	drainPath   = "/debug/drain"
 )
 
-// maxBody bounds an answer of a daemon, in bytes.
+// maxBody bounds the size of a daemon's response, in bytes.
 const maxBody = 256 << 20
 
-// ErrDaemon reports that a daemon could not be asked.
-var ErrDaemon = errors.New("daemon not asked")
+// ErrDaemon reports a failed request to a daemon.
+var ErrDaemon = errors.New("request to daemon failed")
 
-// debugCommand prints what a daemon's endpoint returns.
+// debugCommand returns a command that prints the response of a daemon's debug endpoint.
 func (t *tool) debugCommand(name, path, usage string) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage, ArgsUsage: "ADDR",
@@ -38,7 +38,7 @@
 			if err != nil {
 				return err
 			}
-			value, err := t.ask(c, http.MethodGet, address, path)
+			value, err := t.callJSON(c, http.MethodGet, address, path)
 			if err != nil {
 				return err
 			}
@@ -49,7 +49,7 @@
 
 func (t *tool) drainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "drain", Usage: "stop a daemon as planned: it finishes what is in flight", ArgsUsage: "ADDR",
+		Name: "drain", Usage: "start a planned stop of a daemon, which lets requests in flight finish", ArgsUsage: "ADDR",
 		Description: "ADDR is the daemon's peer address.\n\nExample:\n  bluebellctl drain 10.0.0.11:9001",
 		Flags:       []cli.Flag{outputFlag(), timeoutFlag()},
 		Action: func(c *cli.Context) error {
@@ -57,7 +57,7 @@
 			if err != nil {
 				return err
 			}
-			value, err := t.ask(c, http.MethodPost, address, drainPath)
+			value, err := t.callJSON(c, http.MethodPost, address, drainPath)
 			if err != nil {
 				return err
 			}
@@ -66,8 +66,9 @@
 	}
 }
 
-// ask calls a daemon's endpoint within the command's timeout and returns its JSON.
-func (t *tool) ask(c *cli.Context, method, address, path string) (json.RawMessage, error) {
+// callJSON calls a daemon's endpoint within the command's timeout and returns the JSON of
+// the response.
+func (t *tool) callJSON(c *cli.Context, method, address, path string) (json.RawMessage, error) {
 	ctx, cancel := withTimeout(c)
 	defer cancel()
 	body, err := t.call(ctx, method, address, path)
@@ -86,7 +87,7 @@
 func (t *tool) call(ctx context.Context, method, address, path string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
-		return nil, usagef("address %q; allowed: host:port", address)
+		return nil, usagef("invalid address %q; want host:port", address)
 	}
 	response, err := t.deps.Client.Do(request)
 	if err != nil {
@@ -105,11 +106,11 @@
 }
 
 func daemonError(err error, address, path string) error {
-	return errors.Mark(errors.Wrapf(err, "ask %s for %s", address, path), ErrDaemon)
+	return errors.Mark(errors.Wrapf(err, "daemon %s: request %s", address, path), ErrDaemon)
 }
 
-// liveAddresses returns the peer addresses of the daemons that any of the given ones
-// counts as live.
+// liveAddresses returns the peer addresses of the daemons that at least one of the given
+// daemons regards as live.
 func (t *tool) liveAddresses(ctx context.Context, addresses []string) ([]string, error) {
 	var live []string
 	var failure error
--- a/internal/ctl/doc.go
+++ b/internal/ctl/doc.go
@@ -1,5 +1,5 @@
-// Package ctl is the logic of the command-line tool bluebellctl: operators edit the
-// table with it and look into daemons.
+// Package ctl implements the command-line tool bluebellctl, with which operators edit the
+// table and inspect daemons.
 //
-// Exit codes: 0 done, 1 failure, 2 wrong use, 3 conflict with another operator.
+// Exit codes: 0 success, 1 failure, 2 usage error, 3 conflict with another operator.
 package ctl
--- a/internal/ctl/explaincmd.go
+++ b/internal/ctl/explaincmd.go
@@ -13,27 +13,27 @@
 	"github.com/bluebellscale/bluebellscale/internal/explain"
 )
 
-// explainCommand tells a request's way from daemons' logs.
+// explainCommand returns a command that reconstructs a request's history from daemons' logs.
 func (t *tool) explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "say from daemons' logs why a request ended as it did", ArgsUsage: "REQUEST-ID [FILE...]",
-		Description: "Each FILE is the log of one daemon, which is named after it; without one the standard input is read.\n\n" +
+		Name: "explain", Usage: "explain a request's outcome from daemons' logs", ArgsUsage: "REQUEST-ID [FILE...]",
+		Description: "Each FILE is the log of one daemon and its base name is that daemon's name. Without FILE, standard input is read.\n\n" +
 			"Example:\n  bluebellctl explain 9b4516b08769a240 logs/*.log",
 		Flags: []cli.Flag{outputFlag()},
 		Action: func(c *cli.Context) error {
 			if !c.Args().Present() {
 				return usagef("REQUEST-ID is missing")
 			}
-			way, err := t.explainFiles(c.Args().First(), c.Args().Tail())
+			history, err := t.explainFiles(c.Args().First(), c.Args().Tail())
 			if err != nil {
 				return err
 			}
 			if c.String(flagOutput) == outputTable {
-				if _, err := fmt.Fprintln(t.deps.Stdout, way.Verdict); err != nil {
+				if _, err := fmt.Fprintln(t.deps.Stdout, history.Verdict); err != nil {
 					return errors.Wrap(err, "write")
 				}
 			}
-			return t.print(c, way, gridOfWay(way))
+			return t.print(c, history, gridOfRequestHistory(history))
 		},
 	}
 }
@@ -55,17 +55,17 @@
 	return explain.Explain(request, logs)
 }
 
-func gridOfWay(w *explain.Way) grid {
+func gridOfRequestHistory(h *explain.Way) grid {
 	g := grid{header: []string{"TIME", "DAEMON", "MS", "WHAT", "REPLICA", "HOW", "WHY"}}
-	for _, l := range w.Lines {
+	for _, l := range h.Lines {
 		how := strings.TrimSpace(strings.Join([]string{l.Outcome, l.Code}, " "))
 		if l.Status != 0 {
 			how = strings.TrimSpace(fmt.Sprint(how, " ", l.Status))
 		}
 		why := l.Why
-		for _, more := range []string{l.Error, l.Cause} {
-			if more != "" {
-				why = strings.TrimSpace(why + " " + more)
+		for _, detail := range []string{l.Error, l.Cause} {
+			if detail != "" {
+				why = strings.TrimSpace(why + " " + detail)
 			}
 		}
 		g.rows = append(g.rows, []string{l.At.Format(time.StampMilli), l.Daemon, fmt.Sprint(l.AfterMs), l.Message, l.Replica, how, why})
--- a/internal/ctl/jsonvalue.go
+++ b/internal/ctl/jsonvalue.go
@@ -13,8 +13,8 @@
 	value json.RawMessage
 }
 
-// parseObject returns an object's fields in the order in which the daemon sent them, and
-// false if the value is no object.
+// parseObject returns an object's fields in the order in which the daemon sent them. It
+// returns false if the value is not an object.
 func parseObject(value json.RawMessage) ([]field, bool) {
 	decoder := json.NewDecoder(bytes.NewReader(value))
 	token, err := decoder.Token()
@@ -27,7 +27,7 @@
 		if err != nil {
 			return nil, false
 		}
-		f := field{name: name.(string)} // a key is always a string
+		f := field{name: name.(string)} // the name of a field is always a string
 		if err := decoder.Decode(&f.value); err != nil {
 			return nil, false
 		}
@@ -36,7 +36,7 @@
 	return fields, true
 }
 
-// parseArray returns an array's values, and false if the value is no array.
+// parseArray returns an array's values. It returns false if the value is not an array.
 func parseArray(value json.RawMessage) ([]json.RawMessage, bool) {
 	if !bytes.HasPrefix(bytes.TrimSpace(value), []byte("[")) {
 		return nil, false
@@ -48,11 +48,11 @@
 	return values, true
 }
 
-// cellText is a JSON value as text in a table.
+// cellText returns the text of a JSON value in a grid.
 func cellText(value json.RawMessage) string {
 	var text string
 	if err := json.Unmarshal(value, &text); err == nil {
-		return quote(text)
+		return displayCell(text)
 	}
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, value); err != nil {
@@ -63,7 +63,7 @@
 
 func checkJSON(body []byte) error {
 	if !json.Valid(body) {
-		return errors.New("answer is not JSON")
+		return errors.New("response is not valid JSON")
 	}
 	return nil
 }
--- a/internal/ctl/lossescmd.go
+++ b/internal/ctl/lossescmd.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	flagSpan     = "span"
-	flagWindows  = "windows"
-	defaultSpan  = 2 * time.Second
-	defaultWorst = 10
-	// causesTold is the number of causes that are told of each window.
-	causesTold = 4
+	flagSpan       = "span"
+	flagWindows    = "windows"
+	defaultSpan    = 2 * time.Second
+	defaultWindows = 10
+	// causesPerWindow is the number of causes listed for each window.
+	causesPerWindow = 4
 )
 
-// lossesCommand counts from daemons' logs where callers were served badly.
+// lossesCommand returns a command that counts refused, late and broken-off requests in
+// daemons' logs.
 func (t *tool) lossesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "losses", Usage: "count from daemons' logs what was refused, late or broken off, when and why", ArgsUsage: "[FILE...]",
-		Description: "Each FILE is a log of daemons; without one the standard input is read.\n\n" +
+		Name: "losses", Usage: "count refused, late and broken-off requests in daemons' logs by time and cause", ArgsUsage: "[FILE...]",
+		Description: "Each FILE is a log of one or more daemons. Without FILE, standard input is read.\n\n" +
 			"Example:\n  bluebellctl losses --span 2s logs/*.log",
 		Flags: []cli.Flag{
 			outputFlag(),
 			&cli.DurationFlag{Name: flagSpan, Value: defaultSpan, Usage: "length of a window"},
-			&cli.IntFlag{Name: flagWindows, Value: defaultWorst, Usage: "how many windows are told, the worst first"},
+			&cli.IntFlag{Name: flagWindows, Value: defaultWindows, Usage: "number of windows to list, worst first"},
 		},
 		Action: func(c *cli.Context) error {
-			o := losses.Options{Span: c.Duration(flagSpan), Windows: c.Int(flagWindows), Causes: causesTold}
+			o := losses.Options{Span: c.Duration(flagSpan), Windows: c.Int(flagWindows), Causes: causesPerWindow}
 			if o.Span <= 0 || o.Windows < 0 {
-				return usagef("--%s must be above 0, --%s not below", flagSpan, flagWindows)
+				return usagef("--%s must be positive and --%s must not be negative", flagSpan, flagWindows)
 			}
 			table, err := t.countLosses(o, c.Args().Slice())
 			if err != nil {
@@ -62,7 +63,8 @@
 	return losses.Count(o, logs...)
 }
 
-// gridOfLosses lists all causes first, and then the worst windows.
+// gridOfLosses lists the causes over the whole time first, and then those of the worst
+// windows.
 func gridOfLosses(table *losses.Table) grid {
 	g := grid{header: []string{"WHEN", "ENDED", "LOST", "HOW", "ROUTE", "CAUSE"}}
 	for _, l := range table.Losses {
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -19,17 +19,17 @@
 
 const (
 	tablePadding = 2
-	// absent stands for an empty or missing cell.
-	absent = "-"
+	// absentCell is the text of an empty or missing cell.
+	absentCell = "-"
 )
 
-// grid is an aligned table.
+// grid is a table of text with aligned columns.
 type grid struct {
 	header []string
 	rows   [][]string
 }
 
-// print writes value as JSON or its grid as a table, as the output flag says.
+// print writes value as JSON or g as a table, as selected by the output flag.
 func (t *tool) print(c *cli.Context, value any, g grid) error {
 	switch output := c.String(flagOutput); output {
 	case outputJSON:
@@ -37,11 +37,11 @@
 	case outputTable:
 		return writeGrid(t.deps.Stdout, g)
 	default:
-		return usagef("output %q; allowed: json, table", output)
+		return usagef("unknown output %q; allowed: json, table", output)
 	}
 }
 
-// printLine writes value as JSON or a line of text, as the output flag says.
+// printLine writes value as JSON or line as text, as selected by the output flag.
 func (t *tool) printLine(c *cli.Context, value any, line string) error {
 	return t.print(c, value, grid{header: []string{line}})
 }
@@ -65,7 +65,7 @@
 	return aligned.Flush()
 }
 
-// gridOf makes a table of any JSON value: a row for each object of an array, or a row for
+// gridOf returns a grid of any JSON value. It has a row for each object of an array, or for
 // each field of an object.
 func gridOf(value json.RawMessage) grid {
 	if values, ok := parseArray(value); ok {
@@ -82,8 +82,8 @@
 	return g
 }
 
-// gridOfArray has a column for each field that any of the objects has, in the order of
-// their first appearance.
+// gridOfArray returns a grid with a column for each field that occurs in any of the objects,
+// in the order of first occurrence.
 func gridOfArray(values []json.RawMessage) grid {
 	columns := make(map[string]int)
 	g := grid{}
@@ -92,22 +92,22 @@
 		if !ok {
 			fields = []field{{name: "value", value: value}}
 		}
-		row := slices.Repeat([]string{absent}, len(g.header))
+		row := slices.Repeat([]string{absentCell}, len(g.header))
 		for _, f := range fields {
 			i, known := columns[f.name]
 			if !known {
 				i = len(g.header)
 				columns[f.name] = i
 				g.header = append(g.header, strings.ToUpper(f.name))
-				row = append(row, absent)
+				row = append(row, absentCell)
 			}
 			row[i] = cellText(f.value)
 		}
 		g.rows = append(g.rows, row)
 	}
-	// tabwriter aligns a column only over lines that have it.
+	// tabwriter aligns a column only over consecutive lines that contain it.
 	for i, row := range g.rows {
-		g.rows[i] = append(row, slices.Repeat([]string{absent}, len(g.header)-len(row))...)
+		g.rows[i] = append(row, slices.Repeat([]string{absentCell}, len(g.header)-len(row))...)
 	}
 	return g
 }
--- a/internal/ctl/rowcmd.go
+++ b/internal/ctl/rowcmd.go
@@ -11,10 +11,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// rowArgs reads the arguments SHEET and ID.
+// rowArgs returns the arguments SHEET and ROW.
 func rowArgs(c *cli.Context) (table.Sheet, string, error) {
 	if c.NArg() < 2 {
-		return "", "", usagef("%s: want SHEET and ROW; flags stand before them", c.Command.FullName())
+		return "", "", usagef("%s: want SHEET and ROW; flags must precede them", c.Command.FullName())
 	}
 	sheet, err := table.ParseSheet(c.Args().Get(0))
 	if err != nil {
@@ -23,7 +23,7 @@
 	return sheet, c.Args().Get(1), nil
 }
 
-// rowView is a row in JSON output.
+// rowView is the JSON output of a row.
 type rowView struct {
 	Sheet    table.Sheet       `json:"sheet"`
 	ID       string            `json:"id"`
@@ -48,7 +48,7 @@
 			g := grid{header: []string{"COLUMN", "VALUE"}}
 			for i, column := range table.Columns(sheet) {
 				view.Cells[column] = row.Cells[i]
-				g.rows = append(g.rows, []string{column, quote(row.Cells[i])})
+				g.rows = append(g.rows, []string{column, displayCell(row.Cells[i])})
 			}
 			g.rows = append(g.rows, []string{"(revision)", strconv.FormatUint(row.Revision, 10)})
 			return t.print(c, view, g)
@@ -57,14 +57,14 @@
 }
 
 func revisionFlag() cli.Flag {
-	return &cli.Uint64Flag{Name: flagRevision, Usage: "the row's revision that you saw; without it, as it is now"}
+	return &cli.Uint64Flag{Name: flagRevision, Usage: "the row's revision that the edit is based on; default: the current one"}
 }
 
 func (t *tool) setCommand() *cli.Command {
 	return &cli.Command{
 		Name: "set", Usage: "change cells of a row", ArgsUsage: "SHEET ROW COLUMN=VALUE...", Flags: tableFlags(revisionFlag()),
-		Description: "With --revision, as printed by get, the edit is refused with exit code 3 and both values\n" +
-			"if somebody else edited the row since.\n\n" +
+		Description: "With --revision, as printed by get, the edit is refused with exit code 3, and both values\n" +
+			"are printed, if another operator has edited the row since.\n\n" +
 			"Example:\n  bluebellctl table set --revision 7 organisations acme weight=20 burst=40",
 		Action: t.editorAction(func(ctx context.Context, c *cli.Context, e *table.Editor) error {
 			sheet, id, err := rowArgs(c)
@@ -92,7 +92,7 @@
 	for _, arg := range args {
 		column, value, ok := strings.Cut(arg, "=")
 		if !ok {
-			return nil, usagef("%q is not COLUMN=VALUE; flags stand before the arguments", arg)
+			return nil, usagef("%q is not COLUMN=VALUE; flags must precede the arguments", arg)
 		}
 		cells = append(cells, table.CellValue{Column: column, Value: value})
 	}
@@ -143,7 +143,7 @@
 			g.rows = append(g.rows, append(head, "", "", ""))
 		}
 		for _, cell := range edit.Cells {
-			row := append(append([]string{}, head...), cell.Column, quote(cell.Old), quote(cell.New))
+			row := append(append([]string{}, head...), cell.Column, displayCell(cell.Old), displayCell(cell.New))
 			g.rows = append(g.rows, row)
 		}
 	}
--- a/internal/ctl/tablecmd.go
+++ b/internal/ctl/tablecmd.go
@@ -13,17 +13,17 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// ErrFile reports a file that can't be read or written.
-var ErrFile = errors.New("file failed")
+// ErrFile reports a failure to read or write a file.
+var ErrFile = errors.New("file access failed")
 
 func kvFlag() cli.Flag {
 	return &cli.StringSliceFlag{
-		Name: flagKV, EnvVars: []string{"BLUEBELLSCALE_KV"}, Usage: "host:port of the key-value service, several by commas",
+		Name: flagKV, EnvVars: []string{"BLUEBELLSCALE_KV"}, Usage: "host:port of the key-value service; separate several by commas",
 	}
 }
 
 func tableFlags(more ...cli.Flag) []cli.Flag {
-	who := &cli.StringFlag{Name: flagWho, EnvVars: []string{"BLUEBELLSCALE_OPERATOR"}, Usage: "your name in histories; default: the user"}
+	who := &cli.StringFlag{Name: flagWho, EnvVars: []string{"BLUEBELLSCALE_OPERATOR"}, Usage: "your name in histories; default: the name of the system user"}
 	return append([]cli.Flag{kvFlag(), outputFlag(), timeoutFlag(), who}, more...)
 }
 
@@ -46,7 +46,7 @@
 func (t *tool) editor(c *cli.Context) (*table.Editor, error) {
 	addresses := c.StringSlice(flagKV)
 	if len(addresses) == 0 {
-		return nil, usagef("no key-value service: give --kv host:port or set BLUEBELLSCALE_KV")
+		return nil, usagef("no address of the key-value service: give --kv host:port or set BLUEBELLSCALE_KV")
 	}
 	who := c.String(flagWho)
 	if who == "" {
@@ -113,7 +113,7 @@
 		Name: "plan", Usage: "show what apply would write", ArgsUsage: "DIR | FILE...", Flags: tableFlags(),
 		Description: "Example:\n  bluebellctl table plan rows/",
 		Action: t.editorAction(func(ctx context.Context, c *cli.Context, e *table.Editor) error {
-			plan, err := planOf(ctx, c, e)
+			plan, err := planFromArgs(ctx, c, e)
 			if err != nil {
 				return err
 			}
@@ -122,7 +122,7 @@
 	}
 }
 
-func planOf(ctx context.Context, c *cli.Context, e *table.Editor) (*table.Plan, error) {
+func planFromArgs(ctx context.Context, c *cli.Context, e *table.Editor) (*table.Plan, error) {
 	files, err := readFiles(c.Args().Slice())
 	if err != nil {
 		return nil, err
@@ -138,17 +138,17 @@
 			continue
 		}
 		for _, cell := range change.Cells() {
-			row := []string{string(change.Kind), string(change.Sheet), change.ID, cell.Column, quote(cell.Old), quote(cell.New)}
+			row := []string{string(change.Kind), string(change.Sheet), change.ID, cell.Column, displayCell(cell.Old), displayCell(cell.New)}
 			g.rows = append(g.rows, row)
 		}
 	}
 	return g
 }
 
-// quote makes an empty cell visible.
-func quote(text string) string {
+// displayCell returns the text of a cell in a grid, with a mark for an empty cell.
+func displayCell(text string) string {
 	if text == "" {
-		return absent
+		return absentCell
 	}
 	return text
 }
@@ -157,16 +157,16 @@
 	limit := &cli.IntFlag{Name: flagMaxRemove, Value: defaultMaxRemove, Usage: "refuse a plan that removes more rows"}
 	return &cli.Command{
 		Name: "apply", Usage: "write the sheets into the table", ArgsUsage: "DIR | FILE...", Flags: tableFlags(limit),
-		Description: "A row that is missing in a given file is removed. When the command ends with 0, every\n" +
-			"row is written; daemons have it in force within seconds (see wait).\n\n" +
+		Description: "Rows that are missing in a given file are removed. When the command exits with 0, every\n" +
+			"row is written; daemons apply it within seconds (see wait).\n\n" +
 			"Example:\n  bluebellctl table apply rows/",
 		Action: t.editorAction(func(ctx context.Context, c *cli.Context, e *table.Editor) error {
-			plan, err := planOf(ctx, c, e)
+			plan, err := planFromArgs(ctx, c, e)
 			if err != nil {
 				return err
 			}
-			// The failure: a file cut short by an editor or a bad merge would remove most
-			// organisations. It shows as many removals, which must be allowed by number.
+			// Applying a file that was truncated by an editor or a bad merge would remove
+			// most organisations. Such a plan has many removals, so their number is limited.
 			if n := plan.Removals(); n > c.Int(flagMaxRemove) {
 				return errors.Newf("the plan removes %d rows, more than --%s %d; nothing was written", n, flagMaxRemove, c.Int(flagMaxRemove))
 			}
@@ -222,10 +222,10 @@
 }
 
 func (t *tool) waitCommand() *cli.Command {
-	only := &cli.BoolFlag{Name: flagOnly, Usage: "ask only the given daemons, not those that they know"}
+	only := &cli.BoolFlag{Name: flagOnly, Usage: "query only the given daemons, not the members that they know"}
 	return &cli.Command{
-		Name: "wait", Usage: "wait until all live daemons have the table in force", ArgsUsage: "ADDR...", Flags: tableFlags(only),
-		Description: "ADDR is a daemon's peer address; the live daemons that it knows are asked too.\n\n" +
+		Name: "wait", Usage: "wait until all live daemons have applied the table", ArgsUsage: "ADDR...", Flags: tableFlags(only),
+		Description: "ADDR is a daemon's peer address. The command also queries the live members that this daemon knows.\n\n" +
 			"Example:\n  bluebellctl table wait --timeout 15s 10.0.0.11:9001",
 		Action: t.editorAction(t.wait),
 	}
@@ -246,7 +246,7 @@
 	states, waitErr := e.Wait(ctx, addresses, t.deps.Client)
 	g := grid{header: []string{"DAEMON", "IN_FORCE", "REVISION", "ERROR"}}
 	for _, s := range states {
-		row := []string{s.Address, strconv.FormatBool(s.InForce), strconv.FormatUint(s.State.Revision, 10), quote(s.Err)}
+		row := []string{s.Address, strconv.FormatBool(s.InForce), strconv.FormatUint(s.State.Revision, 10), displayCell(s.Err)}
 		g.rows = append(g.rows, row)
 	}
 	if err := t.print(c, states, g); err != nil {
