--- a/internal/contextstore/client.go
+++ b/internal/contextstore/client.go
@@ -104,8 +104,8 @@
 }
 
 // Claim implements placer.Stores.
-func (c *Client) Claim(ctx context.Context, salt string, parts []relay.Part, resident []bool) ([]placer.StoredPart, int64) {
-	out := make([]placer.StoredPart, len(parts))
+func (c *Client) Claim(ctx context.Context, salt string, parts []relay.Part, resident []bool) ([]placer.PartOffer, int64) {
+	out := make([]placer.PartOffer, len(parts))
 	claims := c.claimsByOwner(salt, parts, resident)
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -120,7 +120,7 @@
 	}
 	wg.Wait()
 	until := int64(0)
-	unused := make([]placer.StoredPart, len(parts))
+	unused := make([]placer.PartOffer, len(parts))
 	for i, q := range claims {
 		if answers[i] == nil || len(answers[i].Parts) != len(q.positions) {
 			continue
@@ -136,7 +136,7 @@
 
 // merge collects an owner's answers per part, and what is not used of them. A part may be
 // requested from two stores; a fetch takes precedence over a save.
-func (c *Client) merge(out, unused []placer.StoredPart, q *ownerClaim, r *ClaimResponse) {
+func (c *Client) merge(out, unused []placer.PartOffer, q *ownerClaim, r *ClaimResponse) {
 	for i, answer := range r.Parts {
 		store := q.stores[i]
 		c.recordStatus(string(store.ID), answer)
@@ -144,11 +144,11 @@
 			continue
 		}
 		position := q.positions[i]
-		got := placer.StoredPart{
+		got := placer.PartOffer{
 			Store: store.ID, Address: store.Store.Address, FailureDomain: store.Store.FailureDomain,
 			Fetch: answer.Fetch, Save: answer.Save && !answer.Fetch,
 			FetchTime: time.Duration(answer.TakesUs) * time.Microsecond,
-			Queue:     time.Duration(answer.QueueUs) * time.Microsecond, Claim: answer.Claim,
+			QueueTime: time.Duration(answer.QueueUs) * time.Microsecond, Claim: answer.Claim,
 		}
 		if out[position].Fetch || out[position].Save && !got.Fetch {
 			unused[position] = got
@@ -300,7 +300,7 @@
 }
 
 // Release implements placer.Stores. It does not wait for the owners.
-func (c *Client) Release(salt string, parts []relay.Part, unused []placer.StoredPart) {
+func (c *Client) Release(salt string, parts []relay.Part, unused []placer.PartOffer) {
 	requests := map[lease.Holder]*ReleaseRequest{}
 	for i, u := range unused {
 		if u.Claim == 0 {
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -7,10 +7,10 @@
 
 // State is the state of a manager for diagnostics.
 type State struct {
-	Session   string       `json:"session,omitempty"`
-	Remaining string       `json:"left,omitempty"` // time until the session must be renewed
-	Held      []LeaseState `json:"held"`
-	Unsettled []string     `json:"unsettled,omitempty"`
+	Session    string       `json:"session,omitempty"`
+	Remaining  string       `json:"left,omitempty"` // time until the session must be renewed
+	Held       []LeaseState `json:"held"`
+	Unresolved []string     `json:"unsettled,omitempty"`
 }
 
 // LeaseState is the state of one lease.
@@ -23,7 +23,7 @@
 func (m *Manager) State() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := State{Unsettled: sortedKeys(m.unsettled)}
+	out := State{Unresolved: sortedKeys(m.unsettled)}
 	if m.session != nil {
 		out.Session = string(m.session.id)
 		out.Remaining = m.session.remaining(m.opts.Now()).Round(time.Millisecond).String()
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -70,7 +70,7 @@
 type Reporter struct {
 	o      Options
 	conn   *net.UDPConn
-	Engine *placer.Engine // records what peers placed; must be set before Run
+	Placer *placer.PromptPlacer // records what peers placed; must be set before Run
 
 	mu             sync.Mutex
 	placed         []*Placed
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	n.Reporter = reporter
-	reporter.Engine = &placer.Engine{Eligibility: placer.Eligibility{Set: n.set}, Assigned: func(routing.ServiceID) []*replicas.Replica { return nil }}
+	reporter.Placer = &placer.PromptPlacer{Eligibility: placer.Eligibility{Set: n.set}, Assigned: func(routing.ServiceID) []*replicas.Replica { return nil }}
 	return n
 }
 
--- a/internal/loadshare/receive.go
+++ b/internal/loadshare/receive.go
@@ -49,14 +49,14 @@
 	}
 	for _, p := range r.Placed {
 		replica := byHash[p.Replica]
-		if replica == nil || s.Engine == nil || len(p.Parts) != len(p.Tokens) {
+		if replica == nil || s.Placer == nil || len(p.Parts) != len(p.Tokens) {
 			continue
 		}
 		parts := make([]placer.PlacedPart, len(p.Parts))
 		for i := range p.Parts {
 			parts[i] = placer.PlacedPart{Key: residency.Key(p.Parts[i]), Tokens: int(p.Tokens[i])}
 		}
-		s.Engine.RecordPlacement(replica, parts, int(p.Other))
+		s.Placer.RecordPlacement(replica, parts, int(p.Other))
 	}
 	for _, d := range r.Deaths {
 		s.o.OnDeath(quarantine.CrashReport{
--- a/internal/placer/candidates.go
+++ b/internal/placer/candidates.go
@@ -16,7 +16,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
-func (e *Engine) candidates(j *relay.Job, usable []*replicas.Replica, salt string, stored []StoredPart) []pick.Candidate {
+func (e *PromptPlacer) candidates(j *relay.Job, usable []*replicas.Replica, salt string, stored []PartOffer) []pick.Candidate {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -37,7 +37,7 @@
 	return out
 }
 
-func (e *Engine) partsAt(j *relay.Job, r *replicas.Replica, salt string, sameSalt bool, stored []StoredPart) []pick.Part {
+func (e *PromptPlacer) partsAt(j *relay.Job, r *replicas.Replica, salt string, sameSalt bool, stored []PartOffer) []pick.Part {
 	info := r.Info()
 	m := e.models[r]
 	parts := make([]pick.Part, len(j.Parts))
@@ -48,11 +48,11 @@
 		}
 		parts[i].Resident = m != nil && m.Contains(partKey(salt, p.ID))
 		if stored[i].Fetch {
-			parts[i].LinkTime = stored[i].FetchTime - stored[i].Queue
+			parts[i].LinkTime = stored[i].FetchTime - stored[i].QueueTime
 			if stored[i].FailureDomain != info.FailureDomain {
 				parts[i].LinkTime *= crossDomainFactor
 			}
-			parts[i].FetchTime = stored[i].Queue + parts[i].LinkTime
+			parts[i].FetchTime = stored[i].QueueTime + parts[i].LinkTime
 		}
 	}
 	return parts
@@ -60,7 +60,7 @@
 
 // longOutputReplicas returns the replicas of a service that are reserved for requests with long
 // outputs: the first ones in an order that is the same on all daemons.
-func (e *Engine) longOutputReplicas(service *routing.Service, now time.Time) map[request.TargetID]bool {
+func (e *PromptPlacer) longOutputReplicas(service *routing.Service, now time.Time) map[request.TargetID]bool {
 	all := slices.Clone(e.Assigned(service.ID))
 	long := 0
 	for _, r := range all {
@@ -79,11 +79,11 @@
 
 // onUsableWeights filters out replicas whose weights were replaced too long ago. Without another
 // replica the caller is told to retry rather than answered on outdated weights.
-func (e *Engine) onUsableWeights(from []*replicas.Replica, m request.Model) []*replicas.Replica {
+func (e *PromptPlacer) onUsableWeights(from []*replicas.Replica, m request.Model) []*replicas.Replica {
 	var fit []*replicas.Replica
 	for _, r := range from {
 		version := r.Weights(m)
-		since, outdated := e.Outdated(m, version)
+		since, outdated := e.OutdatedSince(m, version)
 		if version == 0 || outdated && e.OldWeightsUsableFor > 0 && time.Since(since) > e.OldWeightsUsableFor {
 			continue
 		}
@@ -102,16 +102,16 @@
 }
 
 // weightsPenalty returns how much less an answer on a version of the weights is worth, from 0 to 1.
-func (e *Engine) weightsPenalty(m request.Model, version uint64) float64 {
-	if _, outdated := e.Outdated(m, version); outdated {
+func (e *PromptPlacer) weightsPenalty(m request.Model, version uint64) float64 {
+	if _, outdated := e.OutdatedSince(m, version); outdated {
 		return outdatedPenalty
 	}
 	return 0
 }
 
 // beginBy returns when an answer on a version of the weights must have begun, zero without a bound.
-func (e *Engine) beginBy(m request.Model, version uint64) time.Time {
-	since, outdated := e.Outdated(m, version)
+func (e *PromptPlacer) beginBy(m request.Model, version uint64) time.Time {
+	since, outdated := e.OutdatedSince(m, version)
 	if !outdated || e.OldWeightsBeginWithin <= 0 {
 		return time.Time{}
 	}
@@ -131,7 +131,7 @@
 	return residency.Key(xxhash.Sum64String(salt + "/" + id))
 }
 
-func (e *Engine) pickRequest(j *relay.Job) pick.Request {
+func (e *PromptPlacer) pickRequest(j *relay.Job) pick.Request {
 	fresh := j.PromptTokens
 	for _, p := range j.Parts {
 		fresh -= p.Tokens
@@ -139,4 +139,6 @@
 	return pick.Request{KVTokens: j.PromptTokens + e.expectedOutput(j), TailTokens: max(0, fresh), LongOutput: e.expectedOutput(j) > longOutputTokens}
 }
 
-func (e *Engine) expectedOutput(j *relay.Job) int { return int(float64(j.OutputTokens) * outputShare) }
+func (e *PromptPlacer) expectedOutput(j *relay.Job) int {
+	return int(float64(j.OutputTokens) * outputShare)
+}
--- a/internal/placer/eligible_test.go
+++ b/internal/placer/eligible_test.go
@@ -74,7 +74,7 @@
 	w.set.Get("eu-1").ObserveLeaving()
 	w.set.Get("eu-2").SetBusy(time.Now().Add(time.Minute))
 	expectOnly(t, w, "eu-2")
-	plain := &Plain{Eligibility: w.engine.Eligibility, Domain: "a"}
+	plain := &PlainPlacer{Eligibility: w.engine.Eligibility, Domain: "a"}
 	w.set.Get("eu-2").ObserveLeaving()
 	if _, err := plain.Place(context.Background(), job("s"), nil); err == nil {
 		t.Error("the last replica gets a call while it is leaving")
@@ -92,7 +92,7 @@
 	expectOnly(t, w, "eu-2")
 	until := time.Now().Add(backoff)
 	w.set.Get("eu-2").BackOff(until)
-	plain := &Plain{Eligibility: w.engine.Eligibility, Domain: "a"}
+	plain := &PlainPlacer{Eligibility: w.engine.Eligibility, Domain: "a"}
 	if _, err := plain.Place(context.Background(), job("s"), nil); err == nil && time.Now().Before(until) {
 		t.Error("a call goes to a replica that is backing off")
 	}
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -48,41 +48,41 @@
 	longOutputTokens = 100
 )
 
-// Outdated reports whether a version of a model's weights is older than the newest requested one, and
+// OutdatedSince reports whether a version of a model's weights is older than the newest requested one, and
 // since when.
-type Outdated func(m request.Model, version uint64) (since time.Time, outdated bool)
+type OutdatedSince func(m request.Model, version uint64) (since time.Time, outdated bool)
 
-// StoredPart is what a context store offers for one prompt part: a fetch, a save or neither.
-type StoredPart struct {
+// PartOffer is what a context store offers for one prompt part: a fetch, a save or neither.
+type PartOffer struct {
 	Store         routing.ServiceID
 	Address       string // of the store; empty if there is none
 	FailureDomain string
 	Fetch         bool          // the part may be fetched from the store
 	Save          bool          // the part should be saved to the store
 	FetchTime     time.Duration // to a replica in the store's failure domain, including Queue
-	Queue         time.Duration // wait for the store's link before the fetch
+	QueueTime     time.Duration // wait for the store's link before the fetch
 	Claim         int64         // identifies the transfer on the store's link; zero if none is counted
 }
 
 // Stores claims transfers of prompt parts from and to the context stores.
 type Stores interface {
 	// Claim returns an entry for each part, and until when fetches may start, on the replicas' clock.
-	Claim(ctx context.Context, salt string, parts []relay.Part, expectResident []bool) (stored []StoredPart, until int64)
+	Claim(ctx context.Context, salt string, parts []relay.Part, expectResident []bool) (stored []PartOffer, until int64)
 	// Release gives back transfers that Claim allowed under a salt and that are not made. It does not block.
-	Release(salt string, parts []relay.Part, unused []StoredPart)
+	Release(salt string, parts []relay.Part, unused []PartOffer)
 	// ReportFetch reports the outcome of a fetch to the owner of the store. It does not block.
 	ReportFetch(store routing.ServiceID, f storecache.FetchResult)
 }
 
-// Engine places prompts on model replicas.
-type Engine struct {
+// PromptPlacer places prompts on model replicas.
+type PromptPlacer struct {
 	Eligibility
 	// Assigned returns the replicas of a service that are assigned to this daemon.
-	Assigned func(routing.ServiceID) []*replicas.Replica
-	Domain   string // failure domain of this daemon
-	Outdated Outdated
-	Stores   Stores
-	OnPlaced func(replica *replicas.Replica, parts []PlacedPart, other int) // notifies peers; nil: no notification
+	Assigned      func(routing.ServiceID) []*replicas.Replica
+	Domain        string // failure domain of this daemon
+	OutdatedSince OutdatedSince
+	Stores        Stores
+	OnPlaced      func(replica *replicas.Replica, parts []PlacedPart, other int) // notifies peers; nil: no notification
 	// OldWeightsUsableFor is how long replaced weights still get requests, and OldWeightsBeginWithin
 	// the time within which an answer on them must begin. Both count from the request for the successor
 	// version. Zero means no bound.
@@ -101,7 +101,7 @@
 }
 
 // Place implements relay.Placer.
-func (e *Engine) Place(ctx context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
+func (e *PromptPlacer) Place(ctx context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
 	usable := e.eligible(j, e.Assigned(j.Service.ID), tried)
 	usable = e.onUsableWeights(usable, j.Model)
 	if len(usable) == 0 {
@@ -137,7 +137,7 @@
 
 // choose returns the cheapest replica that may get the request now, or the reason why none may. If a
 // concurrent request has used up the quota of the cheapest replica, choose tries the next one.
-func (e *Engine) choose(j *relay.Job, need pick.Request, usable []*replicas.Replica, salt string, stored []StoredPart) (*replicas.Replica, *pick.Candidate, error) {
+func (e *PromptPlacer) choose(j *relay.Job, need pick.Request, usable []*replicas.Replica, salt string, stored []PartOffer) (*replicas.Replica, *pick.Candidate, error) {
 	longest := e.longestWait(j)
 	for len(usable) > 0 {
 		candidates := e.candidates(j, usable, salt, stored)
@@ -157,7 +157,7 @@
 // claims. If the attempt ended before its first token, because the replica crashed or the caller
 // disconnected, it releases the fetches, as they tell nothing about the link, and keeps the saves,
 // which the replica may have made.
-func (e *Engine) onEnded(stop func() (reported bool), salt string, j *relay.Job, stored []StoredPart) func(ran bool) {
+func (e *PromptPlacer) onEnded(stop func() (reported bool), salt string, j *relay.Job, stored []PartOffer) func(ran bool) {
 	return func(ran bool) {
 		reported := stop()
 		switch {
@@ -170,8 +170,8 @@
 }
 
 // onlyFetches returns a copy of stored that keeps only the parts to be fetched.
-func onlyFetches(stored []StoredPart) []StoredPart {
-	out := make([]StoredPart, len(stored))
+func onlyFetches(stored []PartOffer) []PartOffer {
+	out := make([]PartOffer, len(stored))
 	for i, s := range stored {
 		if s.Fetch {
 			out[i] = s
@@ -181,7 +181,7 @@
 }
 
 // release gives back claims that were made under a salt.
-func (e *Engine) release(salt string, j *relay.Job, unused []StoredPart) {
+func (e *PromptPlacer) release(salt string, j *relay.Job, unused []PartOffer) {
 	if e.Stores != nil {
 		e.Stores.Release(salt, j.Parts, unused)
 	}
@@ -217,7 +217,7 @@
 }
 
 // longestWait returns how long a request may wait for its replica.
-func (e *Engine) longestWait(j *relay.Job) time.Duration {
+func (e *PromptPlacer) longestWait(j *relay.Job) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	w := e.waits[j.Service.ID]
@@ -246,7 +246,7 @@
 // other work before its first token is subtracted. No overdue fetch is reported for a busy replica,
 // or for one that also fetches from elsewhere, because these may be the cause: a dead store delays a
 // replica by half a second.
-func (e *Engine) watchFetch(c *pick.Candidate, need pick.Request, sources []pick.Source, stored []StoredPart) (first func(), stop func() (reported bool)) {
+func (e *PromptPlacer) watchFetch(c *pick.Candidate, need pick.Request, sources []pick.Source, stored []PartOffer) (first func(), stop func() (reported bool)) {
 	from, expected, all := dominantFetch(c, sources, stored)
 	if from.Claim == 0 {
 		return func() {}, func() bool { return true }
@@ -278,7 +278,7 @@
 
 // dominantFetch finds the store with the longest total fetch time. It returns the last part that is
 // fetched from that store, the total fetch time of that store, and the fetch time of all stores.
-func dominantFetch(c *pick.Candidate, sources []pick.Source, stored []StoredPart) (last StoredPart, fromStore, all time.Duration) {
+func dominantFetch(c *pick.Candidate, sources []pick.Source, stored []PartOffer) (last PartOffer, fromStore, all time.Duration) {
 	takes := map[routing.ServiceID]time.Duration{}
 	for i, source := range sources {
 		if source != pick.Fetched {
@@ -306,8 +306,8 @@
 // prompts share, all replicas fetched them again over a link that had become slow, and that link
 // stayed saturated: each prompt waited for the longest time a fetch may take, for seconds after the
 // link had recovered.
-func cancelFetches(send *relay.AttemptMeta, parts []pick.Part, sources []pick.Source, stored []StoredPart) []StoredPart {
-	unused := make([]StoredPart, len(parts))
+func cancelFetches(send *relay.AttemptMeta, parts []pick.Part, sources []pick.Source, stored []PartOffer) []PartOffer {
+	unused := make([]PartOffer, len(parts))
 	computed := false
 	for i, source := range sources {
 		computed = computed || source == pick.Computed && parts[i].FetchTime > 0
@@ -347,9 +347,9 @@
 	return b.String()
 }
 
-func (e *Engine) claimTransfers(ctx context.Context, j *relay.Job, salt string, usable []*replicas.Replica) ([]StoredPart, int64) {
+func (e *PromptPlacer) claimTransfers(ctx context.Context, j *relay.Job, salt string, usable []*replicas.Replica) ([]PartOffer, int64) {
 	if e.Stores == nil || len(j.Parts) == 0 {
-		return make([]StoredPart, len(j.Parts)), 0
+		return make([]PartOffer, len(j.Parts)), 0
 	}
 	stored, until := e.Stores.Claim(ctx, salt, j.Parts, e.residentOnAny(j, salt, usable))
 	e.release(salt, j, e.dropSavesOutsideHomes(j, stored))
@@ -358,11 +358,11 @@
 
 // dropSavesOutsideHomes removes saves to stores outside a prompt's home regions from stored, and
 // returns them.
-func (e *Engine) dropSavesOutsideHomes(j *relay.Job, stored []StoredPart) []StoredPart {
-	unused := make([]StoredPart, len(stored))
+func (e *PromptPlacer) dropSavesOutsideHomes(j *relay.Job, stored []PartOffer) []PartOffer {
+	unused := make([]PartOffer, len(stored))
 	for i, s := range stored {
 		if s.Save && !e.isHome(j, s.FailureDomain) {
-			unused[i], stored[i] = s, StoredPart{}
+			unused[i], stored[i] = s, PartOffer{}
 		}
 	}
 	return unused
@@ -370,7 +370,7 @@
 
 // setTransfers sets the source and the destination of each part. Parts that are assumed to be resident
 // get a source as well: the replica fetches only what it lacks.
-func (e *Engine) setTransfers(send *relay.AttemptMeta, j *relay.Job, stored []StoredPart, until int64, to *replicas.Replica) {
+func (e *PromptPlacer) setTransfers(send *relay.AttemptMeta, j *relay.Job, stored []PartOffer, until int64, to *replicas.Replica) {
 	send.FetchFrom = make([]string, len(j.Parts))
 	send.SaveTo = make([]string, len(j.Parts))
 	for i := range j.Parts {
--- a/internal/placer/memory.go
+++ b/internal/placer/memory.go
@@ -10,7 +10,7 @@
 )
 
 // announcePlacement records that a replica will hold the parts of a prompt, and notifies peers.
-func (e *Engine) announcePlacement(r *replicas.Replica, j *relay.Job, salt string) {
+func (e *PromptPlacer) announcePlacement(r *replicas.Replica, j *relay.Job, salt string) {
 	parts := make([]PlacedPart, len(j.Parts))
 	other := j.PromptTokens + e.expectedOutput(j)
 	for i, p := range j.Parts {
@@ -24,7 +24,7 @@
 	}
 }
 
-func (e *Engine) setMemoryTokens(tokens int) {
+func (e *PromptPlacer) setMemoryTokens(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.memoryTokens = tokens
@@ -32,7 +32,7 @@
 
 // RecordPlacement records what is added to a replica's memory: parts, and other tokens, which are never
 // requested again but use capacity until they are evicted.
-func (e *Engine) RecordPlacement(r *replicas.Replica, parts []PlacedPart, other int) {
+func (e *PromptPlacer) RecordPlacement(r *replicas.Replica, parts []PlacedPart, other int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.memoryTokens == 0 {
@@ -55,7 +55,7 @@
 }
 
 // Prune drops the models of replicas that were removed or have restarted.
-func (e *Engine) Prune() {
+func (e *PromptPlacer) Prune() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for r := range e.models {
@@ -67,7 +67,7 @@
 
 // findHolder returns a replica on the same weights that is assumed to hold a part, preferably one in
 // the same failure domain.
-func (e *Engine) findHolder(key residency.Key, j *relay.Job, to *replicas.Replica, version uint64) *replicas.Replica {
+func (e *PromptPlacer) findHolder(key residency.Key, j *relay.Job, to *replicas.Replica, version uint64) *replicas.Replica {
 	var found *replicas.Replica
 	now := time.Now()
 	for _, r := range e.Assigned(j.Service.ID) {
@@ -84,7 +84,7 @@
 }
 
 // setReplicaSources sets another replica as the source of parts that no store provides.
-func (e *Engine) setReplicaSources(send *relay.AttemptMeta, j *relay.Job, to *replicas.Replica) {
+func (e *PromptPlacer) setReplicaSources(send *relay.AttemptMeta, j *relay.Job, to *replicas.Replica) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i, p := range j.Parts {
@@ -102,7 +102,7 @@
 }
 
 // residentOnAny reports for each part whether any usable replica is assumed to hold it.
-func (e *Engine) residentOnAny(j *relay.Job, salt string, usable []*replicas.Replica) []bool {
+func (e *PromptPlacer) residentOnAny(j *relay.Job, salt string, usable []*replicas.Replica) []bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := make([]bool, len(j.Parts))
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -32,11 +32,11 @@
 	released []string
 }
 
-func (s *fakeStore) Claim(_ context.Context, salt string, parts []relay.Part, _ []bool) ([]StoredPart, int64) {
+func (s *fakeStore) Claim(_ context.Context, salt string, parts []relay.Part, _ []bool) ([]PartOffer, int64) {
 	s.claims++
-	out := make([]StoredPart, len(parts))
+	out := make([]PartOffer, len(parts))
 	for i, p := range parts {
-		out[i] = StoredPart{Store: "store", Address: "store:1", FailureDomain: "a", FetchTime: cmp.Or(s.fetchTime, 10*time.Millisecond)}
+		out[i] = PartOffer{Store: "store", Address: "store:1", FailureDomain: "a", FetchTime: cmp.Or(s.fetchTime, 10*time.Millisecond)}
 		out[i].Fetch = s.held[salt+"/"+p.ID]
 		out[i].Save = !out[i].Fetch && i < len(parts)-1
 		out[i].Claim = int64(i + 1)
@@ -44,7 +44,7 @@
 	return out, permitUntil
 }
 
-func (s *fakeStore) Release(salt string, parts []relay.Part, unused []StoredPart) {
+func (s *fakeStore) Release(salt string, parts []relay.Part, unused []PartOffer) {
 	for i, u := range unused {
 		if u.Save || u.Fetch {
 			s.released = append(s.released, salt+"/"+parts[i].ID)
@@ -56,7 +56,7 @@
 
 type fixture struct {
 	set       *replicas.Set
-	engine    *Engine
+	engine    *PromptPlacer
 	store     *fakeStore
 	requested uint64
 	since     time.Time
@@ -67,10 +67,10 @@
 	for i := range n {
 		w.put(i, 1)
 	}
-	w.engine = &Engine{
+	w.engine = &PromptPlacer{
 		Eligibility: Eligibility{Set: w.set}, Assigned: w.set.OfService, Domain: "a", Stores: w.store,
 		OldWeightsUsableFor: time.Second, OldWeightsBeginWithin: 2 * time.Second,
-		Outdated: func(_ request.Model, v uint64) (time.Time, bool) { return w.since, v < w.requested },
+		OutdatedSince: func(_ request.Model, v uint64) (time.Time, bool) { return w.since, v < w.requested },
 	}
 	return w
 }
@@ -321,7 +321,7 @@
 // were tried.
 func TestPlainCallGoesToLeastLoadedReplica(t *testing.T) {
 	w := newFixture(3)
-	p := &Plain{Eligibility: Eligibility{Set: w.set}, Domain: "a"}
+	p := &PlainPlacer{Eligibility: Eligibility{Set: w.set}, Domain: "a"}
 	j := &relay.Job{Service: &routing.Service{ID: "llm"}, Route: &routing.Route{}}
 	w.set.Get("r0").Load.Begin(0, 0)
 	w.set.Get("r1").Load.Begin(0, 0)
--- a/internal/placer/plain.go
+++ b/internal/placer/plain.go
@@ -26,14 +26,14 @@
 	CrossDomain:       3 * time.Millisecond,
 }
 
-// Plain places calls of plain services.
-type Plain struct {
+// PlainPlacer places calls of plain services.
+type PlainPlacer struct {
 	Eligibility
 	Domain string // failure domain of this daemon
 }
 
 // Place implements relay.Placer.
-func (p *Plain) Place(_ context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
+func (p *PlainPlacer) Place(_ context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
 	for {
 		usable := p.eligible(j, p.Set.OfService(j.Service.ID), tried)
 		if len(usable) == 0 {
@@ -46,7 +46,7 @@
 	}
 }
 
-func (p *Plain) cheapest(usable []*replicas.Replica) *replicas.Replica {
+func (p *PlainPlacer) cheapest(usable []*replicas.Replica) *replicas.Replica {
 	now := time.Now()
 	candidates := make([]pick.Candidate, len(usable))
 	for i, r := range usable {
--- a/internal/placer/quotas.go
+++ b/internal/placer/quotas.go
@@ -30,8 +30,8 @@
 // concurrent use.
 type Quotas struct {
 	Self string // name of this daemon
-	// Users returns the names of the daemons that use a replica, empty while they are unknown.
-	Users func(*replicas.Replica) []string
+	// Daemons returns the names of the daemons that use a replica, empty while they are unknown.
+	Daemons func(*replicas.Replica) []string
 	// ColdLimits returns the limits of a cold replica of a service, and RateLimits those of a replica
 	// that reported a rate limit.
 	ColdLimits func(routing.ServiceID) quota.Limits
@@ -92,7 +92,7 @@
 // Unconfirmed reports whether a bound holds for a replica while this daemon does not know the other
 // daemons yet, so that it should prefer other replicas.
 func (q *Quotas) Unconfirmed(now time.Time, r *replicas.Replica) bool {
-	return q != nil && len(q.bounds(now, r)) > 0 && len(q.Users(r)) == 0
+	return q != nil && len(q.bounds(now, r)) > 0 && len(q.Daemons(r)) == 0
 }
 
 // bounds returns the bounds that hold for a replica now.
@@ -123,7 +123,7 @@
 	if len(bounds) == 0 {
 		return nil, true
 	}
-	users := q.Users(r)
+	users := q.Daemons(r)
 	for _, b := range bounds {
 		share, sends := q.share(r, b, users)
 		if !sends {
--- a/internal/placer/quotas_test.go
+++ b/internal/placer/quotas_test.go
@@ -17,7 +17,7 @@
 	limits := quota.ColdStartLimits(9.8, 19.7)
 	w.set.SetColdStarts(map[routing.ServiceID]time.Duration{"llm": time.Minute})
 	w.engine.Quotas = &Quotas{
-		Self: "d0", Users: func(*replicas.Replica) []string { return group },
+		Self: "d0", Daemons: func(*replicas.Replica) []string { return group },
 		ColdLimits: func(routing.ServiceID) quota.Limits { return limits },
 	}
 }
@@ -29,7 +29,7 @@
 
 func setRateQuotas(w *fixture, self string, group ...string) {
 	w.engine.Quotas = &Quotas{
-		Self: self, Users: func(*replicas.Replica) []string { return group },
+		Self: self, Daemons: func(*replicas.Replica) []string { return group },
 		ColdLimits: func(routing.ServiceID) quota.Limits { return quota.Limits{} }, RateLimits: rateLimits,
 	}
 }
@@ -155,7 +155,7 @@
 	w := newFixture(1)
 	setColdQuotas(w, "d0")
 	w.set.Get("r0").AssumeCold(time.Now())
-	p := &Plain{Eligibility: w.engine.Eligibility, Domain: "a"}
+	p := &PlainPlacer{Eligibility: w.engine.Eligibility, Domain: "a"}
 	j := &relay.Job{Service: &routing.Service{ID: "llm"}, Route: &routing.Route{}}
 	if _, err := p.Place(context.Background(), j, nil); err != nil {
 		t.Fatal(err)
--- a/internal/transfer/transfer.go
+++ b/internal/transfer/transfer.go
@@ -31,8 +31,8 @@
 
 // Errors of cancelled calls, to be tested with errors.Is.
 var (
-	ErrNoAnswer = errors.New("transfer: timed out waiting for response headers")
-	ErrStalled  = errors.New("transfer: response stalled")
+	ErrHeaderTimeout = errors.New("transfer: timed out waiting for response headers")
+	ErrStalled       = errors.New("transfer: response stalled")
 )
 
 // TruncatedError reports a response that ended early.
@@ -72,7 +72,7 @@
 func (c *Client) DoWithin(r *http.Request, headerTimeout time.Duration) (*http.Response, error) {
 	start := time.Now()
 	ctx, cancel := context.WithCancelCause(r.Context())
-	headerTimer := time.AfterFunc(headerTimeout, func() { cancel(ErrNoAnswer) })
+	headerTimer := time.AfterFunc(headerTimeout, func() { cancel(ErrHeaderTimeout) })
 	response, err := c.HTTP.Do(r.WithContext(ctx))
 	headerTimer.Stop()
 	if err != nil {
--- a/internal/transfer/transfer_test.go
+++ b/internal/transfer/transfer_test.go
@@ -138,7 +138,7 @@
 func TestCallWithoutResponseTimesOut(t *testing.T) {
 	c, _ := newClient(t)
 	_, err := c.Do(newServerRequest(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
-	if !errors.Is(err, ErrNoAnswer) {
+	if !errors.Is(err, ErrHeaderTimeout) {
 		t.Errorf("got error %v", err)
 	}
 }
