--- a/internal/placer/candidates.go
+++ b/internal/placer/candidates.go
@@ -16,12 +16,12 @@
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
-func (e *PromptPlacer) candidates(j *relay.Job, usable []*replicas.Replica, salt string, stored []PartOffer) []pick.Candidate {
+func (pp *PromptPlacer) candidates(j *relay.Job, usable []*replicas.Replica, salt string, offers []PartOffer) []pick.Candidate {
 	now := time.Now()
-	e.mu.Lock()
-	defer e.mu.Unlock()
+	pp.mu.Lock()
+	defer pp.mu.Unlock()
 	out := make([]pick.Candidate, len(usable))
-	longOutput := e.longOutputReplicas(j.Service, now)
+	longOutput := pp.longOutputReplicas(j.Service, now)
 	for i, r := range usable {
 		info := r.Info()
 		load := r.Load.Total(now)
@@ -29,30 +29,30 @@
 		out[i] = pick.Candidate{
 			Running: load.Requests, Slots: j.Service.Engine.Slots,
 			KVUsed: load.Tokens, KVCapacity: j.Service.Engine.MemoryTokens, QueuedPrefill: load.Prefill,
-			SameDomain: info.FailureDomain == e.Domain, ErrorRate: r.Health.ErrorRate(),
-			WeightStaleness: e.weightsPenalty(j.Model, version), ReservedForLongOutput: longOutput[info.ID],
-			Parts: e.partsAt(j, r, salt, cacheSalt(version, j.Org) == salt, stored),
+			SameDomain: info.FailureDomain == pp.Domain, ErrorRate: r.Health.ErrorRate(),
+			WeightStaleness: pp.weightsPenalty(j.Model, version), ReservedForLongOutput: longOutput[info.ID],
+			Parts: pp.partsAt(j, r, salt, cacheSalt(version, j.Org) == salt, offers),
 		}
 	}
 	return out
 }
 
-func (e *PromptPlacer) partsAt(j *relay.Job, r *replicas.Replica, salt string, sameSalt bool, stored []PartOffer) []pick.Part {
+func (pp *PromptPlacer) partsAt(j *relay.Job, r *replicas.Replica, salt string, sameSalt bool, offers []PartOffer) []pick.Part {
 	info := r.Info()
-	m := e.models[r]
+	m := pp.memoryEstimates[r]
 	parts := make([]pick.Part, len(j.Parts))
 	for i, p := range j.Parts {
-		parts[i] = pick.Part{Tokens: p.Tokens, ComputedBefore: stored[i].Fetch}
+		parts[i] = pick.Part{Tokens: p.Tokens, ComputedBefore: offers[i].Fetch}
 		if !sameSalt {
 			continue
 		}
 		parts[i].Resident = m != nil && m.Contains(partKey(salt, p.ID))
-		if stored[i].Fetch {
-			parts[i].LinkTime = stored[i].FetchTime - stored[i].QueueTime
-			if stored[i].FailureDomain != info.FailureDomain {
+		if offers[i].Fetch {
+			parts[i].LinkTime = offers[i].FetchTime - offers[i].QueueTime
+			if offers[i].FailureDomain != info.FailureDomain {
 				parts[i].LinkTime *= crossDomainFactor
 			}
-			parts[i].FetchTime = stored[i].QueueTime + parts[i].LinkTime
+			parts[i].FetchTime = offers[i].QueueTime + parts[i].LinkTime
 		}
 	}
 	return parts
@@ -60,8 +60,8 @@
 
 // longOutputReplicas returns the replicas of a service that are reserved for requests with long
 // outputs: the first ones in an order that is the same on all daemons.
-func (e *PromptPlacer) longOutputReplicas(service *routing.Service, now time.Time) map[request.TargetID]bool {
-	all := slices.Clone(e.Assigned(service.ID))
+func (pp *PromptPlacer) longOutputReplicas(service *routing.Service, now time.Time) map[request.TargetID]bool {
+	all := slices.Clone(pp.Assigned(service.ID))
 	long := 0
 	for _, r := range all {
 		long += r.Load.Total(now).LongTokens
@@ -79,12 +79,12 @@
 
 // onUsableWeights filters out replicas whose weights were replaced too long ago. Without another
 // replica the caller is told to retry rather than answered on outdated weights.
-func (e *PromptPlacer) onUsableWeights(from []*replicas.Replica, m request.Model) []*replicas.Replica {
+func (pp *PromptPlacer) onUsableWeights(from []*replicas.Replica, m request.Model) []*replicas.Replica {
 	var fit []*replicas.Replica
 	for _, r := range from {
 		version := r.Weights(m)
-		since, outdated := e.OutdatedSince(m, version)
-		if version == 0 || outdated && e.OldWeightsUsableFor > 0 && time.Since(since) > e.OldWeightsUsableFor {
+		since, outdated := pp.OutdatedSince(m, version)
+		if version == 0 || outdated && pp.OldWeightsUsableFor > 0 && time.Since(since) > pp.OldWeightsUsableFor {
 			continue
 		}
 		fit = append(fit, r)
@@ -101,21 +101,22 @@
 	return version
 }
 
-// weightsPenalty returns how much less an answer on a version of the weights is worth, from 0 to 1.
-func (e *PromptPlacer) weightsPenalty(m request.Model, version uint64) float64 {
-	if _, outdated := e.OutdatedSince(m, version); outdated {
+// weightsPenalty returns the quality loss, from 0 to 1, that the cost of an answer on a version of the
+// weights includes.
+func (pp *PromptPlacer) weightsPenalty(m request.Model, version uint64) float64 {
+	if _, outdated := pp.OutdatedSince(m, version); outdated {
 		return outdatedPenalty
 	}
 	return 0
 }
 
 // beginBy returns when an answer on a version of the weights must have begun, zero without a bound.
-func (e *PromptPlacer) beginBy(m request.Model, version uint64) time.Time {
-	since, outdated := e.OutdatedSince(m, version)
-	if !outdated || e.OldWeightsBeginWithin <= 0 {
+func (pp *PromptPlacer) beginBy(m request.Model, version uint64) time.Time {
+	since, outdated := pp.OutdatedSince(m, version)
+	if !outdated || pp.OldWeightsBeginWithin <= 0 {
 		return time.Time{}
 	}
-	return since.Add(e.OldWeightsBeginWithin)
+	return since.Add(pp.OldWeightsBeginWithin)
 }
 
 // cacheSalt separates the KV cache of different weights, and that of isolated organisations.
@@ -131,14 +132,14 @@
 	return residency.Key(xxhash.Sum64String(salt + "/" + id))
 }
 
-func (e *PromptPlacer) pickRequest(j *relay.Job) pick.Request {
+func (pp *PromptPlacer) pickRequest(j *relay.Job) pick.Request {
 	fresh := j.PromptTokens
 	for _, p := range j.Parts {
 		fresh -= p.Tokens
 	}
-	return pick.Request{KVTokens: j.PromptTokens + e.expectedOutput(j), TailTokens: max(0, fresh), LongOutput: e.expectedOutput(j) > longOutputTokens}
+	return pick.Request{KVTokens: j.PromptTokens + pp.expectedOutput(j), TailTokens: max(0, fresh), LongOutput: pp.expectedOutput(j) > longOutputTokens}
 }
 
-func (e *PromptPlacer) expectedOutput(j *relay.Job) int {
+func (pp *PromptPlacer) expectedOutput(j *relay.Job) int {
 	return int(float64(j.OutputTokens) * outputShare)
 }
--- a/internal/placer/eligible_test.go
+++ b/internal/placer/eligible_test.go
@@ -14,25 +14,25 @@
 
 // newFixtureIn returns a fixture with one replica in each failure domain, which is named region-number.
 func newFixtureIn(domains ...string) *fixture {
-	w := newFixture(0)
+	f := newFixture(0)
 	for i, domain := range domains {
-		w.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{
+		f.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{
 			ID: request.TargetID(domain), Service: "llm", Address: fmt.Sprintf("127.0.0.1:%d", i+1), FailureDomain: domain,
 			Weights: map[request.Model]uint64{model: 1},
 		}}})
 	}
-	w.engine.Region = func(domain string) routing.Region {
+	f.placer.Region = func(domain string) routing.Region {
 		if len(domain) < 2 {
 			return ""
 		}
 		return routing.Region(domain[:2])
 	}
-	return w
+	return f
 }
 
-func placedAt(t *testing.T, w *fixture, j *relay.Job) string {
+func placedAt(t *testing.T, f *fixture, j *relay.Job) string {
 	t.Helper()
-	p, err := w.engine.Place(context.Background(), j, nil)
+	p, err := f.placer.Place(context.Background(), j, nil)
 	if err != nil {
 		return ""
 	}
@@ -42,14 +42,14 @@
 
 // expectOnly checks that only the replica other gets requests, both at the first attempt and at a
 // second one after other has failed.
-func expectOnly(t *testing.T, w *fixture, other string) {
+func expectOnly(t *testing.T, f *fixture, other string) {
 	t.Helper()
 	for range 20 {
-		if got := placedAt(t, w, job("s")); got != other {
+		if got := placedAt(t, f, job("s")); got != other {
 			t.Fatalf("went to %q", got)
 		}
 	}
-	if p, err := w.engine.Place(context.Background(), job("s"), []request.TargetID{request.TargetID(other)}); err == nil {
+	if p, err := f.placer.Place(context.Background(), job("s"), []request.TargetID{request.TargetID(other)}); err == nil {
 		t.Errorf("a second attempt went to %s", p.Replica.Info().ID)
 	}
 }
@@ -57,12 +57,12 @@
 // No attempt of a request goes to an evacuated failure domain, even if only its replicas hold the
 // context or are not busy.
 func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
-	w := newFixtureIn("eu-1", "eu-2")
-	w.set.ApplyEvacuations(time.Now(), replicas.EvacuationChange{Begun: []string{"eu-1"}})
-	w.set.Get("eu-2").SetBusy(time.Now().Add(time.Minute))
-	expectOnly(t, w, "eu-2")
-	w.set.ApplyEvacuations(time.Now(), replicas.EvacuationChange{Begun: []string{"eu-2"}})
-	if _, err := w.engine.Place(context.Background(), job("s"), nil); err == nil {
+	f := newFixtureIn("eu-1", "eu-2")
+	f.set.ApplyEvacuations(time.Now(), replicas.EvacuationChange{Begun: []string{"eu-1"}})
+	f.set.Get("eu-2").SetBusy(time.Now().Add(time.Minute))
+	expectOnly(t, f, "eu-2")
+	f.set.ApplyEvacuations(time.Now(), replicas.EvacuationChange{Begun: []string{"eu-2"}})
+	if _, err := f.placer.Place(context.Background(), job("s"), nil); err == nil {
 		t.Error("the last domain gets a request while it is evacuated")
 	}
 }
@@ -70,12 +70,12 @@
 // A replica announces in its answers that it is leaving. It gets no more requests, even if it alone
 // holds the context, is the last replica, or is the only one untried after a failure elsewhere.
 func TestLeavingReplicaGetsNoRequests(t *testing.T) {
-	w := newFixtureIn("eu-1", "eu-2")
-	w.set.Get("eu-1").ObserveLeaving()
-	w.set.Get("eu-2").SetBusy(time.Now().Add(time.Minute))
-	expectOnly(t, w, "eu-2")
-	plain := &PlainPlacer{Eligibility: w.engine.Eligibility, Domain: "a"}
-	w.set.Get("eu-2").ObserveLeaving()
+	f := newFixtureIn("eu-1", "eu-2")
+	f.set.Get("eu-1").ObserveLeaving()
+	f.set.Get("eu-2").SetBusy(time.Now().Add(time.Minute))
+	expectOnly(t, f, "eu-2")
+	plain := &PlainPlacer{Eligibility: f.placer.Eligibility, Domain: "a"}
+	f.set.Get("eu-2").ObserveLeaving()
 	if _, err := plain.Place(context.Background(), job("s"), nil); err == nil {
 		t.Error("the last replica gets a call while it is leaving")
 	}
@@ -86,28 +86,28 @@
 // are refused.
 func TestNoRequestsBeforeRetryAfter(t *testing.T) {
 	const backoff = 200 * time.Millisecond
-	w := newFixtureIn("eu-1", "eu-2")
-	w.set.Get("eu-1").BackOff(time.Now().Add(time.Minute))
-	w.set.Get("eu-2").SetBusy(time.Now().Add(time.Minute))
-	expectOnly(t, w, "eu-2")
+	f := newFixtureIn("eu-1", "eu-2")
+	f.set.Get("eu-1").BackOff(time.Now().Add(time.Minute))
+	f.set.Get("eu-2").SetBusy(time.Now().Add(time.Minute))
+	expectOnly(t, f, "eu-2")
 	until := time.Now().Add(backoff)
-	w.set.Get("eu-2").BackOff(until)
-	plain := &PlainPlacer{Eligibility: w.engine.Eligibility, Domain: "a"}
+	f.set.Get("eu-2").BackOff(until)
+	plain := &PlainPlacer{Eligibility: f.placer.Eligibility, Domain: "a"}
 	if _, err := plain.Place(context.Background(), job("s"), nil); err == nil && time.Now().Before(until) {
 		t.Error("a call goes to a replica that is backing off")
 	}
 	time.Sleep(time.Until(until))
-	if got := placedAt(t, w, job("s")); got != "eu-2" {
+	if got := placedAt(t, f, job("s")); got != "eu-2" {
 		t.Errorf("after the backoff: went to %q", got)
 	}
 }
 
 // No replica assigned to this daemon is allowed: replicas of other groups serve the request.
 func TestFallbackToOtherGroupsWhenOwnIsEvacuated(t *testing.T) {
-	w := newFixtureIn("eu-1", "eu-2")
-	w.engine.Assigned = func(routing.ServiceID) []*replicas.Replica { return []*replicas.Replica{w.set.Get("eu-1")} }
-	w.set.ApplyEvacuations(time.Now(), replicas.EvacuationChange{Begun: []string{"eu-1"}})
-	if got := placedAt(t, w, job("s")); got != "eu-2" {
+	f := newFixtureIn("eu-1", "eu-2")
+	f.placer.Assigned = func(routing.ServiceID) []*replicas.Replica { return []*replicas.Replica{f.set.Get("eu-1")} }
+	f.set.ApplyEvacuations(time.Now(), replicas.EvacuationChange{Begun: []string{"eu-1"}})
+	if got := placedAt(t, f, job("s")); got != "eu-2" {
 		t.Errorf("went to %q", got)
 	}
 }
@@ -126,19 +126,19 @@
 		{"without a region in common", []routing.Region{"eu"}, []routing.Region{"as"}, ""},
 		{"in an unknown region", []routing.Region{"af"}, nil, ""},
 	} {
-		w := newFixtureIn("eu-1", "us-1", "as-1", "?")
+		f := newFixtureIn("eu-1", "us-1", "as-1", "?")
 		j := job("s")
 		j.Route.Homes, j.Org = c.route, &routing.Org{ID: "o", Homes: c.org}
 		for range 10 {
-			if got := placedAt(t, w, j); got != c.want {
+			if got := placedAt(t, f, j); got != c.want {
 				t.Errorf("homes %s: went to %q, want %q", c.name, got, c.want)
 			}
 		}
 		if c.want == "" {
 			continue
 		}
-		w.set.Get(request.TargetID(c.want)).Load.Begin(45_000, 40_000)
-		if got := placedAt(t, w, j); got != "" && got != c.want {
+		f.set.Get(request.TargetID(c.want)).Load.Begin(45_000, 40_000)
+		if got := placedAt(t, f, j); got != "" && got != c.want {
 			t.Errorf("homes %s: a full home's request went to %q", c.name, got)
 		}
 	}
@@ -146,16 +146,16 @@
 
 // A prompt with home regions is not saved to a store outside them, and the claims are released.
 func TestNoSavesOutsideHomeRegions(t *testing.T) {
-	w := newFixtureIn("us-1")
+	f := newFixtureIn("us-1")
 	j := job("s")
 	j.Route.Homes = []routing.Region{"us"} // the store is in failure domain "a"
-	p := place(t, w, j)
+	p := place(t, f, j)
 	for i, to := range p.Meta.SaveTo {
 		if to != "" {
 			t.Errorf("part %d is saved to %s", i, to)
 		}
 	}
-	if len(w.store.released) == 0 {
+	if len(f.store.released) == 0 {
 		t.Error("the claim to save is not released")
 	}
 }
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -24,18 +24,21 @@
 	// crossDomainFactor is how much longer a transfer takes between failure domains. The time that it
 	// waits for the link is the same.
 	crossDomainFactor = 2
-	// outdatedPenalty weighs answers on replaced weights. Such answers are worth a fifth less, but the
-	// caches of the new weights are empty at first: if those replicas were preferred, the few of them
-	// would have to compute all prompts, and all answers would miss their objective.
+	// outdatedPenalty is the quality loss, from 0 to 1, that the cost of an answer on replaced weights
+	// includes. The real loss is a fifth, ten times as much, but the caches of the new weights are
+	// empty at first: if the replicas on new weights were preferred, the few of them would have to
+	// compute all prompts, and all answers would miss their objective.
 	outdatedPenalty = 0.02
-	// maxUrgency is the last rank that replicas accept. A replica gives rank 5 to a request without one.
-	maxUrgency = 9
+	// maxPriority is the largest Request-Priority that replicas accept, the least urgent. A replica
+	// gives priority 5 to a request without one.
+	maxPriority = 9
 	// outputShare is the share of the allowed output tokens that a request is expected to generate.
 	outputShare = 0.35
 	// fetchOverdueAfter is how late a first token must be for its fetch to count as overdue. On an idle
 	// replica the time to the first token varies by about 100 ms.
 	fetchOverdueAfter = 250 * time.Millisecond
-	// fetchSlack is how much longer than its estimate a fetch may always take.
+	// fetchSlack is how much longer than its estimate a fetch may always take, unless its read permit
+	// ends before.
 	fetchSlack        = 100 * time.Millisecond
 	idlePrefillTokens = 4000 // queued prompt tokens up to which a replica counts as idle
 	idleMemoryShare   = 0.7  // share of its memory up to which a replica counts as idle
@@ -59,7 +62,7 @@
 	FailureDomain string
 	Fetch         bool          // the part may be fetched from the store
 	Save          bool          // the part should be saved to the store
-	FetchTime     time.Duration // to a replica in the store's failure domain, including Queue
+	FetchTime     time.Duration // to a replica in the store's failure domain, including QueueTime
 	QueueTime     time.Duration // wait for the store's link before the fetch
 	Claim         int64         // identifies the transfer on the store's link; zero if none is counted
 }
@@ -67,14 +70,14 @@
 // Stores claims transfers of prompt parts from and to the context stores.
 type Stores interface {
 	// Claim returns an entry for each part, and until when fetches may start, on the replicas' clock.
-	Claim(ctx context.Context, salt string, parts []relay.Part, expectResident []bool) (stored []PartOffer, until int64)
-	// Release gives back transfers that Claim allowed under a salt and that are not made. It does not block.
+	Claim(ctx context.Context, salt string, parts []relay.Part, expectResident []bool) (offers []PartOffer, until int64)
+	// Release gives back transfers that Claim permitted under a salt and that are not made. It does not block.
 	Release(salt string, parts []relay.Part, unused []PartOffer)
 	// ReportFetch reports the outcome of a fetch to the owner of the store. It does not block.
 	ReportFetch(store routing.ServiceID, f storecache.FetchResult)
 }
 
-// PromptPlacer places prompts on model replicas.
+// PromptPlacer places prompts on model replicas. It implements relay.Placer.
 type PromptPlacer struct {
 	Eligibility
 	// Assigned returns the replicas of a service that are assigned to this daemon.
@@ -88,10 +91,10 @@
 	// version. Zero means no bound.
 	OldWeightsUsableFor, OldWeightsBeginWithin time.Duration
 
-	mu           sync.Mutex
-	memoryTokens int // KV cache capacity of one replica
-	models       map[*replicas.Replica]*residency.MemoryEstimate
-	waits        map[routing.ServiceID]*waitlimit.Limiter
+	mu              sync.Mutex
+	memoryTokens    int // KV cache capacity of one replica
+	memoryEstimates map[*replicas.Replica]*residency.MemoryEstimate
+	waitLimits      map[routing.ServiceID]*waitlimit.Limiter
 }
 
 // PlacedPart is a prompt part that a replica now holds in memory.
@@ -101,51 +104,53 @@
 }
 
 // Place implements relay.Placer.
-func (e *PromptPlacer) Place(ctx context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
-	usable := e.eligible(j, e.Assigned(j.Service.ID), tried)
-	usable = e.onUsableWeights(usable, j.Model)
+func (pp *PromptPlacer) Place(ctx context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
+	usable := pp.eligible(j, pp.Assigned(j.Service.ID), tried)
+	usable = pp.onUsableWeights(usable, j.Model)
 	if len(usable) == 0 {
 		return nil, noReplica()
 	}
 	salt := cacheSalt(newestVersion(usable, j.Model), j.Org)
-	stored, until := e.claimTransfers(ctx, j, salt, usable)
-	need := e.pickRequest(j)
-	r, chosen, err := e.choose(j, need, usable, salt, stored)
+	offers, until := pp.claimTransfers(ctx, j, salt, usable)
+	pickReq := pp.pickRequest(j)
+	r, chosen, err := pp.choose(j, pickReq, usable, salt, offers)
 	if err != nil {
-		e.release(salt, j, stored)
+		pp.release(salt, j, offers)
 		return nil, err
 	}
 	version := r.Weights(j.Model)
 	ownSalt := cacheSalt(version, j.Org)
-	send := relay.AttemptMeta{Weights: version, CacheSalt: ownSalt, Priority: min(maxUrgency, j.Priority())}
+	meta := relay.AttemptMeta{Weights: version, CacheSalt: ownSalt, Priority: min(maxPriority, j.Priority())}
 	if ownSalt != salt {
 		// During a rollout the chosen replica may serve other weights than the claims were made for.
-		e.release(salt, j, stored)
-		stored, until = e.claimTransfers(ctx, j, ownSalt, []*replicas.Replica{r})
+		pp.release(salt, j, offers)
+		offers, until = pp.claimTransfers(ctx, j, ownSalt, []*replicas.Replica{r})
 	}
 	sources := pick.DefaultCosts.Sources(chosen.Parts)
-	e.setTransfers(&send, j, stored, until, r)
-	send.FetchUntil = fetchDeadline(send.FetchUntil, j, chosen.Parts, sources)
-	e.release(ownSalt, j, cancelFetches(&send, chosen.Parts, sources, stored))
-	e.announcePlacement(r, j, ownSalt)
-	first, stop := e.watchFetch(chosen, need, sources, stored)
+	pp.setTransfers(&meta, j, offers, until, r)
+	meta.FetchUntil = fetchDeadline(meta.FetchUntil, j, chosen.Parts, sources)
+	pp.release(ownSalt, j, cancelFetches(&meta, chosen.Parts, sources, offers))
+	pp.announcePlacement(r, j, ownSalt)
+	onFirstEvent, stop := pp.watchFetch(chosen, pickReq, sources, offers)
 	return &relay.Placement{
-		Replica: r, Meta: send, StartDeadline: e.beginBy(j.Model, version), OnFirstEvent: first, OnEnd: e.onEnded(stop, ownSalt, j, stored), Reason: placementReason(chosen, &send, j.OutputTokens),
-		Flight: beginFlight(r, need, pick.DefaultCosts.TokensToCompute(need, chosen.Parts)),
+		Replica: r, Meta: meta, StartDeadline: pp.beginBy(j.Model, version), OnFirstEvent: onFirstEvent, OnEnd: pp.onEnded(stop, ownSalt, j, offers), Reason: placementReason(chosen, &meta, j.OutputTokens),
+		Flight: beginFlight(r, pickReq, pick.DefaultCosts.TokensToCompute(pickReq, chosen.Parts)),
 	}, nil
 }
 
-// choose returns the cheapest replica that may get the request now, or the reason why none may. If a
-// concurrent request has used up the quota of the cheapest replica, choose tries the next one.
-func (e *PromptPlacer) choose(j *relay.Job, need pick.Request, usable []*replicas.Replica, salt string, stored []PartOffer) (*replicas.Replica, *pick.Candidate, error) {
-	longest := e.longestWait(j)
+// choose returns the cheapest of a sample of the replicas that may get the request now, or the reason
+// why none may. If a concurrent request has used up the quota of that replica, choose tries again
+// without it. It places a resumed stream whatever the wait, since the caller would otherwise lose the
+// part of the response that it has received.
+func (pp *PromptPlacer) choose(j *relay.Job, pickReq pick.Request, usable []*replicas.Replica, salt string, offers []PartOffer) (*replicas.Replica, *pick.Candidate, error) {
+	maxWait := pp.longestWait(j)
 	for len(usable) > 0 {
-		candidates := e.candidates(j, usable, salt, stored)
-		n := pick.BestSampled(pick.DefaultCosts, need, candidates)
-		if err := admit(pick.DefaultCosts.ExpectedWait(need, &candidates[n]), longest); err != nil && !j.ResponseStarted {
+		candidates := pp.candidates(j, usable, salt, offers)
+		n := pick.BestSampled(pick.DefaultCosts, pickReq, candidates)
+		if err := admit(pick.DefaultCosts.ExpectedWait(pickReq, &candidates[n]), maxWait); err != nil && !j.ResponseStarted {
 			return nil, nil, err
 		}
-		if e.Quotas.Take(time.Now(), usable[n]) {
+		if pp.Quotas.Take(time.Now(), usable[n]) {
 			return usable[n], &candidates[n], nil
 		}
 		usable = slices.Delete(usable, n, n+1)
@@ -153,26 +158,27 @@
 	return nil, nil, noReplica()
 }
 
-// onEnded returns the function that ends an attempt. If the attempt did not run, it releases all
-// claims. If the attempt ended before its first token, because the replica crashed or the caller
-// disconnected, it releases the fetches, as they tell nothing about the link, and keeps the saves,
-// which the replica may have made.
-func (e *PromptPlacer) onEnded(stop func() (reported bool), salt string, j *relay.Job, stored []PartOffer) func(ran bool) {
+// onEnded returns the OnEnd function of an attempt, which releases the claims that the attempt did not
+// use. If the attempt did not run, the function releases all claims. If the attempt ended before its
+// first token, because the replica crashed or the caller disconnected, the function releases the
+// claims of fetches, which do not show how fast the link is, and keeps those of saves, which the
+// replica may have made.
+func (pp *PromptPlacer) onEnded(stop func() (fetchEnded bool), salt string, j *relay.Job, offers []PartOffer) func(ran bool) {
 	return func(ran bool) {
-		reported := stop()
+		fetchEnded := stop()
 		switch {
 		case !ran:
-			e.release(salt, j, stored)
-		case !reported:
-			e.release(salt, j, onlyFetches(stored))
+			pp.release(salt, j, offers)
+		case !fetchEnded:
+			pp.release(salt, j, onlyFetches(offers))
 		}
 	}
 }
 
-// onlyFetches returns a copy of stored that keeps only the parts to be fetched.
-func onlyFetches(stored []PartOffer) []PartOffer {
-	out := make([]PartOffer, len(stored))
-	for i, s := range stored {
+// onlyFetches returns a copy of offers that keeps only the parts to be fetched.
+func onlyFetches(offers []PartOffer) []PartOffer {
+	out := make([]PartOffer, len(offers))
+	for i, s := range offers {
 		if s.Fetch {
 			out[i] = s
 		}
@@ -181,19 +187,19 @@
 }
 
 // release gives back claims that were made under a salt.
-func (e *PromptPlacer) release(salt string, j *relay.Job, unused []PartOffer) {
-	if e.Stores != nil {
-		e.Stores.Release(salt, j.Parts, unused)
+func (pp *PromptPlacer) release(salt string, j *relay.Job, unused []PartOffer) {
+	if pp.Stores != nil {
+		pp.Stores.Release(salt, j.Parts, unused)
 	}
 }
 
 // fetchDeadline returns until when parts may be fetched, on the replicas' clock. The deadline leaves
-// enough time to compute the parts within the objective, and is never shorter than the expected
-// fetch time plus fetchSlack.
+// enough time to compute the parts within the objective. It is no earlier than the expected fetch time
+// plus fetchSlack from now, unless the permit ends before.
 //
-// A replica processes its prompts in order. A prompt that waited two seconds for its context on a
-// slow link blocked all prompts behind it, and none of them met its objective. Computing the context
-// instead blocks them for a tenth of a second.
+// A replica processes its prompts in order. Without this deadline, a prompt that waits two seconds for
+// its context on a slow link blocks all prompts behind it, and none of them meets its objective.
+// Computing the context instead blocks them for a tenth of a second.
 func fetchDeadline(permitUntil int64, j *relay.Job, parts []pick.Part, sources []pick.Source) int64 {
 	if permitUntil == 0 {
 		return 0
@@ -205,59 +211,62 @@
 			compute += time.Duration(parts[i].Tokens) * pick.DefaultCosts.PrefillPerToken
 		}
 	}
-	longest := max(j.Route.Objective-time.Since(j.Start)-compute, expected+fetchSlack)
-	return permitUntil - max(0, storecache.ReadPermitTTL-longest).Milliseconds()
+	maxFetch := max(j.Route.Objective-time.Since(j.Start)-compute, expected+fetchSlack)
+	return permitUntil - max(0, storecache.ReadPermitTTL-maxFetch).Milliseconds()
 }
 
-func beginFlight(r *replicas.Replica, need pick.Request, compute int) *replicas.Flight {
-	if need.LongOutput {
-		return r.Load.BeginLongOutput(need.KVTokens, compute)
+func beginFlight(r *replicas.Replica, pickReq pick.Request, compute int) *replicas.Flight {
+	if pickReq.LongOutput {
+		return r.Load.BeginLongOutput(pickReq.KVTokens, compute)
 	}
-	return r.Load.Begin(need.KVTokens, compute)
+	return r.Load.Begin(pickReq.KVTokens, compute)
 }
 
 // longestWait returns how long a request may wait for its replica.
-func (e *PromptPlacer) longestWait(j *relay.Job) time.Duration {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	w := e.waits[j.Service.ID]
+func (pp *PromptPlacer) longestWait(j *relay.Job) time.Duration {
+	pp.mu.Lock()
+	defer pp.mu.Unlock()
+	w := pp.waitLimits[j.Service.ID]
 	if w == nil {
-		if e.waits == nil {
-			e.waits = map[routing.ServiceID]*waitlimit.Limiter{}
+		if pp.waitLimits == nil {
+			pp.waitLimits = map[routing.ServiceID]*waitlimit.Limiter{}
 		}
 		w = waitlimit.New()
-		e.waits[j.Service.ID] = w
+		pp.waitLimits[j.Service.ID] = w
 	}
 	return w.MaxWait(time.Now(), j.Route.Objective, j.Priority() == 0)
 }
 
 // admit refuses a request whose wait would make its answer miss the objective. An overloaded replica
 // meets no objective at all: each waiting request holds memory, and all requests take longer.
-func admit(wait, longest time.Duration) error {
-	if wait <= longest {
+func admit(wait, maxWait time.Duration) error {
+	if wait <= maxWait {
 		return nil
 	}
-	retryAfter := min(max(wait-longest, minRetryAfter), maxRetryAfter)
+	retryAfter := min(max(wait-maxWait, minRetryAfter), maxRetryAfter)
 	return request.Refuse(request.CodeOverloaded, http.StatusServiceUnavailable, retryAfter, "all replicas are full: the wait is %s", wait)
 }
 
-// watchFetch reports to the owner of the store that provides most of the fetched data how that fetch
-// went: at the first token, and earlier if the fetch is overdue. The time that the replica needs for
-// other work before its first token is subtracted. No overdue fetch is reported for a busy replica,
-// or for one that also fetches from elsewhere, because these may be the cause: a dead store delays a
-// replica by half a second.
-func (e *PromptPlacer) watchFetch(c *pick.Candidate, need pick.Request, sources []pick.Source, stored []PartOffer) (first func(), stop func() (reported bool)) {
-	from, expected, all := dominantFetch(c, sources, stored)
+// watchFetch reports to the owner of the context store with the longest total fetch time how that
+// fetch went: at the first token, and earlier if the fetch is overdue. The time that the replica needs
+// for other work before its first token is subtracted. No overdue fetch is reported for a busy
+// replica, or for one that also fetches from elsewhere, because these may be the cause: a dead context
+// store delays a replica by half a second.
+//
+// The attempt calls onFirstEvent at its first token, and stop at its end. stop reports whether the
+// fetch had ended, that is whether the first token arrived or no fetch was watched.
+func (pp *PromptPlacer) watchFetch(c *pick.Candidate, pickReq pick.Request, sources []pick.Source, offers []PartOffer) (onFirstEvent func(), stop func() (fetchEnded bool)) {
+	from, expected, all := dominantFetch(c, sources, offers)
 	if from.Claim == 0 {
 		return func() {}, func() bool { return true }
 	}
-	computing := time.Duration(pick.DefaultCosts.TokensToCompute(need, c.Parts)+c.QueuedPrefill) * pick.DefaultCosts.PrefillPerToken
+	computing := time.Duration(pick.DefaultCosts.TokensToCompute(pickReq, c.Parts)+c.QueuedPrefill) * pick.DefaultCosts.PrefillPerToken
 	others := computing + all - expected
-	busy := c.QueuedPrefill > idlePrefillTokens || float64(c.KVUsed+need.KVTokens) > idleMemoryShare*float64(c.KVCapacity) || all > expected
+	busy := c.QueuedPrefill > idlePrefillTokens || float64(c.KVUsed+pickReq.KVTokens) > idleMemoryShare*float64(c.KVCapacity) || all > expected
 	began := time.Now()
 	report := func(overdue bool) {
 		took := max(0, time.Since(began)-others)
-		e.Stores.ReportFetch(from.Store, storecache.FetchResult{Claim: from.Claim, Took: took, Overdue: overdue, Busy: busy})
+		pp.Stores.ReportFetch(from.Store, storecache.FetchResult{Claim: from.Claim, Took: took, Overdue: overdue, Busy: busy})
 	}
 	timer := time.AfterFunc(others+expected+fetchOverdueAfter, func() {
 		if !busy {
@@ -265,48 +274,48 @@
 		}
 	})
 	var ended atomic.Bool
-	first = func() {
+	onFirstEvent = func() {
 		timer.Stop()
 		ended.Store(true)
 		report(false)
 	}
-	return first, func() bool {
+	return onFirstEvent, func() bool {
 		timer.Stop()
 		return ended.Load()
 	}
 }
 
-// dominantFetch finds the store with the longest total fetch time. It returns the last part that is
-// fetched from that store, the total fetch time of that store, and the fetch time of all stores.
-func dominantFetch(c *pick.Candidate, sources []pick.Source, stored []PartOffer) (last PartOffer, fromStore, all time.Duration) {
-	takes := map[routing.ServiceID]time.Duration{}
+// dominantFetch finds the context store with the longest total fetch time. It returns the last part
+// that is fetched from that store, the total fetch time of that store, and the fetch time of all stores.
+func dominantFetch(c *pick.Candidate, sources []pick.Source, offers []PartOffer) (last PartOffer, fromStore, all time.Duration) {
+	fetchTimes := map[routing.ServiceID]time.Duration{}
 	for i, source := range sources {
 		if source != pick.Fetched {
 			continue
 		}
 		all += c.Parts[i].FetchTime
-		if stored[i].Claim == 0 {
+		if offers[i].Claim == 0 {
 			continue
 		}
-		store := stored[i].Store
-		takes[store] += c.Parts[i].FetchTime
-		if takes[store] >= fromStore {
-			last, fromStore = stored[i], takes[store]
+		store := offers[i].Store
+		fetchTimes[store] += c.Parts[i].FetchTime
+		if fetchTimes[store] >= fromStore {
+			last, fromStore = offers[i], fetchTimes[store]
 		}
 	}
 	return last, fromStore, all
 }
 
-// cancelFetches clears the sources of parts that are computed faster than fetched, and of all parts
-// after them. It returns those whose fetch the stores have reserved, and clears their claims in stored
-// so that they are not released again when the attempt ends.
+// cancelFetches clears the source of each part that is cheaper to compute than to fetch, whether or not
+// the part is assumed to be resident, and of all parts after the first one that is computed although a
+// context store offers it. It returns the offers whose fetch it cancelled, and clears their claims in
+// offers, so that they are not released again when the attempt ends.
 //
-// This includes parts that are assumed to be resident at the replica: often they are not, and would
-// then be fetched without a reservation. Without this rule, waiting prompts evicted the prefixes that
-// prompts share, all replicas fetched them again over a link that had become slow, and that link
-// stayed saturated: each prompt waited for the longest time a fetch may take, for seconds after the
-// link had recovered.
-func cancelFetches(send *relay.AttemptMeta, parts []pick.Part, sources []pick.Source, stored []PartOffer) []PartOffer {
+// A part that is assumed to be resident is often absent, and would then be fetched without a claim.
+// Without this rule, when a link becomes slow, waiting prompts evict the prefixes that prompts share,
+// all replicas fetch the prefixes again over that link, and the link stays saturated: each prompt
+// waits for the longest time that a fetch may take, for seconds after the link has recovered.
+func cancelFetches(meta *relay.AttemptMeta, parts []pick.Part, sources []pick.Source, offers []PartOffer) []PartOffer {
 	unused := make([]PartOffer, len(parts))
 	computed := false
 	for i, source := range sources {
@@ -314,19 +323,27 @@
 		if !computed && (source != pick.Resident || pick.DefaultCosts.WorthFetching(parts[i])) {
 			continue
 		}
-		send.FetchFrom[i] = ""
-		if stored[i].Fetch {
-			unused[i] = stored[i]
-			stored[i].Claim = 0
+		meta.FetchFrom[i] = ""
+		if offers[i].Fetch {
+			unused[i] = offers[i]
+			offers[i].Claim = 0
 		}
 	}
 	return unused
 }
 
-// placementReason describes a placement for the log. It has one letter for each part: m if the part is
-// assumed to be in the replica's memory, s if it is fetched from a store, r if from another replica, -
-// if it is computed; + is appended if the part is saved. The replica's load follows.
-func placementReason(c *pick.Candidate, send *relay.AttemptMeta, output int) string {
+// placementReason describes a placement for the log. It has one letter for each part:
+//
+//   - m: the part is assumed to be in the replica's memory
+//   - s: a context store offers the part
+//   - r: the part has another source, mostly another replica; it may be a context store if the claims
+//     were repeated for the weights of the chosen replica
+//   - -: the part has no source
+//
+// The replica may compute a part with the letter m or s as well: after a gap it computes all parts, and
+// it computes a part that takes longer to fetch. A + is appended if the part is saved. The replica's
+// load follows.
+func placementReason(c *pick.Candidate, meta *relay.AttemptMeta, output int) string {
 	var b strings.Builder
 	for i, p := range c.Parts {
 		switch {
@@ -334,12 +351,12 @@
 			b.WriteByte('m')
 		case p.FetchTime > 0:
 			b.WriteByte('s')
-		case i < len(send.FetchFrom) && send.FetchFrom[i] != "":
+		case i < len(meta.FetchFrom) && meta.FetchFrom[i] != "":
 			b.WriteByte('r')
 		default:
 			b.WriteByte('-')
 		}
-		if i < len(send.SaveTo) && send.SaveTo[i] != "" {
+		if i < len(meta.SaveTo) && meta.SaveTo[i] != "" {
 			b.WriteByte('+')
 		}
 	}
@@ -347,22 +364,22 @@
 	return b.String()
 }
 
-func (e *PromptPlacer) claimTransfers(ctx context.Context, j *relay.Job, salt string, usable []*replicas.Replica) ([]PartOffer, int64) {
-	if e.Stores == nil || len(j.Parts) == 0 {
+func (pp *PromptPlacer) claimTransfers(ctx context.Context, j *relay.Job, salt string, usable []*replicas.Replica) ([]PartOffer, int64) {
+	if pp.Stores == nil || len(j.Parts) == 0 {
 		return make([]PartOffer, len(j.Parts)), 0
 	}
-	stored, until := e.Stores.Claim(ctx, salt, j.Parts, e.residentOnAny(j, salt, usable))
-	e.release(salt, j, e.dropSavesOutsideHomes(j, stored))
-	return stored, until
+	offers, until := pp.Stores.Claim(ctx, salt, j.Parts, pp.residentOnAny(j, salt, usable))
+	pp.release(salt, j, pp.dropSavesOutsideHomes(j, offers))
+	return offers, until
 }
 
-// dropSavesOutsideHomes removes saves to stores outside a prompt's home regions from stored, and
-// returns them.
-func (e *PromptPlacer) dropSavesOutsideHomes(j *relay.Job, stored []PartOffer) []PartOffer {
-	unused := make([]PartOffer, len(stored))
-	for i, s := range stored {
-		if s.Save && !e.isHome(j, s.FailureDomain) {
-			unused[i], stored[i] = s, PartOffer{}
+// dropSavesOutsideHomes removes from offers the saves to context stores outside the request's home
+// regions, and returns them.
+func (pp *PromptPlacer) dropSavesOutsideHomes(j *relay.Job, offers []PartOffer) []PartOffer {
+	unused := make([]PartOffer, len(offers))
+	for i, s := range offers {
+		if s.Save && !pp.isHome(j, s.FailureDomain) {
+			unused[i], offers[i] = s, PartOffer{}
 		}
 	}
 	return unused
@@ -370,17 +387,17 @@
 
 // setTransfers sets the source and the destination of each part. Parts that are assumed to be resident
 // get a source as well: the replica fetches only what it lacks.
-func (e *PromptPlacer) setTransfers(send *relay.AttemptMeta, j *relay.Job, stored []PartOffer, until int64, to *replicas.Replica) {
-	send.FetchFrom = make([]string, len(j.Parts))
-	send.SaveTo = make([]string, len(j.Parts))
+func (pp *PromptPlacer) setTransfers(meta *relay.AttemptMeta, j *relay.Job, offers []PartOffer, until int64, to *replicas.Replica) {
+	meta.FetchFrom = make([]string, len(j.Parts))
+	meta.SaveTo = make([]string, len(j.Parts))
 	for i := range j.Parts {
-		if stored[i].Fetch {
-			send.FetchFrom[i] = stored[i].Address
-			send.FetchUntil = until
+		if offers[i].Fetch {
+			meta.FetchFrom[i] = offers[i].Address
+			meta.FetchUntil = until
 		}
-		if stored[i].Save {
-			send.SaveTo[i] = stored[i].Address
+		if offers[i].Save {
+			meta.SaveTo[i] = offers[i].Address
 		}
 	}
-	e.setReplicaSources(send, j, to)
+	pp.setReplicaSources(meta, j, to)
 }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -56,27 +56,27 @@
 
 type fixture struct {
 	set       *replicas.Set
-	engine    *PromptPlacer
+	placer    *PromptPlacer
 	store     *fakeStore
 	requested uint64
 	since     time.Time
 }
 
 func newFixture(n int) *fixture {
-	w := &fixture{set: replicas.NewSet(), store: &fakeStore{held: map[string]bool{}}, requested: 1, since: time.Now()}
+	f := &fixture{set: replicas.NewSet(), store: &fakeStore{held: map[string]bool{}}, requested: 1, since: time.Now()}
 	for i := range n {
-		w.put(i, 1)
+		f.put(i, 1)
 	}
-	w.engine = &PromptPlacer{
-		Eligibility: Eligibility{Set: w.set}, Assigned: w.set.OfService, Domain: "a", Stores: w.store,
+	f.placer = &PromptPlacer{
+		Eligibility: Eligibility{Set: f.set}, Assigned: f.set.OfService, Domain: "a", Stores: f.store,
 		OldWeightsUsableFor: time.Second, OldWeightsBeginWithin: 2 * time.Second,
-		OutdatedSince: func(_ request.Model, v uint64) (time.Time, bool) { return w.since, v < w.requested },
+		OutdatedSince: func(_ request.Model, v uint64) (time.Time, bool) { return f.since, v < f.requested },
 	}
-	return w
+	return f
 }
 
-func (w *fixture) put(i int, weights uint64) {
-	w.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{
+func (f *fixture) put(i int, weights uint64) {
+	f.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{{
 		ID: id(i), Service: "llm", Address: fmt.Sprintf("127.0.0.1:%d", i+1), FailureDomain: "a",
 		Weights: map[request.Model]uint64{model: weights},
 	}}})
@@ -95,9 +95,9 @@
 	}
 }
 
-func place(t *testing.T, w *fixture, j *relay.Job) *relay.Placement {
+func place(t *testing.T, f *fixture, j *relay.Job) *relay.Placement {
 	t.Helper()
-	p, err := w.engine.Place(context.Background(), j, nil)
+	p, err := f.placer.Place(context.Background(), j, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,18 +111,18 @@
 
 // A returning session goes to the replica that caches its context, unless that replica is busy.
 func TestSessionReturnsToCachedContext(t *testing.T) {
-	w := newFixture(6)
-	first := place(t, w, job("s"))
+	f := newFixture(6)
+	first := place(t, f, job("s"))
 	done(first)
 	for range 10 {
-		p := place(t, w, job("s"))
+		p := place(t, f, job("s"))
 		done(p)
 		if p.Replica != first.Replica {
 			t.Fatalf("went to %s, its context is cached at %s", p.Replica.Info().ID, first.Replica.Info().ID)
 		}
 	}
 	first.Replica.Load.Begin(45_000, 40_000)
-	if p := place(t, w, job("s")); p.Replica == first.Replica {
+	if p := place(t, f, job("s")); p.Replica == first.Replica {
 		t.Error("placed at a busy replica")
 	}
 }
@@ -130,13 +130,13 @@
 // A replica crashes and restarts under its id within a second, with an empty memory. Its sessions
 // must not be sent there for their context, nor other replicas fetch it from there.
 func TestRestartedReplicaLosesCachedParts(t *testing.T) {
-	w := newFixture(2)
-	first := place(t, w, job("s"))
+	f := newFixture(2)
+	first := place(t, f, job("s"))
 	done(first)
 	again := *first.Replica.Info()
 	again.Started = 1_772_000_000_000
-	w.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{again}})
-	p := place(t, w, job("s"))
+	f.set.Apply(time.Now(), replicas.Change{Present: []replicas.Info{again}})
+	p := place(t, f, job("s"))
 	for _, from := range p.Meta.FetchFrom {
 		if from != "" {
 			t.Errorf("a part is fetched from %s, which holds nothing", from)
@@ -145,18 +145,18 @@
 	if parts, _, _ := strings.Cut(p.Reason, " "); strings.Contains(parts, "m") {
 		t.Errorf("parts are assumed to be resident: %s", p.Reason)
 	}
-	w.engine.Prune()
-	if n := len(w.engine.models); n > 2 {
-		t.Errorf("%d memory models for two replicas", n)
+	f.placer.Prune()
+	if n := len(f.placer.memoryEstimates); n > 2 {
+		t.Errorf("%d memory estimates for two replicas", n)
 	}
 }
 
 // Parts are fetched from the store if it holds them, and saved to it if it wants them. The permit to
 // fetch expires, on the replicas' clock.
 func TestPartsAreFetchedFromAndSavedToStore(t *testing.T) {
-	w := newFixture(1)
-	w.store.held["w1/shared"] = true
-	p := place(t, w, job("s"))
+	f := newFixture(1)
+	f.store.held["w1/shared"] = true
+	p := place(t, f, job("s"))
 	if got := p.Meta.FetchFrom; got[0] != "store:1" || got[1] != "" || got[2] != "" {
 		t.Errorf("fetch %q", got)
 	}
@@ -171,11 +171,11 @@
 // An isolated organisation has its own salt, so that it neither finds parts of other organisations by
 // name nor they its parts.
 func TestIsolatedOrganisationHasItsOwnSalt(t *testing.T) {
-	w := newFixture(1)
+	f := newFixture(1)
 	alone, other := job("s"), job("s")
 	alone.Org = &routing.Org{ID: "o1", Isolated: true}
 	other.Org = &routing.Org{ID: "o2"}
-	a, b := place(t, w, alone).Meta.CacheSalt, place(t, w, other).Meta.CacheSalt
+	a, b := place(t, f, alone).Meta.CacheSalt, place(t, f, other).Meta.CacheSalt
 	if a == b || b != "w1" {
 		t.Errorf("salts %q and %q", a, b)
 	}
@@ -184,21 +184,21 @@
 // A new version of the weights is requested. Replicas on the old one are used for a limited time, with
 // a deadline by which the answer must begin. After that the caller is told to retry.
 func TestOutdatedWeightsAreUsedForLimitedTime(t *testing.T) {
-	w := newFixture(2)
-	w.requested = 2
-	p := place(t, w, job("s"))
-	if want := w.since.Add(2 * time.Second); !p.StartDeadline.Equal(want) {
+	f := newFixture(2)
+	f.requested = 2
+	p := place(t, f, job("s"))
+	if want := f.since.Add(2 * time.Second); !p.StartDeadline.Equal(want) {
 		t.Errorf("must begin by %s, want %s", p.StartDeadline, want)
 	}
 	done(p)
-	w.since = time.Now().Add(-1100 * time.Millisecond)
-	_, err := w.engine.Place(context.Background(), job("s"), nil)
+	f.since = time.Now().Add(-1100 * time.Millisecond)
+	_, err := f.placer.Place(context.Background(), job("s"), nil)
 	var refused *request.Error
 	if !errors.As(err, &refused) || refused.Ran != request.NotRun || refused.RetryAfter == 0 {
 		t.Fatalf("got %v", err)
 	}
-	w.put(1, 2)
-	if p := place(t, w, job("s")); p.Replica.Info().ID != "r1" || p.Meta.CacheSalt != "w2" || !p.StartDeadline.IsZero() {
+	f.put(1, 2)
+	if p := place(t, f, job("s")); p.Replica.Info().ID != "r1" || p.Meta.CacheSalt != "w2" || !p.StartDeadline.IsZero() {
 		t.Errorf("placed at %s with %+v", p.Replica.Info().ID, p.Meta)
 	}
 }
@@ -206,12 +206,12 @@
 // Parts computed under other weights must never be sent to a replica: the parts claimed at the stores
 // are those of the replica's own weights.
 func TestPartsMatchWeightsOfReplica(t *testing.T) {
-	w := newFixture(2)
-	w.requested = 2
-	w.put(1, 2)
-	w.store.held["w2/shared"] = true
-	w.set.Get("r1").Load.Begin(49_000, 20_000) // the one on new weights is busy
-	p := place(t, w, job("s"))
+	f := newFixture(2)
+	f.requested = 2
+	f.put(1, 2)
+	f.store.held["w2/shared"] = true
+	f.set.Get("r1").Load.Begin(49_000, 20_000) // the one on new weights is busy
+	p := place(t, f, job("s"))
 	if p.Replica.Info().ID != "r0" || p.Meta.CacheSalt != "w1" || p.Meta.FetchFrom[0] != "" {
 		t.Errorf("at %s: %+v", p.Replica.Info().ID, p.Meta)
 	}
@@ -219,10 +219,10 @@
 
 // A replica that loads weights gets no requests.
 func TestBusyReplicaGetsNoRequests(t *testing.T) {
-	w := newFixture(3)
-	w.set.Get("r0").SetBusy(time.Now().Add(time.Minute))
+	f := newFixture(3)
+	f.set.Get("r0").SetBusy(time.Now().Add(time.Minute))
 	for i := range 10 {
-		p := place(t, w, job(fmt.Sprint(i)))
+		p := place(t, f, job(fmt.Sprint(i)))
 		if p.Replica.Info().ID == "r0" {
 			t.Fatal("a replica that loads weights got a request")
 		}
@@ -233,16 +233,16 @@
 // Prompts arrive faster than the replicas compute them. Requests that would miss their objective are
 // refused immediately with a Retry-After, the less urgent ones first.
 func TestOverloadIsRefusedImmediately(t *testing.T) {
-	w := newFixture(1)
-	w.set.Get("r0").Load.Begin(1000, 30_000) // 600 ms of prompts
+	f := newFixture(1)
+	f.set.Get("r0").Load.Begin(1000, 30_000) // 600 ms of prompts
 	normal, urgent := job("s"), job("s")
 	urgent.Route = &routing.Route{Kind: routing.KindStream, Objective: 600 * time.Millisecond, Priority: 0}
-	_, err := w.engine.Place(context.Background(), normal, nil)
+	_, err := f.placer.Place(context.Background(), normal, nil)
 	var refused *request.Error
 	if !errors.As(err, &refused) || refused.Code != request.CodeOverloaded || refused.RetryAfter < minRetryAfter {
 		t.Errorf("got %v", err)
 	}
-	if _, err := w.engine.Place(context.Background(), urgent, nil); err != nil {
+	if _, err := f.placer.Place(context.Background(), urgent, nil); err != nil {
 		t.Errorf("the urgent request: %v", err)
 	}
 }
@@ -250,11 +250,11 @@
 // A replica with running streams dies, and the remaining replicas are busy. A resumable stream was
 // refused like a new prompt, and broke off after its caller had received half of it.
 func TestResumedStreamIsNotRefusedForItsWait(t *testing.T) {
-	w := newFixture(1)
-	w.set.Get("r0").Load.Begin(1000, 30_000) // 600 ms of prompts
+	f := newFixture(1)
+	f.set.Get("r0").Load.Begin(1000, 30_000) // 600 ms of prompts
 	begun := job("s")
 	begun.ResponseStarted = true
-	if _, err := w.engine.Place(context.Background(), begun, nil); err != nil {
+	if _, err := f.placer.Place(context.Background(), begun, nil); err != nil {
 		t.Errorf("refused: %v", err)
 	}
 }
@@ -262,13 +262,13 @@
 // A store's link is slower than its owner assumes. The first token of a fetch is overdue, and the
 // owner must receive a report while the fetch still runs.
 func TestOverdueFetchIsReported(t *testing.T) {
-	w := newFixture(1)
+	f := newFixture(1)
 	for _, p := range job("s").Parts {
-		w.store.held["w1/"+p.ID] = true
+		f.store.held["w1/"+p.ID] = true
 	}
 	reported := make(chan storecache.FetchResult, 1)
-	w.engine.Stores = &reportingStore{fakeStore: w.store, fetches: reported}
-	place(t, w, job("s"))
+	f.placer.Stores = &reportingStore{fakeStore: f.store, fetches: reported}
+	place(t, f, job("s"))
 	select {
 	case got := <-reported:
 		if !got.Overdue || got.Claim == 0 {
@@ -277,7 +277,7 @@
 	case <-time.After(3 * time.Second):
 		t.Error("no report")
 	}
-	p := place(t, w, job("s"))
+	p := place(t, f, job("s"))
 	p.OnFirstEvent()
 	select {
 	case got := <-reported:
@@ -293,16 +293,16 @@
 // claimed last from that store.
 func TestCompletionOfEachFetchIsReported(t *testing.T) {
 	for _, busy := range []bool{false, true} {
-		w := newFixture(1)
+		f := newFixture(1)
 		for _, p := range job("s").Parts {
-			w.store.held["w1/"+p.ID] = true
+			f.store.held["w1/"+p.ID] = true
 		}
 		reported := make(chan storecache.FetchResult, 1)
-		w.engine.Stores = &reportingStore{fakeStore: w.store, fetches: reported}
+		f.placer.Stores = &reportingStore{fakeStore: f.store, fetches: reported}
 		if busy {
-			w.set.Get(id(0)).Load.Begin(100, idlePrefillTokens+1)
+			f.set.Get(id(0)).Load.Begin(100, idlePrefillTokens+1)
 		}
-		place(t, w, job("s")).OnFirstEvent()
+		place(t, f, job("s")).OnFirstEvent()
 		got := <-reported
 		if got.Overdue || got.Busy != busy || got.Claim != int64(len(job("s").Parts)) {
 			t.Errorf("busy %t: reported %+v", busy, got)
@@ -320,11 +320,11 @@
 // A plain call goes to the least loaded replica, after a failure to another one, and to none if all
 // were tried.
 func TestPlainCallGoesToLeastLoadedReplica(t *testing.T) {
-	w := newFixture(3)
-	p := &PlainPlacer{Eligibility: Eligibility{Set: w.set}, Domain: "a"}
+	f := newFixture(3)
+	p := &PlainPlacer{Eligibility: Eligibility{Set: f.set}, Domain: "a"}
 	j := &relay.Job{Service: &routing.Service{ID: "llm"}, Route: &routing.Route{}}
-	w.set.Get("r0").Load.Begin(0, 0)
-	w.set.Get("r1").Load.Begin(0, 0)
+	f.set.Get("r0").Load.Begin(0, 0)
+	f.set.Get("r1").Load.Begin(0, 0)
 	got, err := p.Place(context.Background(), j, nil)
 	if err != nil || got.Replica.Info().ID != "r2" {
 		t.Errorf("got %+v, %v", got, err)
@@ -342,27 +342,27 @@
 // are not used. They must be released: otherwise the stores wait for a save that never happens, and
 // all prompts with that context are computed meanwhile.
 func TestClaimsUnderOtherWeightsAreReleased(t *testing.T) {
-	w := newFixture(2)
-	w.put(1, 2)
-	w.set.Get(id(1)).Load.Begin(50_000, 50_000)
-	p := place(t, w, job("s"))
+	f := newFixture(2)
+	f.put(1, 2)
+	f.set.Get(id(1)).Load.Begin(50_000, 50_000)
+	p := place(t, f, job("s"))
 	if p.Replica.Info().ID != id(0) {
 		t.Fatalf("went to %s", p.Replica.Info().ID)
 	}
-	if want := []string{"w2/shared", "w2/s"}; !slices.Equal(w.store.released, want) {
-		t.Errorf("released %v, want %v", w.store.released, want)
+	if want := []string{"w2/shared", "w2/s"}; !slices.Equal(f.store.released, want) {
+		t.Errorf("released %v, want %v", f.store.released, want)
 	}
 }
 
 // All replicas are at capacity and the request is refused: its claims for saves must be released.
 func TestClaimsOfRefusedRequestAreReleased(t *testing.T) {
-	w := newFixture(1)
-	w.set.Get(id(0)).Load.Begin(50_000, 50_000)
-	if _, err := w.engine.Place(context.Background(), job("s"), nil); err == nil {
+	f := newFixture(1)
+	f.set.Get(id(0)).Load.Begin(50_000, 50_000)
+	if _, err := f.placer.Place(context.Background(), job("s"), nil); err == nil {
 		t.Fatal("not refused")
 	}
-	if want := []string{"w1/shared", "w1/s"}; !slices.Equal(w.store.released, want) {
-		t.Errorf("released %v, want %v", w.store.released, want)
+	if want := []string{"w1/shared", "w1/s"}; !slices.Equal(f.store.released, want) {
+		t.Errorf("released %v, want %v", f.store.released, want)
 	}
 }
 
@@ -370,11 +370,11 @@
 // may have run may still be saving.
 func TestClaimsOfAttemptThatDidNotRunAreReleased(t *testing.T) {
 	for _, ran := range []bool{true, false} {
-		w := newFixture(1)
-		p := place(t, w, job("s"))
+		f := newFixture(1)
+		p := place(t, f, job("s"))
 		p.OnEnd(ran)
-		if gaveBack := len(w.store.released) > 0; gaveBack == ran {
-			t.Errorf("ran %t: released %v", ran, w.store.released)
+		if gaveBack := len(f.store.released) > 0; gaveBack == ran {
+			t.Errorf("ran %t: released %v", ran, f.store.released)
 		}
 	}
 }
@@ -382,15 +382,15 @@
 // A store is so slow that computing a prompt is faster than fetching it. The store's link must not be
 // reserved for a fetch that is not made.
 func TestClaimOfCancelledFetchIsReleased(t *testing.T) {
-	w := newFixture(1)
-	w.store.held["w1/shared"], w.store.held["w1/s"] = true, true
-	w.store.fetchTime = 10 * time.Second
-	p := place(t, w, job("s"))
+	f := newFixture(1)
+	f.store.held["w1/shared"], f.store.held["w1/s"] = true, true
+	f.store.fetchTime = 10 * time.Second
+	p := place(t, f, job("s"))
 	if p.Meta.FetchFrom[0] != "" || p.Meta.FetchFrom[1] != "" {
 		t.Fatalf("fetches from %v", p.Meta.FetchFrom)
 	}
-	if want := []string{"w1/shared", "w1/s"}; !slices.Equal(w.store.released, want) {
-		t.Errorf("released %v, want %v", w.store.released, want)
+	if want := []string{"w1/shared", "w1/s"}; !slices.Equal(f.store.released, want) {
+		t.Errorf("released %v, want %v", f.store.released, want)
 	}
 }
 
@@ -409,13 +409,13 @@
 		{"the caller has waited", 10 * time.Millisecond, objective, 2 * 10 * time.Millisecond, 200 * time.Millisecond},
 		{"it takes long", 500 * time.Millisecond, objective, 500 * time.Millisecond, 700 * time.Millisecond},
 	} {
-		w := newFixture(1)
-		w.store.fetchTime = c.takes
-		w.store.held["w1/s"], w.store.held["w1/shared"] = true, true
+		f := newFixture(1)
+		f.store.fetchTime = c.takes
+		f.store.held["w1/s"], f.store.held["w1/shared"] = true, true
 		j := job("s")
 		j.Parts = j.Parts[1:2]
 		j.Start = time.Now().Add(-c.waited)
-		p := place(t, w, j)
+		p := place(t, f, j)
 		got := storecache.ReadPermitTTL - time.Duration(permitUntil-p.Meta.FetchUntil)*time.Millisecond
 		if p.Meta.FetchFrom[0] == "" {
 			t.Fatalf("%s: not fetched", c.name)
@@ -429,19 +429,19 @@
 // A replica crashes during a fetch, which never ends: the store's owner must not wait for it. The
 // replica may still be saving the parts that it was to save.
 func TestClaimOfCrashedReplicasFetchIsReleased(t *testing.T) {
-	w := newFixture(1)
-	w.store.held["w1/shared"] = true
-	p := place(t, w, job("s"))
+	f := newFixture(1)
+	f.store.held["w1/shared"] = true
+	p := place(t, f, job("s"))
 	p.OnEnd(true)
-	if want := []string{"w1/shared"}; !slices.Equal(w.store.released, want) {
-		t.Errorf("released %v, want %v", w.store.released, want)
+	if want := []string{"w1/shared"}; !slices.Equal(f.store.released, want) {
+		t.Errorf("released %v, want %v", f.store.released, want)
 	}
-	p = place(t, w, job("t"))
-	w.store.released = nil
+	p = place(t, f, job("t"))
+	f.store.released = nil
 	p.OnFirstEvent()
 	p.OnEnd(true)
-	if len(w.store.released) > 0 {
-		t.Errorf("released %v after the first token", w.store.released)
+	if len(f.store.released) > 0 {
+		t.Errorf("released %v after the first token", f.store.released)
 	}
 }
 
@@ -454,11 +454,11 @@
 		takes     time.Duration
 		hasSource bool
 	}{{20 * time.Millisecond, true}, {500 * time.Millisecond, false}} {
-		w := newFixture(1)
-		done(place(t, w, job("s"))) // its parts are assumed to be resident from now on
-		w.store.held["w1/shared"] = true
-		w.store.fetchTime = c.takes
-		p := place(t, w, job("s"))
+		f := newFixture(1)
+		done(place(t, f, job("s"))) // its parts are assumed to be resident from now on
+		f.store.held["w1/shared"] = true
+		f.store.fetchTime = c.takes
+		p := place(t, f, job("s"))
 		if hasSource := p.Meta.FetchFrom[0] != ""; hasSource != c.hasSource {
 			t.Errorf("%s: fetch from %q", c.takes, p.Meta.FetchFrom)
 		}
--- a/internal/placer/plain.go
+++ b/internal/placer/plain.go
@@ -1,5 +1,6 @@
 // Package placer chooses a replica for each attempt of a relayed request. It places calls to plain
-// services by load and health, and prompts on model replicas also by where their parts are cached.
+// services, those that are not model services, by load and health, and prompts on model replicas also
+// by where their parts are cached.
 package placer
 
 import (
@@ -26,7 +27,7 @@
 	CrossDomain:       3 * time.Millisecond,
 }
 
-// PlainPlacer places calls of plain services.
+// PlainPlacer places calls of plain services. It implements relay.Placer.
 type PlainPlacer struct {
 	Eligibility
 	Domain string // failure domain of this daemon
--- a/internal/placer/quotas.go
+++ b/internal/placer/quotas.go
@@ -117,15 +117,15 @@
 }
 
 // shares returns this daemon's share of a replica under each bound that holds, and whether this daemon
-// sends to the replica at all. It must be called without the lock: Users may reassign the fleet.
+// sends to the replica at all. It must be called without the lock: Daemons may reassign the fleet.
 func (q *Quotas) shares(now time.Time, r *replicas.Replica) (shares []quota.Share, sends bool) {
 	bounds := q.bounds(now, r)
 	if len(bounds) == 0 {
 		return nil, true
 	}
-	users := q.Daemons(r)
+	daemons := q.Daemons(r)
 	for _, b := range bounds {
-		share, sends := q.share(r, b, users)
+		share, sends := q.share(r, b, daemons)
 		if !sends {
 			return nil, false
 		}
@@ -135,15 +135,15 @@
 }
 
 // share returns this daemon's share of a replica under one bound, and whether it sends to it at all.
-func (q *Quotas) share(r *replicas.Replica, b bound, users []string) (share quota.Share, sends bool) {
+func (q *Quotas) share(r *replicas.Replica, b bound, daemons []string) (share quota.Share, sends bool) {
 	switch {
-	case len(users) == 0:
+	case len(daemons) == 0:
 		return b.limits.IsolatedShare(assumedSenders), true
 	case b.stale:
-		return b.limits.IsolatedShare(len(users)), true
+		return b.limits.IsolatedShare(len(daemons)), true
 	}
-	senders, share := b.limits.Shares(len(users))
-	return share, quota.IsSender(q.Self, users, r.Hash(), senders)
+	senders, share := b.limits.Shares(len(daemons))
+	return share, quota.IsSender(q.Self, daemons, r.Hash(), senders)
 }
 
 // pace returns the record of the requests that this daemon sent to a replica.
--- a/internal/placer/quotas_test.go
+++ b/internal/placer/quotas_test.go
@@ -13,10 +13,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
-func setColdQuotas(w *fixture, group ...string) {
+func setColdQuotas(f *fixture, group ...string) {
 	limits := quota.ColdStartLimits(9.8, 19.7)
-	w.set.SetColdStarts(map[routing.ServiceID]time.Duration{"llm": time.Minute})
-	w.engine.Quotas = &Quotas{
+	f.set.SetColdStarts(map[routing.ServiceID]time.Duration{"llm": time.Minute})
+	f.placer.Quotas = &Quotas{
 		Self: "d0", Daemons: func(*replicas.Replica) []string { return group },
 		ColdLimits: func(routing.ServiceID) quota.Limits { return limits },
 	}
@@ -27,8 +27,8 @@
 	return quota.Limits{PerSecond: perSecond, Burst: 6*perSecond + 5, Window: 4 * time.Second}
 }
 
-func setRateQuotas(w *fixture, self string, group ...string) {
-	w.engine.Quotas = &Quotas{
+func setRateQuotas(f *fixture, self string, group ...string) {
+	f.placer.Quotas = &Quotas{
 		Self: self, Daemons: func(*replicas.Replica) []string { return group },
 		ColdLimits: func(routing.ServiceID) quota.Limits { return quota.Limits{} }, RateLimits: rateLimits,
 	}
@@ -41,11 +41,11 @@
 	group := []string{"d0", "d1", "d2", "d3", "d4", "d5", "d6", "d7"}
 	var total int
 	for _, self := range group {
-		w := newFixture(2)
-		setRateQuotas(w, self, group...)
-		w.set.Get("r0").UpdateLimit(time.Now(), perSecond)
+		f := newFixture(2)
+		setRateQuotas(f, self, group...)
+		f.set.Get("r0").UpdateLimit(time.Now(), perSecond)
 		for i := range 20 {
-			switch placedAt(t, w, job(fmt.Sprint("s", i))) {
+			switch placedAt(t, f, job(fmt.Sprint("s", i))) {
 			case "r0":
 				total++
 			case "":
@@ -63,13 +63,13 @@
 
 // All replicas are overloaded: the requests that they accept together are sent, all others refused.
 func TestRateLimitsOfAllReplicasAreRespected(t *testing.T) {
-	w := newFixture(2)
-	setRateQuotas(w, "d0", "d0")
-	w.set.Get("r0").UpdateLimit(time.Now(), 1)
-	w.set.Get("r1").UpdateLimit(time.Now(), 1)
+	f := newFixture(2)
+	setRateQuotas(f, "d0", "d0")
+	f.set.Get("r0").UpdateLimit(time.Now(), 1)
+	f.set.Get("r1").UpdateLimit(time.Now(), 1)
 	served := 0
 	for range 20 {
-		if placedAt(t, w, job("s")) != "" {
+		if placedAt(t, f, job("s")) != "" {
 			served++
 		}
 	}
@@ -82,29 +82,29 @@
 // of the limit arrives. A daemon that is not a sender probes with one request whether it still holds.
 func TestNonSenderProbesStaleRateLimit(t *testing.T) {
 	group := []string{"d0", "d1", "d2", "d3", "d4", "d5", "d6", "d7"}
-	w := newFixture(1)
-	r := w.set.Get("r0")
+	f := newFixture(1)
+	r := f.set.Get("r0")
 	senders, _ := rateLimits(0.5).Shares(len(group))
 	for _, self := range group {
 		if !quota.IsSender(self, group, r.Hash(), senders) {
-			setRateQuotas(w, self, group...)
+			setRateQuotas(f, self, group...)
 			break
 		}
 	}
-	if w.engine.Quotas == nil {
+	if f.placer.Quotas == nil {
 		t.Fatal("all daemons are senders")
 	}
 	r.UpdateLimit(time.Now().Add(-minLimitTTL+time.Second), 0.5)
-	if got := placedAt(t, w, job("s")); got != "" {
+	if got := placedAt(t, f, job("s")); got != "" {
 		t.Error("a non-sender sends before the limit is stale")
 	}
-	w.set.Apply(time.Now(), replicas.Change{Removed: []request.TargetID{"r0"}})
-	w.put(0, 1)
-	w.set.Get("r0").UpdateLimit(time.Now().Add(-2*minLimitTTL-time.Second), 0.5)
-	if got := placedAt(t, w, job("s")); got != "r0" {
+	f.set.Apply(time.Now(), replicas.Change{Removed: []request.TargetID{"r0"}})
+	f.put(0, 1)
+	f.set.Get("r0").UpdateLimit(time.Now().Add(-2*minLimitTTL-time.Second), 0.5)
+	if got := placedAt(t, f, job("s")); got != "r0" {
 		t.Error("it never probes the limit")
 	}
-	if got := placedAt(t, w, job("s")); got != "" {
+	if got := placedAt(t, f, job("s")); got != "" {
 		t.Error("it sends more than one probe")
 	}
 }
@@ -112,14 +112,14 @@
 // A third of the replicas has just started. Cold replicas get requests up to their bound, the other
 // replicas get the rest, and no request is refused.
 func TestColdReplicasGetBoundedRequests(t *testing.T) {
-	w := newFixture(6)
-	setColdQuotas(w, "d0")
+	f := newFixture(6)
+	setColdQuotas(f, "d0")
 	for _, r := range []request.TargetID{"r0", "r1"} {
-		w.set.Get(r).AssumeCold(time.Now())
+		f.set.Get(r).AssumeCold(time.Now())
 	}
 	got := map[request.TargetID]int{}
 	for i := range 18 {
-		p, err := w.engine.Place(context.Background(), job(fmt.Sprint("s", i)), nil)
+		p, err := f.placer.Place(context.Background(), job(fmt.Sprint("s", i)), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -136,26 +136,26 @@
 // A daemon that has just started does not know the number of other daemons. It prefers warm replicas,
 // and uses cold ones only if no other replica is available.
 func TestStartingDaemonPrefersWarmReplicas(t *testing.T) {
-	w := newFixture(2)
-	setColdQuotas(w)
-	w.set.Get("r0").AssumeCold(time.Now())
+	f := newFixture(2)
+	setColdQuotas(f)
+	f.set.Get("r0").AssumeCold(time.Now())
 	for i := range 20 {
-		if got := placedAt(t, w, job(fmt.Sprint("s", i))); got != "r1" {
+		if got := placedAt(t, f, job(fmt.Sprint("s", i))); got != "r1" {
 			t.Fatalf("went to %q", got)
 		}
 	}
-	w.set.Get("r1").AssumeCold(time.Now())
-	if got := placedAt(t, w, job("s")); got == "" {
+	f.set.Get("r1").AssumeCold(time.Now())
+	if got := placedAt(t, f, job("s")); got == "" {
 		t.Error("refused with cold replicas idle")
 	}
 }
 
 // Replicas of plain services may be cold as well.
 func TestPlainCallsRespectColdReplicaBound(t *testing.T) {
-	w := newFixture(1)
-	setColdQuotas(w, "d0")
-	w.set.Get("r0").AssumeCold(time.Now())
-	p := &PlainPlacer{Eligibility: w.engine.Eligibility, Domain: "a"}
+	f := newFixture(1)
+	setColdQuotas(f, "d0")
+	f.set.Get("r0").AssumeCold(time.Now())
+	p := &PlainPlacer{Eligibility: f.placer.Eligibility, Domain: "a"}
 	j := &relay.Job{Service: &routing.Service{ID: "llm"}, Route: &routing.Route{}}
 	if _, err := p.Place(context.Background(), j, nil); err != nil {
 		t.Fatal(err)
@@ -168,9 +168,9 @@
 // A replica accepts one request in ten seconds. Its record is retained for that time, and dropped once
 // no bound holds.
 func TestPaceIsRetainedWhileBoundNeedsIt(t *testing.T) {
-	w := newFixture(1)
-	setRateQuotas(w, "d0", "d0")
-	q, r, now := w.engine.Quotas, w.set.Get("r0"), time.Now()
+	f := newFixture(1)
+	setRateQuotas(f, "d0", "d0")
+	q, r, now := f.placer.Quotas, f.set.Get("r0"), time.Now()
 	q.Take(now, r)
 	r.UpdateLimit(now, 0.1)
 	later := now.Add(8 * time.Second)
@@ -188,16 +188,16 @@
 // A request is refused because its wait would be too long. It must not consume the only request that
 // an overloaded replica accepts in several seconds.
 func TestRefusedRequestConsumesNoRateLimit(t *testing.T) {
-	w := newFixture(1)
-	setRateQuotas(w, "d0", "d0")
-	r := w.set.Get("r0")
+	f := newFixture(1)
+	setRateQuotas(f, "d0", "d0")
+	r := f.set.Get("r0")
 	r.UpdateLimit(time.Now(), 0.2)
 	work := r.Load.Begin(10_000, 1_000_000)
-	if got := placedAt(t, w, job("s")); got != "" {
+	if got := placedAt(t, f, job("s")); got != "" {
 		t.Fatal("not refused")
 	}
 	work.End()
-	if got := placedAt(t, w, job("s")); got != "r0" {
+	if got := placedAt(t, f, job("s")); got != "r0" {
 		t.Error("the idle replica gets no request")
 	}
 }
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -86,8 +86,8 @@
 }
 
 // IsSender reports whether a daemon is one of the senders to a replica, among the daemons that use it.
-func IsSender(self string, users []string, replica uint64, senders int) bool {
-	return slices.Contains(users, self) && subset.IsSelected(self, users, replica, senders)
+func IsSender(self string, daemons []string, replica uint64, senders int) bool {
+	return slices.Contains(daemons, self) && subset.IsSelected(self, daemons, replica, senders)
 }
 
 // maxRecordedSends bounds the recorded requests. A daemon's share of a window is smaller, except under
