--- a/internal/contextstore/client.go
+++ b/internal/contextstore/client.go
@@ -134,8 +134,8 @@
 	return out, until
 }
 
-// merge collects an owner's answers per part, and what is not used of them. A part may be
-// requested from two stores; a fetch takes precedence over a save.
+// merge collects an owner's offers per part in out, and those that are not used in unused. A part may
+// be requested from two stores; a fetch takes precedence over a save.
 func (c *Client) merge(out, unused []placer.PartOffer, q *ownerClaim, r *ClaimResponse) {
 	for i, answer := range r.Parts {
 		store := q.stores[i]
@@ -332,7 +332,7 @@
 	}
 }
 
-// claim sends a claim request to its owner. It returns nil if the owner does not answer in time.
+// claim sends a claim request to its owner. It returns nil if the owner does not respond in time.
 func (c *Client) claim(ctx context.Context, q *ownerClaim) *ClaimResponse {
 	answer, err := c.ownerClient(q.holder).Claim(ctx, q.request)
 	if err == nil {
@@ -341,7 +341,7 @@
 	c.mu.Lock()
 	c.unreachableUntil[q.holder.Address] = time.Now().Add(unreachableBackoff)
 	c.mu.Unlock()
-	c.opts.Logger.Info("A store's owner did not answer", "keeper", q.holder.ID, "error", err)
+	c.opts.Logger.Info("A store's owner did not respond", "keeper", q.holder.ID, "error", err)
 	return nil
 }
 
--- a/internal/contextstore/contextstore_test.go
+++ b/internal/contextstore/contextstore_test.go
@@ -32,7 +32,7 @@
 	listTime time.Duration // transfer time of a list over the store's link
 }
 
-// clockAhead is how far the fake store's clock is ahead of this process's clock, in ms.
+// clockAhead is how far the fake's replicas' clock is ahead of this process's clock, in ms.
 const clockAhead = 1_000_000
 
 func newFakeStore() *fakeStore { return &fakeStore{epoch: 1, parts: map[storecache.Key]int{}} }
@@ -67,7 +67,7 @@
 	return len(s.freed)
 }
 
-func (s *fakeStore) Events(_ context.Context, _ string, after uint64, _ time.Duration) (Content, error) {
+func (s *fakeStore) Events(_ context.Context, _ string, next uint64, _ time.Duration) (Content, error) {
 	time.Sleep(time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,8 +75,8 @@
 		return Content{}, errors.New("down")
 	}
 	content := Content{Epoch: s.epoch, Next: uint64(len(s.events)), ClockMs: time.Now().UnixMilli() + clockAhead}
-	if after <= content.Next {
-		content.Events = append(content.Events, s.events[after:]...)
+	if next <= content.Next {
+		content.Events = append(content.Events, s.events[next:]...)
 	}
 	return content, nil
 }
@@ -403,8 +403,8 @@
 
 // A daemon's clock is seconds ahead of the replicas' clock, which a list does not report. If
 // permits ended by the daemon's clock, a replica could fetch for seconds after the part was freed.
-// No permit may be granted before the store's clock is known, or end by the daemon's clock.
-func TestPermitEndsOnStoreClock(t *testing.T) {
+// No permit may be granted before the replicas' clock is known, or end by the daemon's clock.
+func TestPermitEndsOnReplicasClock(t *testing.T) {
 	c := startOwner(t, newFakeStore(), service("shelf", 10_000, 1000))
 	parts := []relay.Part{{ID: "x", Tokens: 100}, {ID: "own", Tokens: 10}}
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -414,7 +414,7 @@
 		}
 		left := time.Duration(until-time.Now().UnixMilli()-clockAhead) * time.Millisecond
 		if left > storecache.ReadPermitTTL || left < storecache.ReadPermitTTL-time.Second {
-			t.Errorf("the permit lasts %s on the store's clock", left)
+			t.Errorf("the permit lasts %s on the replicas' clock", left)
 		}
 		return
 	}
@@ -444,13 +444,13 @@
 		return time.Since(began)
 	}
 	const wait = storecache.ReadPermitTTL
-	if got := took(record{Epoch: 1, Seen: now - 60_000}); got > wait/2 {
+	if got := took(record{StoreEpoch: 1, Seen: now - 60_000}); got > wait/2 {
 		t.Errorf("same process for a minute: first save after %s", got)
 	}
-	if got := took(record{Epoch: 7, Seen: now - 60_000}); got < wait {
+	if got := took(record{StoreEpoch: 7, Seen: now - 60_000}); got < wait {
 		t.Errorf("another process: first save after %s", got)
 	}
-	if got := took(record{Epoch: 1, Seen: now - 1000}); got < wait {
+	if got := took(record{StoreEpoch: 1, Seen: now - 1000}); got < wait {
 		t.Errorf("same process for a second: first save after %s", got)
 	}
 }
@@ -464,7 +464,7 @@
 		store.save("w1", fmt.Sprint(i), 96)
 	}
 	now := time.Now().UnixMilli() + clockAhead
-	writeRecord(t, fake, "shelf", record{Epoch: 1, Seen: now - 60_000, OtherOwnerUntil: now + 8000})
+	writeRecord(t, fake, "shelf", record{StoreEpoch: 1, Seen: now - 60_000, OtherOwnerUntil: now + 8000})
 	c := startOwnerWith(t, fake, 10*time.Second, store, service("shelf", 1000, 1000))
 	parts := []relay.Part{{ID: "new", Tokens: 16}, {ID: "own", Tokens: 16}}
 	c.Claim(context.Background(), "w2", parts, []bool{false, false}) // all other parts are of old weights
--- a/internal/contextstore/ownedstore.go
+++ b/internal/contextstore/ownedstore.go
@@ -25,26 +25,32 @@
 	Tokens int
 }
 
-// Content is what a store reports about its content.
+// Content is what a context store reports about its content.
 type Content struct {
-	Epoch    uint64 // changes at each start of the store
-	Next     uint64
-	Lost     bool // events are missing
+	Epoch uint64 // changes at each start of the store
+	// Next is the number of the last event that the content includes. Passed to Events, it returns the
+	// events that follow.
+	Next uint64
+	Lost bool // events are missing
+	// ClockMs is the time on the replicas' clock, in ms: the clock that context stores and replicas
+	// share, and by which permits expire. Daemons know it only from the stores. Zero in a list.
 	ClockMs  int64
 	Events   []Event
 	Complete []storecache.PartRequest // set by a list
 	Partial  []storecache.PartRequest
 }
 
-// StoreAPI calls stores.
+// StoreAPI is the interface of the context stores.
 type StoreAPI interface {
-	// Events waits for changes after an event number. It fails soon after the wait if the store
-	// has not started to answer, but reads an answer that has started to its end.
-	Events(ctx context.Context, address string, after uint64, wait time.Duration) (Content, error)
+	// Events waits for changes with a number above next, the Next of the last content. It fails if
+	// no response has begun shortly after wait. A response that has begun is read to its end,
+	// however long that takes, unless the connection stalls.
+	Events(ctx context.Context, address string, next uint64, wait time.Duration) (Content, error)
 	// List reads the complete content of a store, with the time limits of Events.
 	List(ctx context.Context, address string) (Content, error)
-	// Free frees parts, unless the store has restarted or its clock is past until.
-	Free(ctx context.Context, address string, keys []storecache.Key, epoch uint64, until int64) error
+	// Free frees parts, unless the store has restarted since storeEpoch or the replicas' clock is
+	// past until.
+	Free(ctx context.Context, address string, keys []storecache.Key, storeEpoch uint64, until int64) error
 }
 
 // ownedStore is a store that this daemon owns.
@@ -66,27 +72,27 @@
 	leaseValidAt time.Time // last time at which the lease was valid
 	retired      bool      // released, or owned by another daemon
 	cache        *storecache.Cache
-	epoch        uint64
+	storeEpoch   uint64 // changes at each start of the store; zero: not known yet
 	nextEvent    uint64
 	listed       bool
 	listedAt     time.Time
 	lastContact  time.Time
-	// inherited is set once the record of the previous owners has been read and this owner's
+	// recordAdopted is set once the record of the previous owners has been read and this owner's
 	// state is recorded.
-	inherited bool
-	// inheritAt is the earliest time of the next attempt to inherit.
-	inheritAt time.Time
-	// clockMs is the replicas' clock at clockAt. It errs on the early side, so that permits end
-	// too early rather than too late. The monotonic clock advances it. If it were an offset to
-	// the wall clock, setting that clock ahead by 2 s would extend later permits by 2 s beyond
-	// what the cache assumes, and parts would be freed while replicas read them.
+	recordAdopted bool
+	// adoptRecordAt is the earliest time of the next attempt to adopt the record.
+	adoptRecordAt time.Time
+	// clockMs is the replicas' clock at clockAt; see Content.ClockMs. It errs on the early side, so
+	// that permits end too early rather than too late. The monotonic clock advances it. If it were
+	// an offset to the wall clock, setting that clock ahead by 2 s would extend later permits by
+	// 2 s beyond what the cache assumes, and parts would be freed while replicas read them.
 	clockMs int64
 	clockAt time.Time
 	// reasons counts the decisions since the last log line.
 	reasons map[storecache.Reason]int
 }
 
-// weightsOf returns the weight version that a salt encodes; zero if the salt is not ours.
+// weightsOf returns the weight version that a salt encodes; zero if no daemon made the salt.
 func weightsOf(salt string) uint64 {
 	digits, _, _ := strings.Cut(strings.TrimPrefix(salt, "w"), ".")
 	n, err := strconv.ParseUint(digits, 10, 64)
@@ -100,13 +106,13 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go s.runMaintenance(ctx)
-	for ctx.Err() == nil && s.serves(time.Now()) {
+	for ctx.Err() == nil && s.mayGrant(time.Now()) {
 		if err := s.follow(ctx); err != nil && ctx.Err() == nil {
-			s.log.Info("A context store did not answer", "store", s.id, "error", err)
+			s.log.Info("A context store did not respond", "store", s.id, "error", err)
 			_ = sleep.For(ctx, retryInterval) // the loop checks ctx itself
 			continue
 		}
-		s.inheritIfDue(ctx)
+		s.adoptRecordIfDue(ctx)
 		_ = sleep.For(ctx, followInterval) // the loop checks ctx itself
 	}
 	s.log.Info("No longer owner of a context store", "store", s.id)
@@ -126,30 +132,31 @@
 	return s.readEvents(ctx, 0) // a list does not include the clock
 }
 
-// inheritIfDue inherits from the previous owners as soon as the store's clock is known.
-func (s *ownedStore) inheritIfDue(ctx context.Context) {
+// adoptRecordIfDue takes over the record of the previous owners' permits as soon as the content of the
+// store and the replicas' clock are known. It retries after adoptRecordInterval.
+func (s *ownedStore) adoptRecordIfDue(ctx context.Context) {
 	s.mu.Lock()
 	now := time.Now()
-	due := s.listed && !s.inherited && !s.clockAt.IsZero() && !now.Before(s.inheritAt)
+	due := s.listed && !s.recordAdopted && !s.clockAt.IsZero() && !now.Before(s.adoptRecordAt)
 	if due {
-		s.inheritAt = now.Add(inheritInterval)
+		s.adoptRecordAt = now.Add(adoptRecordInterval)
 	}
 	s.mu.Unlock()
 	if !due {
 		return
 	}
-	if err := s.inherit(ctx); err != nil {
-		s.log.Info("Failed to inherit the record of a context store", "store", s.id, "error", err)
+	if err := s.adoptRecord(ctx); err != nil {
+		s.log.Info("Failed to take over the record of a context store", "store", s.id, "error", err)
 	}
 }
 
-// readEvents reads the store's clock and its changes after the last known one. It waits up to
-// wait for changes.
+// readEvents reads the replicas' clock and the store's changes after the last known one. It waits up
+// to wait for changes.
 func (s *ownedStore) readEvents(ctx context.Context, wait time.Duration) error {
 	s.mu.Lock()
-	after := s.nextEvent
+	next := s.nextEvent
 	s.mu.Unlock()
-	c, err := s.api.Events(ctx, s.address, after, wait)
+	c, err := s.api.Events(ctx, s.address, next, wait)
 	if err != nil {
 		return err
 	}
@@ -171,8 +178,8 @@
 	return nil
 }
 
-// withWeights sets the weight versions of listed parts from their salts. Without them all
-// listed parts counted as made by older weights, and a new owner freed them first.
+// withWeights sets the weight versions of listed parts from their salts. Otherwise all listed parts
+// would count as made by older weights, and a new owner would free them first.
 func withWeights(parts []storecache.PartRequest) []storecache.PartRequest {
 	out := slices.Clone(parts)
 	for i := range out {
@@ -205,12 +212,12 @@
 	if c.ClockMs > 0 {
 		s.clockMs, s.clockAt = c.ClockMs, now
 	}
-	if s.epoch != 0 && s.epoch != c.Epoch {
+	if s.storeEpoch != 0 && s.storeEpoch != c.Epoch {
 		s.log.Warn("A context store has restarted", "store", s.id)
 		s.cache.Reset(now)
-		s.listed, s.inherited = false, false
+		s.listed, s.recordAdopted = false, false
 	}
-	s.epoch = c.Epoch
+	s.storeEpoch = c.Epoch
 }
 
 // runMaintenance frees parts when space is needed and logs the decisions periodically.
@@ -246,25 +253,25 @@
 
 func (s *ownedStore) free(ctx context.Context) {
 	s.mu.Lock()
-	if !s.ready(time.Now()) || !s.inherited || !s.lease.MayAct(freeTimeout) {
+	if !s.ready(time.Now()) || !s.recordAdopted || !s.lease.MayAct(freeTimeout) {
 		s.mu.Unlock()
 		return
 	}
 	keys := s.cache.StartFreeing(time.Now())
-	epoch := s.epoch
+	storeEpoch := s.storeEpoch
 	until := s.replicaClock(time.Now().Add(freeTimeout))
 	s.mu.Unlock()
 	for len(keys) > 0 {
 		n := min(len(keys), maxFreeBatch)
-		s.freeBatch(ctx, keys[:n], epoch, until)
+		s.freeBatch(ctx, keys[:n], storeEpoch, until)
 		keys = keys[n:]
 	}
 }
 
-func (s *ownedStore) freeBatch(ctx context.Context, keys []storecache.Key, epoch uint64, until int64) {
+func (s *ownedStore) freeBatch(ctx context.Context, keys []storecache.Key, storeEpoch uint64, until int64) {
 	ctx, cancel := context.WithTimeout(ctx, freeTimeout)
 	defer cancel()
-	err := s.api.Free(ctx, s.address, keys, epoch, until)
+	err := s.api.Free(ctx, s.address, keys, storeEpoch, until)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
@@ -277,20 +284,22 @@
 	}
 }
 
-// ready reports whether the store responds and its content and clock are known.
+// ready reports whether claims may be decided: the content of the store and the replicas' clock are
+// known, permitFrom has passed, the store has responded within silenceTimeout, and permits may be
+// granted under the lease or in its grace period.
 func (s *ownedStore) ready(now time.Time) bool {
-	return s.listed && !s.clockAt.IsZero() && !now.Before(s.permitFrom) && now.Sub(s.lastContact) < silenceTimeout && s.servesLocked(now)
+	return s.listed && !s.clockAt.IsZero() && !now.Before(s.permitFrom) && now.Sub(s.lastContact) < silenceTimeout && s.mayGrantLocked(now)
 }
 
-// serves reports whether permits may be granted here. This is the case while the lease is held
-// and for ReadOnlyGrace after it expired.
-func (s *ownedStore) serves(now time.Time) bool {
+// mayGrant reports whether the lease, or its grace period, still allows permits. The grace period lasts
+// for ReadOnlyGrace after the lease expired.
+func (s *ownedStore) mayGrant(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.servesLocked(now)
+	return s.mayGrantLocked(now)
 }
 
-func (s *ownedStore) servesLocked(now time.Time) bool {
+func (s *ownedStore) mayGrantLocked(now time.Time) bool {
 	if s.retired {
 		return false
 	}
@@ -298,8 +307,8 @@
 		s.leaseValidAt = now
 		return true
 	}
-	// The clock of timers stops while a VM is suspended, the wall clock does not. Both must be
-	// within the grace period.
+	// The monotonic clock stops while a VM is suspended, the wall clock does not. By both the
+	// grace period must not have ended.
 	return now.Sub(s.leaseValidAt) < storecache.ReadOnlyGrace && now.Round(0).Sub(s.leaseValidAt.Round(0)) < storecache.ReadOnlyGrace
 }
 
@@ -336,19 +345,21 @@
 	return true
 }
 
-// mayRelease reports whether the next owner can learn about all other owners that may still
+// mayReleaseLease reports whether the next owner can learn about all other owners that may still
 // grant permits.
-func (s *ownedStore) mayRelease() bool {
+func (s *ownedStore) mayReleaseLease() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.inherited || !time.Now().Before(s.cache.OtherOwnerUntil())
+	return s.recordAdopted || !time.Now().Before(s.cache.OtherOwnerUntil())
 }
 
+// replicaClock returns the time t on the replicas' clock, in ms.
 func (s *ownedStore) replicaClock(t time.Time) int64 {
 	return s.clockMs + t.Sub(s.clockAt).Milliseconds()
 }
 
-// claim decides on parts. The third result is false if the store can't be used now.
+// claim decides which parts may be fetched or saved. It returns the decisions, until when fetches may
+// start, in ms on the replicas' clock, and false if the store can't be used now.
 func (s *ownedStore) claim(salt string, weights uint64, asks []*PartAsk) ([]*PartAnswer, int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -379,8 +390,8 @@
 	s.cache.Release(time.Now(), key, claim)
 }
 
-// fetched records the outcome of a fetch.
-func (s *ownedStore) fetched(f storecache.FetchResult) {
+// recordFetch records the outcome of a fetch.
+func (s *ownedStore) recordFetch(f storecache.FetchResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cache.OnFetched(time.Now(), f)
--- a/internal/contextstore/owner.go
+++ b/internal/contextstore/owner.go
@@ -35,7 +35,7 @@
 	followInterval   = 60 * time.Millisecond
 	retryInterval    = 300 * time.Millisecond
 	maintainInterval = 100 * time.Millisecond
-	minListInterval  = 3 * time.Second // between two lists, which stall the store
+	minListInterval  = 3 * time.Second // minimum time between two lists of a store, because a list stalls it
 	// freeTimeout is how long a store may take to free parts. It responds within a few
 	// milliseconds.
 	freeTimeout     = 150 * time.Millisecond
@@ -44,8 +44,8 @@
 	// silenceTimeout is how long a store may be silent before fetches from it stop. It may be
 	// down, and a dead source costs a request some hundred ms.
 	silenceTimeout = 1600 * time.Millisecond
-	maxFreeBatch   = 64              // per call
-	logInterval    = 2 * time.Second // between two log lines of a store
+	maxFreeBatch   = 64              // parts in one Free call
+	logInterval    = 2 * time.Second // time between two log lines of a store
 )
 
 // Options configures an Owner.
@@ -107,7 +107,7 @@
 	o.mu.Unlock()
 	for _, owned := range stores {
 		l := owned.retire()
-		if !owned.mayRelease() {
+		if !owned.mayReleaseLease() {
 			continue // the lease must expire, which tells the next owner that there may be readers
 		}
 		if err := l.Release(ctx); err != nil {
@@ -165,7 +165,7 @@
 	if owned == nil {
 		return nil
 	}
-	if !owned.serves(time.Now()) || o.opts.LeaseEpoch != nil && o.opts.LeaseEpoch(store) > owned.leaseEpoch() {
+	if !owned.mayGrant(time.Now()) || o.opts.LeaseEpoch != nil && o.opts.LeaseEpoch(store) > owned.leaseEpoch() {
 		o.drop(store)
 		return nil
 	}
@@ -289,7 +289,7 @@
 func (o *Owner) Fetched(_ context.Context, r *FetchedRequest) (*FetchedResponse, error) {
 	if owned := o.lookup(routing.ServiceID(r.Store)); owned != nil {
 		took := time.Duration(r.TookUs) * time.Microsecond
-		owned.fetched(storecache.FetchResult{Claim: r.Claim, Took: took, Overdue: r.Overdue, Busy: r.Busy})
+		owned.recordFetch(storecache.FetchResult{Claim: r.Claim, Took: took, Overdue: r.Overdue, Busy: r.Busy})
 	}
 	return &FetchedResponse{}, nil
 }
--- a/internal/contextstore/record.go
+++ b/internal/contextstore/record.go
@@ -18,15 +18,15 @@
 	RecordPrefix = "store-record/"
 	// recordTimeout bounds each read and write of a record.
 	recordTimeout = 500 * time.Millisecond
-	// inheritInterval is the time between attempts while the key-value service does not respond.
-	inheritInterval = time.Second
+	// adoptRecordInterval is the time between attempts while the key-value service does not respond.
+	adoptRecordInterval = time.Second
 )
 
 // record is what owners pass on to their successors about a store. Its times are on the
-// replicas' clock, in ms, because the wall clocks of daemons may be set.
+// replicas' clock (see Content.ClockMs), in ms, because the wall clocks of daemons may be set.
 type record struct {
-	Epoch uint64 `json:"epoch"` // of the store's process
-	Seen  int64  `json:"seen"`  // when this process was first seen
+	StoreEpoch uint64 `json:"epoch"` // of the store's process
+	Seen       int64  `json:"seen"`  // when this process was first seen
 	// OtherOwnerUntil is until when an owner whose lease expired may grant permits.
 	OtherOwnerUntil int64 `json:"readers"`
 }
@@ -65,19 +65,20 @@
 	return errors.Wrap(err, "contextstore: write a store's record")
 }
 
-// inherit compares this owner's view of the store with the record of the previous owners.
+// adoptRecord takes over the record of the previous owners' permits: it compares the record with this
+// owner's view of the store, and writes what the next owner needs.
 //
 // A new owner permits no save while permits of the previous owner may be valid. If the store had
 // restarted empty in the meantime, a request with a permit for the complete part could read
 // one that is being written. If the store's process is known from some time before those
 // permits were granted, the store was not empty, and saves need not wait. Otherwise contexts
-// that returned within 2.8 s after each stop of an owner were not saved, and were computed
+// that return within 2.8 s after each stop of an owner would not be saved, and would be computed
 // again at their next return.
 //
 // The record also tells until when an owner behind a network partition may grant permits. That
 // owner's direct successor knows it from the expired lease. The successor's successor would not,
 // and would free parts too early.
-func (s *ownedStore) inherit(ctx context.Context) error {
+func (s *ownedStore) adoptRecord(ctx context.Context) error {
 	known, revision, err := s.records.read(ctx, s.id)
 	unreadable := errors.Is(err, errUnreadableRecord)
 	if err != nil && !unreadable {
@@ -94,7 +95,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.inherited = s.epoch == next.Epoch // false if the store has restarted in the meantime
+	s.recordAdopted = s.storeEpoch == next.StoreEpoch // false if the store has restarted in the meantime
 	return nil
 }
 
@@ -108,8 +109,8 @@
 		s.cache.OnOtherOwner(now.Add(storecache.ReadOnlyGrace)) // as if an owner had just been partitioned
 	}
 	s.cache.OnOtherOwner(now.Add(time.Duration(known.OtherOwnerUntil-clock) * time.Millisecond))
-	next := record{Epoch: s.epoch, Seen: clock, OtherOwnerUntil: max(known.OtherOwnerUntil, s.replicaClock(s.cache.OtherOwnerUntil()))}
-	if known.Epoch != s.epoch {
+	next := record{StoreEpoch: s.storeEpoch, Seen: clock, OtherOwnerUntil: max(known.OtherOwnerUntil, s.replicaClock(s.cache.OtherOwnerUntil()))}
+	if known.StoreEpoch != s.storeEpoch {
 		return next
 	}
 	next.Seen = known.Seen
