--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -24,7 +24,7 @@
 	done chan struct{}
 }
 
-// UnknownHolder represents a holder whose record the service has lost.
+// UnknownHolder represents a holder whose record the key-value service has lost.
 const UnknownHolder request.DaemonID = "?"
 
 // Name returns the held name.
@@ -66,7 +66,7 @@
 // an earlier process of it.
 func (l *Lease) ExpiredHolder() request.DaemonID { return l.expiredHolder }
 
-// Release ends the lease and frees the name. If the service does not respond, the manager frees
+// Release ends the lease and frees the name. If the key-value service does not respond, the manager frees
 // the name later or the session expires.
 func (l *Lease) Release(ctx context.Context) error {
 	l.end()
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// The number of calls to the service grows with holders, not with names.
+// The number of calls to the key-value service grows with holders, not with names.
 func TestCallsDoNotGrowWithNames(t *testing.T) {
 	ctx := context.Background()
 	c := &clock{now: time.Unix(1_700_000_000, 0)}
@@ -192,8 +192,8 @@
 }
 
 // If each daemon that once sent an order or held a partition renewed its session forever, the
-// service's writes would grow with the fleet. A session without held names must end by itself,
-// and a session in use must not.
+// key-value service's writes would grow with the fleet. A session without held names must end by
+// itself, and a session in use must not.
 func TestIdleSessionEnds(t *testing.T) {
 	f := kv.NewFake(time.Now)
 	m := lease.NewManager(lease.Options{
@@ -220,8 +220,8 @@
 	}
 }
 
-// In real time, the manager renews its session, and ends its leases when the service becomes
-// unreachable.
+// In real time, the manager renews its session, and ends its leases when the key-value service
+// becomes unreachable.
 func TestRunRenewsUntilServiceFails(t *testing.T) {
 	f := kv.NewFake(nil)
 	m := lease.NewManager(lease.Options{KV: f.Client("a"), Self: "a", TTL: 600 * time.Millisecond, Margin: 100 * time.Millisecond})
@@ -252,8 +252,8 @@
 	by    int
 }
 
-// leaseMachine runs three processes with correct clocks against one service.
-type leaseMachine struct {
+// stateMachine runs three processes with correct clocks against one key-value service.
+type stateMachine struct {
 	clock      *clock
 	fake       *kv.Fake
 	managers   []*lease.Manager
@@ -261,8 +261,8 @@
 	fault      kv.Fault // of the next write; FaultUnavailable affects reads until then
 }
 
-func newLeaseMachine() *leaseMachine {
-	m := &leaseMachine{clock: &clock{now: time.Unix(1_700_000_000, 0)}, references: map[string]*reference{"x": {}, "y": {}}}
+func newStateMachine() *stateMachine {
+	m := &stateMachine{clock: &clock{now: time.Unix(1_700_000_000, 0)}, references: map[string]*reference{"x": {}, "y": {}}}
 	m.fake = kv.NewFake(m.clock.Now)
 	m.fake.SetHook(func(_ string, write bool, _ string) kv.Fault {
 		fault := m.fault
@@ -280,9 +280,9 @@
 	return m
 }
 
-func (m *leaseMachine) draw(t *rapid.T) int { return rapid.IntRange(0, 2).Draw(t, "process") }
+func (m *stateMachine) draw(t *rapid.T) int { return rapid.IntRange(0, 2).Draw(t, "process") }
 
-func (m *leaseMachine) acquire(t *rapid.T) {
+func (m *stateMachine) acquire(t *rapid.T) {
 	i := m.draw(t)
 	name := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name")
 	d := m.references[name]
@@ -306,30 +306,30 @@
 	*d = reference{epoch: l.Epoch(), lease: l, by: i}
 }
 
-func (m *leaseMachine) release(t *rapid.T) {
+func (m *stateMachine) release(t *rapid.T) {
 	d := m.references[rapid.SampledFrom([]string{"x", "y"}).Draw(t, "name")]
 	if d.lease != nil {
 		_ = d.lease.Release(context.Background())
 	}
 }
 
-func (m *leaseMachine) renew(t *rapid.T) { _ = m.managers[m.draw(t)].Heartbeat(context.Background()) }
+func (m *stateMachine) renew(t *rapid.T) { _ = m.managers[m.draw(t)].Heartbeat(context.Background()) }
 
-func (m *leaseMachine) close(t *rapid.T) { _ = m.managers[m.draw(t)].Close(context.Background()) }
+func (m *stateMachine) close(t *rapid.T) { _ = m.managers[m.draw(t)].Close(context.Background()) }
 
-func (m *leaseMachine) advanceClock(t *rapid.T) {
+func (m *stateMachine) advanceClock(t *rapid.T) {
 	m.clock.now = m.clock.now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 }
 
-func (m *leaseMachine) failNextWrite(t *rapid.T) {
+func (m *stateMachine) failNextWrite(t *rapid.T) {
 	m.fault = rapid.SampledFrom([]kv.Fault{kv.FaultUnavailable, kv.FaultLostAnswer, kv.FaultDelayed}).Draw(t, "fault")
 }
 
-func (m *leaseMachine) deliver(*rapid.T) { m.fake.Deliver(0) }
+func (m *stateMachine) deliver(*rapid.T) { m.fake.Deliver(0) }
 
 // checkNotStuck checks that a process can acquire every name within one TTL if there are no
 // faults and the other processes are inactive.
-func (m *leaseMachine) checkNotStuck(t *rapid.T) {
+func (m *stateMachine) checkNotStuck(t *rapid.T) {
 	m.fault = kv.FaultNone
 	for m.fake.Deliver(0) {
 	}
@@ -350,7 +350,7 @@
 
 // checkHandover checks that a name that no process holds can be acquired while the sessions of
 // all processes stay alive. It waits until sessions whose revocation failed have expired.
-func (m *leaseMachine) checkHandover(t *rapid.T) {
+func (m *stateMachine) checkHandover(t *rapid.T) {
 	m.fault = kv.FaultNone
 	for m.fake.Deliver(0) {
 	}
@@ -382,10 +382,11 @@
 	}
 }
 
-// Checks exclusive possession under rising epochs with lost, delayed and failed writes.
+// The managers of three processes are compared with a reference model while writes are lost, delayed and
+// fail: at most one process may hold a name, and the epochs of a name must rise.
 func TestLeaseAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newLeaseMachine()
+		m := newStateMachine()
 		t.Repeat(map[string]func(*rapid.T){
 			"acquire": m.acquire, "acquire2": m.acquire, "acquire3": m.acquire, "release": m.release,
 			"beat": m.renew, "beat2": m.renew, "close": m.close, "pass": m.advanceClock, "pass2": m.advanceClock,
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -35,7 +35,7 @@
 	// WaitAfterTakeover is how long MayAct returns false for the new holder of a name that was
 	// not released. It must be at least the longest order timeout.
 	WaitAfterTakeover time.Duration
-	// Restored returns when this process detected that the service was restored from a backup,
+	// Restored returns when this process detected that the key-value service was restored from a backup,
 	// which may lack the last writes, and whether a restore happened; nil: never.
 	Restored func() (at time.Time, ok bool)
 	Now      func() time.Time // nil: time.Now, whose times include a monotonic reading
@@ -53,7 +53,7 @@
 	mu             sync.Mutex
 	session        *session // nil: none
 	held           map[string]*Lease
-	unsettled      map[string]platform.Revision  // names whose record may wrongly refer to this session, with the revision that the unanswered write expected
+	unresolved     map[string]platform.Revision  // names whose record may wrongly refer to this session, with the revision that the write without a response expected
 	formerSessions map[platform.LeaseID]struct{} // earlier sessions of this process that have ended
 	idleHeartbeats int                           // consecutive heartbeats without a held name
 }
@@ -83,7 +83,7 @@
 	return &Manager{
 		opts:           opts,
 		held:           map[string]*Lease{},
-		unsettled:      map[string]platform.Revision{},
+		unresolved:     map[string]platform.Revision{},
 		formerSessions: map[platform.LeaseID]struct{}{},
 	}
 }
@@ -139,8 +139,8 @@
 }
 
 // Acquire acquires a name. It returns a HeldError if another process holds the name, and
-// ErrUnavailable if the service did not settle the call. For a name that this process holds,
-// it returns the existing lease.
+// ErrUnavailable if the key-value service gave no definite response. For a name that this process
+// holds, it returns the existing lease.
 func (m *Manager) Acquire(ctx context.Context, name string) (*Lease, error) {
 	m.acquireMu.Lock()
 	defer m.acquireMu.Unlock()
@@ -165,13 +165,13 @@
 	return m.claim(ctx, name, s, current, revision, takeover)
 }
 
-// checkRestoreWait refuses claims for one TTL after a restore of the service. The backup may lack
+// checkRestoreWait refuses claims for one TTL after a restore of the key-value service. The backup may lack
 // a lease whose holder has not detected the restore and still relies on the lease. The holder's
 // last renewal was before the restore.
 func (m *Manager) checkRestoreWait() error {
 	at, ok := m.opts.Restored()
 	if wait := m.opts.TTL - m.opts.Now().Sub(at); ok && wait > 0 {
-		return errors.Mark(errors.Newf("lease: the service was restored from a backup; claims must wait for %s", wait), ErrUnavailable)
+		return errors.Mark(errors.Newf("lease: the key-value service was restored from a backup; claims must wait for %s", wait), ErrUnavailable)
 	}
 	return nil
 }
@@ -244,12 +244,12 @@
 		return nil, heldBy(conflict)
 	}
 	if err != nil {
-		m.unsettle(name, revision)
+		m.markUnresolved(name, revision)
 		return nil, errors.Mark(err, ErrUnavailable)
 	}
 	if got.Era() != s.revision.Era() {
-		// The service was restored from a backup that lacks the session.
-		return nil, errors.Mark(errors.New("lease: the service was restored between the start of the session and the claim"), ErrUnavailable)
+		// The key-value service was restored from a backup that lacks the session.
+		return nil, errors.Mark(errors.New("lease: the key-value service was restored between the start of the session and the claim"), ErrUnavailable)
 	}
 	l := &Lease{manager: m, name: name, epoch: next.Epoch, session: s, revision: got, done: make(chan struct{})}
 	recordLost := m.mayHaveLostRecord(s, current)
@@ -263,8 +263,8 @@
 	return l, m.addLease(l)
 }
 
-// mayHaveLostRecord reports whether the service may have lost the record of a later holder. This
-// is the case if the service was restored and no process has claimed the name since. The era of
+// mayHaveLostRecord reports whether the key-value service may have lost the record of a later holder.
+// This is the case if the service was restored and no process has claimed the name since. The era of
 // the record is derived from its epoch, because restored entries have revisions of the new era.
 func (m *Manager) mayHaveLostRecord(s *session, r record) bool {
 	_, restored := m.opts.Restored()
@@ -280,7 +280,7 @@
 		return ErrUnavailable
 	}
 	m.held[l.name] = l
-	delete(m.unsettled, l.name)
+	delete(m.unresolved, l.name)
 	m.opts.Metrics.Counter("acquired").Inc(1)
 	m.opts.Logger.Info("The manager acquired a lease", "name", l.name, "epoch", l.epoch)
 	return nil
@@ -299,7 +299,7 @@
 	ours := m.held[l.name] == l
 	if ours {
 		delete(m.held, l.name)
-		m.unsettled[l.name] = l.revision
+		m.unresolved[l.name] = l.revision
 	}
 	m.mu.Unlock()
 	if !ours {
@@ -312,12 +312,12 @@
 	case err == nil:
 	case errors.As(err, &conflict):
 		if isHeldBy(conflict.Current, l.session.id) {
-			return nil // still unsettled: the next heartbeat frees it
+			return nil // the name stays unresolved: the next heartbeat frees it
 		}
 	default:
 		return errors.Mark(err, ErrUnavailable)
 	}
-	m.settle(l.name)
+	m.resolve(l.name)
 	return nil
 }
 
@@ -327,48 +327,49 @@
 	return err == nil && r.Session == session
 }
 
-func (m *Manager) unsettle(name string, expected platform.Revision) {
+func (m *Manager) markUnresolved(name string, expected platform.Revision) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.unsettled[name] = expected
+	m.unresolved[name] = expected
 }
 
-func (m *Manager) settle(name string) {
+func (m *Manager) resolve(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.unsettled, name)
+	delete(m.unresolved, name)
 }
 
-// repairUnsettled frees names whose records may still refer to this session after a write with
-// unknown outcome. No other process could ever acquire them, because the session stays alive.
-func (m *Manager) repairUnsettled(ctx context.Context) {
+// repairUnresolved frees names whose records may still refer to this session after a write with
+// unknown outcome. Otherwise no process could acquire them while this session is alive.
+func (m *Manager) repairUnresolved(ctx context.Context) {
 	m.acquireMu.Lock()
 	defer m.acquireMu.Unlock()
 	s := m.current()
-	for _, u := range m.unsettledNames() {
+	for _, u := range m.unresolvedNames() {
 		if s == nil || m.repair(ctx, s, u) != nil {
 			return
 		}
 	}
 }
 
-// unsettledName is a name and the revision that its unsettled write expected.
-type unsettledName struct {
+// unresolvedName is a name whose last write has an unknown outcome, and the revision that the write
+// expected.
+type unresolvedName struct {
 	name     string
 	expected platform.Revision
 }
 
-// repair settles one name. A record at the expected revision is written again even if it is free,
+// repair resolves one name. A record at the expected revision is written again even if it is free,
 // so that a delayed write can't succeed later. A record at another revision that refers to another
 // session is not written, because a write would change the revision that its holder expects.
-func (m *Manager) repair(ctx context.Context, s *session, u unsettledName) error {
+func (m *Manager) repair(ctx context.Context, s *session, u unresolvedName) error {
 	r, revision, err := m.read(ctx, u.name)
 	if err != nil {
 		return err
 	}
 	ours := r.Session == s.id
 	if !ours && revision != u.expected {
-		m.settle(u.name)
+		m.resolve(u.name)
 		return nil
 	}
 	if ours {
@@ -376,17 +377,17 @@
 	}
 	_, err = m.opts.KV.CompareAndSwap(ctx, recordPrefix+u.name, revision, r.encode(), "")
 	if err == nil {
-		m.settle(u.name)
+		m.resolve(u.name)
 	}
 	return err
 }
 
-func (m *Manager) unsettledNames() []unsettledName {
+func (m *Manager) unresolvedNames() []unresolvedName {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var out []unsettledName
-	for _, name := range sortedKeys(m.unsettled) {
-		out = append(out, unsettledName{name: name, expected: m.unsettled[name]})
+	var out []unresolvedName
+	for _, name := range sortedKeys(m.unresolved) {
+		out = append(out, unresolvedName{name: name, expected: m.unresolved[name]})
 	}
 	return out
 }
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -42,8 +42,8 @@
 	// ErrHeld reports that another process holds the name. errors.As with *HeldError returns
 	// the holder.
 	ErrHeld = errors.New("lease: held by another process")
-	// ErrUnavailable reports that the key-value service did not settle the call, whose outcome
-	// may be unknown.
+	// ErrUnavailable reports that the key-value service gave no definite response. The call may or
+	// may not have taken effect.
 	ErrUnavailable = errors.New("lease: key-value service unavailable")
 )
 
@@ -111,7 +111,7 @@
 }
 
 // validity determines until when a session is valid. It counts from the time at which the last
-// successful call was sent, because the service counts from that time or later.
+// successful call was sent, because the key-value service counts from that time or later.
 type validity struct {
 	sent   time.Time
 	ttl    time.Duration
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -26,9 +26,9 @@
 	return s.validity.remaining(now)
 }
 
-// minEpoch returns the lowest epoch of a lease under the session. A record that the service lost
-// may have had any epoch of an earlier era. The epochs of an era begin above all of these,
-// whatever the restored record contains.
+// minEpoch returns the lowest epoch of a lease under the session. A record that the key-value
+// service lost may have had any epoch of an earlier era. The epochs of an era begin above all of
+// these, whatever the restored record contains.
 func (s *session) minEpoch() uint64 { return uint64(platform.NewRevision(s.revision.Era(), 0)) }
 
 // recordRenewal records a successful keep-alive and the time at which it was sent.
@@ -46,7 +46,7 @@
 	if err := m.renew(ctx); err != nil {
 		return err
 	}
-	m.repairUnsettled(ctx)
+	m.repairUnresolved(ctx)
 	return nil
 }
 
@@ -94,8 +94,8 @@
 }
 
 // CheckDeadline ends the session and its leases if the session was not renewed in time, even if
-// the service still has it. A holder that missed the deadline must acquire its names again, under
-// higher epochs.
+// the key-value service still has it. A holder that missed the deadline must acquire its names
+// again, under higher epochs.
 func (m *Manager) CheckDeadline() {
 	s := m.current()
 	if s != nil && s.remaining(m.opts.Now()) <= 0 {
@@ -114,10 +114,11 @@
 const maxIdleHeartbeats = 2 * heartbeatsPerTTL
 
 // closeIfIdle ends a session under which no name has been held for maxIdleHeartbeats, and reports
-// whether there is no session to renew. The number of calls to the service therefore grows with
-// the holders of names and not with all processes. The next Acquire starts a new session.
+// whether there is no session to renew. The number of calls to the key-value service therefore
+// grows with the holders of names and not with all processes. The next Acquire starts a new
+// session.
 //
-// closeIfIdle does not wait for a running claim. With a slow service, waiting would delay the
+// closeIfIdle does not wait for a running claim. With a slow key-value service, waiting would delay the
 // renewal until the held leases expire.
 func (m *Manager) closeIfIdle(ctx context.Context) bool {
 	if !m.acquireMu.TryLock() {
@@ -125,7 +126,7 @@
 	}
 	defer m.acquireMu.Unlock()
 	m.mu.Lock()
-	used := len(m.held)+len(m.unsettled) > 0
+	used := len(m.held)+len(m.unresolved) > 0
 	none := m.session == nil
 	m.idleHeartbeats++
 	if used {
@@ -159,7 +160,7 @@
 	}
 	m.session = nil
 	m.formerSessions[s.id] = struct{}{}
-	clear(m.unsettled)
+	clear(m.unresolved)
 	for name, l := range m.held {
 		l.end()
 		delete(m.held, name)
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -23,7 +23,7 @@
 func (m *Manager) State() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := State{Unresolved: sortedKeys(m.unsettled)}
+	out := State{Unresolved: sortedKeys(m.unresolved)}
 	if m.session != nil {
 		out.Session = string(m.session.id)
 		out.Remaining = m.session.remaining(m.opts.Now()).Round(time.Millisecond).String()
