--- a/internal/weights/controller.go
+++ b/internal/weights/controller.go
@@ -142,7 +142,7 @@
 	orderedAt     map[request.TargetID]time.Time // when a replica was last ordered to load
 	announcedAt   map[request.TargetID]time.Time // when a replica was last announced as busy
 
-	plan           *plan                          // set while the lease is held
+	orderRecord    *orderRecord                   // set while the lease is held
 	inheritedUntil map[request.TargetID]time.Time // until when orders of the previous holder may be pending
 
 	stopping atomic.Bool
@@ -310,20 +310,20 @@
 	return c.startTerm(ctx, now, l)
 }
 
-// startTerm takes over the plan and initializes the state of a new term as lease holder.
+// startTerm takes over the order record and initializes the state of a new term as lease holder.
 func (c *Controller) startTerm(ctx context.Context, now time.Time, l *lease.Lease) bool {
-	p, err := takeOverPlan(ctx, c.o.KV, l.Epoch())
+	p, err := takeOverRecord(ctx, c.o.KV, l.Epoch())
 	if err != nil {
-		c.o.Logger.Warn("Failed to take over the plan of the previous lease holder", "error", err)
+		c.o.Logger.Warn("Failed to take over the order record of the previous lease holder", "error", err)
 		return false
 	}
-	c.lease, c.plan, c.rollouts = l, p, map[request.Model]*rollout.Rollout{}
+	c.lease, c.orderRecord, c.rollouts = l, p, map[request.Model]*rollout.Rollout{}
 	c.inheritedUntil = map[request.TargetID]time.Time{}
 	for _, id := range p.Ordered {
 		c.inheritedUntil[id] = now.Add(c.o.OrderLease)
 	}
 	if l.ExpiredHolder() == lease.UnknownHolder {
-		// The plan of the previous holder may be lost: any replica may have a pending order.
+		// The order record of the previous holder may be lost: any replica may have a pending order.
 		for _, r := range c.o.Set.All() {
 			c.inheritedUntil[r.Info().ID] = now.Add(c.o.OrderLease)
 		}
--- a/internal/weights/orders.go
+++ b/internal/weights/orders.go
@@ -57,8 +57,8 @@
 		return
 	}
 	if err := c.recordOrders(ctx, orders); err != nil {
-		c.o.Logger.Warn("Sent no orders because the plan could not be written", "error", err)
-		c.lease = nil // the next acquisition reads the stored plan again
+		c.o.Logger.Warn("Sent no orders because the order record could not be written", "error", err)
+		c.lease = nil // the next acquisition reads the stored order record again
 		return
 	}
 	for _, a := range orders {
@@ -66,8 +66,8 @@
 	}
 }
 
-// recordOrders adds replicas to the plan before they are ordered. It drops those whose last order,
-// from this holder or the previous one, can no longer be pending.
+// recordOrders adds replicas to the order record before they are ordered to load. It drops those
+// whose last order, from this holder or the previous one, can no longer be pending.
 func (c *Controller) recordOrders(ctx context.Context, orders []rollout.Order) error {
 	now := time.Now()
 	for _, a := range orders {
@@ -87,7 +87,7 @@
 		}
 	}
 	slices.Sort(ids)
-	return c.plan.replaceOrdered(ctx, c.o.KV, ids)
+	return c.orderRecord.replaceReplicas(ctx, c.o.KV, ids)
 }
 
 // longestOutdated returns the longest time that a replica has served weights that were replaced.
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// The lease holder dies just after it recorded two replicas in the plan and may have ordered them.
+// The lease holder dies just after it recorded two replicas and may have ordered them.
 // The next holder must wait before it orders these two, since a replica must not receive orders
 // from two holders. It must order all others at once, or the rollout would be late.
 func TestNextHolderDelaysOrdersOfPreviousHolder(t *testing.T) {
@@ -167,7 +167,7 @@
 	if !first.ensureLease(ctx, time.Now(), true) {
 		t.Fatal("the first controller did not acquire the lease")
 	}
-	if err := first.plan.replaceOrdered(ctx, first.o.KV, []request.TargetID{"r0", "r1"}); err != nil {
+	if err := first.orderRecord.replaceReplicas(ctx, first.o.KV, []request.TargetID{"r0", "r1"}); err != nil {
 		t.Fatal(err)
 	}
 	if err := first.lease.Release(ctx); err != nil { // stands in for its expiry
@@ -191,8 +191,8 @@
 	reconcileUntil(t, fleet, second, 2)
 
 	// The previous holder resumes. Its write must fail, which keeps it from sending orders.
-	if err := first.plan.replaceOrdered(ctx, first.o.KV, []request.TargetID{"r3"}); !errors.Is(err, errPlanLost) {
-		t.Errorf("the previous holder wrote the plan: %v", err)
+	if err := first.orderRecord.replaceReplicas(ctx, first.o.KV, []request.TargetID{"r3"}); !errors.Is(err, errRecordTakenOver) {
+		t.Errorf("the previous holder wrote the order record: %v", err)
 	}
 }
 
@@ -216,7 +216,8 @@
 	}
 }
 
-// A late rollout makes more replicas unavailable at once.
+// A late rollout makes more replicas unavailable at once: the old weights may soon no longer be used, and
+// from then on a replica that serves them is useless.
 func TestLateRolloutRaisesUnavailableShare(t *testing.T) {
 	if !(unavailableShareAt(0) < unavailableShareAt(lateAfter+1) && unavailableShareAt(lateAfter+1) < unavailableShareAt(veryLateAfter+1)) {
 		t.Error("the shares do not grow")
