--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -21,8 +21,9 @@
 		"why", a.placement.Reason, "error", a.err, "retry_after_ms", a.meta.RetryAfter.Milliseconds(), "after_ms", sinceMs(j.Start))
 }
 
-// logAnswered records the latency of a delivered response and logs it.
-func (s *Server) logAnswered(j *Job, a *attempt, k *sink, how string) {
+// logAnswered records the latency of a delivered response and logs it. delivery is "stream" for a stream
+// of events, "whole" for a buffered response, and "long" for a response that was not buffered.
+func (s *Server) logAnswered(j *Job, a *attempt, k *sink, delivery string) {
 	s.o.Metrics.Counter("answered").Inc(1)
 	took := time.Since(j.Start)
 	first := took
@@ -34,7 +35,7 @@
 	if !s.o.Logger.IsInfo() {
 		return
 	}
-	args := []any{"request", j.ID, "route", j.Route.Name, "how", how, "status", a.response.Status, "replica", a.placement.Meta.Replica,
+	args := []any{"request", j.ID, "route", j.Route.Name, "how", delivery, "status", a.response.Status, "replica", a.placement.Meta.Replica,
 		"why", a.placement.Reason, "after_ms", sinceMs(j.Start)}
 	if cause := lateCause(j, a, k, first); cause != "" {
 		args = append(args, "late", cause)
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -7,10 +7,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/replicas"
 )
 
-// applySignals applies the leaving, backoff and rate limit headers of a response to the replica. A
-// replica that neither signed its response nor turned the request away may be faulty, so the absence
-// of a header in it does not lift a limit. A misdirected response comes from another replica
-// at the same address and is ignored.
+// applySignals applies the leaving, Retry-After and rate limit headers of a response to the replica. A
+// replica that neither signed its response nor stated that it did not run the request may be faulty, so
+// a response of it without the rate limit header does not lift a limit. A misdirected response comes
+// from another replica at the same address and is ignored.
 func (s *Server) applySignals(a *attempt) {
 	r := a.placement.Replica
 	if a.response.Status == http.StatusMisdirectedRequest {
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -42,7 +42,7 @@
 	LastEventID string // set when the relay itself resumes a stream
 	Weights     uint64 // weight version that the replica must serve; zero: any
 	CacheSalt   string
-	// FetchFrom and SaveTo hold a store address for each part, empty for none.
+	// FetchFrom and SaveTo hold a context store's address for each part, empty for none.
 	FetchFrom  []string
 	SaveTo     []string
 	FetchUntil int64 // replicas' clock, ms; a fetch that ends later is discarded
--- a/internal/replicas/cold.go
+++ b/internal/replicas/cold.go
@@ -7,7 +7,8 @@
 	"github.com/bluebellscale/bluebellscale/internal/routing"
 )
 
-// Cold reports whether the replica accepts few requests because it has just started, or may have.
+// Cold reports whether the replica is cold: for some time after its start, actual or assumed, a replica
+// accepts few requests.
 func (r *Replica) Cold(now time.Time) bool { return r.cold.After(now) }
 
 // AssumeCold records that the replica may have just started. The registry shows a start only seconds
--- a/internal/suspect/pages.go
+++ b/internal/suspect/pages.go
@@ -12,7 +12,7 @@
 )
 
 // maxPageRecords bounds the crash records in a stored page: 2,000 records of about 200 bytes stay
-// well below the service's size limit. The records that expire first are dropped.
+// well below the key-value service's limit on values. The records that expire first are dropped.
 const maxPageRecords = 2000
 
 // pageKey returns the key of the page that holds a fingerprint. Pages are divided by the first digit
