--- a/internal/kvapi/kvapi.go
+++ b/internal/kvapi/kvapi.go
@@ -15,7 +15,7 @@
 // MaxValue is the maximum size of a value in bytes.
 const MaxValue = 1 << 20
 
-// Paths of the service's endpoints.
+// Paths of the key-value service's endpoints.
 const (
 	PathGet       = "/v1/get"
 	PathList      = "/v1/list"
@@ -26,8 +26,8 @@
 	PathWatch     = "/v1/watch"
 )
 
-// Entry is a key with its value. Revision increases with every write to the service;
-// a deleted key has Deleted set and no value.
+// Entry is a key with its value. Revision increases with every write to the key-value service; a
+// deleted key has Deleted set and no value.
 type Entry struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
--- a/internal/mirror/fleet_test.go
+++ b/internal/mirror/fleet_test.go
@@ -25,8 +25,8 @@
 )
 
 // The model has many daemons and one service and runs in synthetic time. Each daemon has a small
-// link, which carries traffic from the service and from and to peers, and its own faults on calls
-// to the service. Data sizes and bandwidths are an eighth of those in production, so that
+// link, which carries traffic from the key-value service and from and to peers, and its own faults
+// on calls to the service. Data sizes and bandwidths are an eighth of those in production, so that
 // transfers take the same time.
 const (
 	fleetDaemons        = 100
@@ -42,7 +42,7 @@
 	fleetCallTimeout    = 1500 * time.Millisecond // of a call without a response
 )
 
-// faultKind is a kind of fault of calls to the service.
+// faultKind is a kind of fault of calls to the key-value service.
 type faultKind string
 
 const (
@@ -126,7 +126,7 @@
 	return events, s.revision, s.changed, nil
 }
 
-// modelDaemon is a daemon and its client of the service.
+// modelDaemon is a daemon and its client of the key-value service.
 type modelDaemon struct {
 	platform.KV // nil: a Follower calls List and Watch only
 	service     *modelService
@@ -140,7 +140,7 @@
 	applied     platform.Revision // of the applied desired state
 	reverted    bool
 	relays      RelayTracker
-	watches     func() bool // whether this daemon watches the service
+	watches     func() bool // whether this daemon watches the key-value service
 }
 
 func (d *modelDaemon) apply(u Update) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// call simulates a call to the service until its response begins.
+// call simulates a call to the key-value service until its response begins.
 func (d *modelDaemon) call(ctx context.Context) error {
 	kind, now := faultNone, time.Since(d.start)
 	for _, f := range d.faults {
@@ -181,7 +181,7 @@
 	}
 }
 
-// receive waits as long as the link needs to transfer entries in the service's encoding.
+// receive waits as long as the link needs to transfer entries in the key-value service's encoding.
 func (d *modelDaemon) receive(ctx context.Context, entries []platform.Entry) error {
 	for _, e := range entries {
 		for left := len(e.Value)*4/3 + 100; left > 0; left -= d.down.Burst() {
@@ -284,7 +284,7 @@
 	return n, err
 }
 
-// modelFleet is the service and all daemons.
+// modelFleet is the key-value service and all daemons.
 type modelFleet struct {
 	service *modelService
 	daemons []*modelDaemon
@@ -334,7 +334,8 @@
 	}
 }
 
-// report sends one daemon's revisions to another, and whether the sender watches the service.
+// report sends one daemon's revisions to another, and whether the sender watches the key-value
+// service.
 func (f *modelFleet) report(ctx context.Context, from, to int) {
 	f.daemons[to].group.HandleRevisions(ctx, address(from), f.daemons[from].group.Revisions())
 	if f.daemons[from].watches() {
@@ -364,8 +365,8 @@
 	return b.Bytes()
 }
 
-// Operators write large desired states in quick succession. Meanwhile the service refuses some
-// daemons, is silent or slow to others, fails every second call, and compacts its history. All
+// Operators write large desired states in quick succession. Meanwhile the key-value service refuses
+// some daemons, is silent or slow to others, fails every second call, and compacts its history. All
 // daemons can reach their peers, so each state must be applied on every daemon within the bound,
 // and no daemon may revert to an older state.
 //
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -68,7 +68,7 @@
 	listingSince time.Time // start of the running listing; zero: none runs
 }
 
-// State describes a follower's connection to the service.
+// State describes a follower's connection to the key-value service.
 type State struct {
 	Connected  bool  `json:"connected"`            // the last call succeeded
 	FailingFor int64 `json:"failing_ms,omitempty"` // milliseconds in which no call succeeded
@@ -102,14 +102,14 @@
 	return m
 }
 
-// Connected reports whether the last call succeeded, which means that the copies are as new as
-// the service's responses.
+// Connected reports whether the last call succeeded, which means that the copies are as new as the
+// key-value service's responses.
 func (f *Follower) Connected() bool { return f.connected.Load() }
 
-// Watching reports whether the follower receives changes from the service itself.
+// Watching reports whether the follower receives changes from the key-value service itself.
 func (f *Follower) Watching() bool { return f.watching.Load() }
 
-// State returns the state of the follower's connection to the service.
+// State returns the state of the follower's connection to the key-value service.
 func (f *Follower) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,9 +133,9 @@
 	}
 }
 
-// ServiceRestored notifies the follower that the service was restored from a backup. The
-// follower lists all keys again and treats missing entries as possibly lost while their owners
-// are alive.
+// ServiceRestored notifies the follower that the key-value service was restored from a backup. The
+// follower lists all keys again and treats missing entries as possibly lost while their owners are
+// alive.
 func (f *Follower) ServiceRestored() {
 	f.mu.Lock()
 	f.recovering = true
@@ -144,7 +144,7 @@
 	f.Refresh()
 }
 
-// Run lists and watches the service until ctx ends.
+// Run lists and watches the key-value service until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		at, err := f.list(ctx)
@@ -237,9 +237,9 @@
 	return next, nil
 }
 
-// waitWhileRelayed blocks without calls to the service while peers relay all changes. The next
-// watch continues from the revision of the last one; merging skips changes that peers delivered
-// in the meantime.
+// waitWhileRelayed blocks without calls to the key-value service while peers relay all changes. The
+// next watch continues from the revision of the last one; merging skips changes that peers
+// delivered in the meantime.
 func (f *Follower) waitWhileRelayed(ctx context.Context) error {
 	f.watching.Store(false)
 	tick := time.NewTicker(relayCheckInterval)
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -143,9 +143,9 @@
 	return c
 }
 
-// changesSince returns the changes after revision, removals included, and whether they are
-// complete. Removals before this mirror's first listing are unknown.
-func (m *Mirror) changesSince(revision platform.Revision) (c content, all bool) {
+// changesSince returns the changes after revision, removals included. ok is false if removals after
+// revision may be unknown, as are those before this mirror's first listing.
+func (m *Mirror) changesSince(revision platform.Revision) (c content, ok bool) {
 	c = content{afterOutage: m.afterOutage()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -186,12 +186,12 @@
 func (m *Mirror) Newest() platform.Revision { return platform.Revision(m.applied.Load()) }
 
 // hasApplied reports whether the change with the given revision is applied here. It relies on the
-// received changes and not on the revision up to which the service claims completeness, because
-// reports of peers serve as a check on that claim.
+// received changes and not on the revision up to which the key-value service claims completeness,
+// because reports of peers serve as a check on that claim.
 func (m *Mirror) hasApplied(revision platform.Revision) bool { return revision <= m.Newest() }
 
 // completeUpTo returns the revision up to which all changes are known, according to both the
-// service and the received changes.
+// key-value service and the received changes.
 func (m *Mirror) completeUpTo() platform.Revision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// The service compacts its history while one key is removed and another written. A watch that
-// continued from its old revision would miss both changes.
+// The key-value service compacts its history while one key is removed and another written. A
+// watch that continued from its old revision would miss both changes.
 func TestMirrorRelistsAfterCompaction(t *testing.T) {
 	store := &faultyKV{KV: kv.NewFake(time.Now).Client("a")}
 	put(t, store, "p/1", "one")
@@ -214,9 +214,9 @@
 	return NewGroup(GroupOptions{Client: http.DefaultClient, Mirrors: mirrors})
 }
 
-// The service refuses one daemon and serves the others. If an operator revokes a caller's key,
-// this daemon would accept the key for as long as the service refuses the daemon. It must fetch
-// the change from a peer that has it.
+// The key-value service refuses one daemon and serves the others. If an operator revokes a
+// caller's key, this daemon would accept the key for as long as the service refuses the daemon.
+// It must fetch the change from a peer that has it.
 func TestDaemonRefusedByServiceFetchesFromPeer(t *testing.T) {
 	fake := kv.NewFake(time.Now)
 	serving, refused := &faultyKV{KV: fake.Client("a")}, &faultyKV{KV: fake.Client("b")}
@@ -244,14 +244,15 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 
-	// A delayed change from the service is older than the fetched copy and has no effect.
+	// A delayed change from the key-value service is older than the fetched copy and has no
+	// effect.
 	behind.mirror.applyChanges([]platform.Entry{{Key: "p/1", Value: []byte("old"), Revision: 1}}, 1, false)
 	if got := c.get("p/1"); got != "new" {
 		t.Errorf("the copy reverted to %q", got)
 	}
 }
 
-// blockingWatch blocks in Watch until a change or the timeout, as the service does.
+// blockingWatch blocks in Watch until a change or the timeout, as the key-value service does.
 type blockingWatch struct{ *faultyKV }
 
 func (s blockingWatch) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]platform.Entry, platform.Revision, error) {
@@ -263,10 +264,10 @@
 	}
 }
 
-// The service refuses one daemon for a while. Some seconds after it accepts the daemon again, a
-// replica terminates and its entry is removed, while the daemon's first watch after the outage is
-// still blocked. If the end of that watch counted as the end of the outage, the removal would
-// count as an expiry, and the daemon would use the replica for too long.
+// The key-value service refuses one daemon for a while. Some seconds after it accepts the daemon
+// again, a replica terminates and its entry is removed, while the daemon's first watch after the
+// outage is still blocked. If the end of that watch counted as the end of the outage, the removal
+// would count as an expiry, and the daemon would use the replica for too long.
 func TestRemovalLongAfterOutageIsNotExpiry(t *testing.T) {
 	store := &faultyKV{KV: kv.NewFake(time.Now).Client("a")}
 	put(t, store, "p/1", "one")
@@ -316,9 +317,9 @@
 	return entries, at, err
 }
 
-// A daemon lists again while the service is slow, and a page of the hundreds of replicas fails
-// each time. The desired state is a single key and must be applied at once. In a single listing
-// of all keys, it would wait for the replicas' pages.
+// A daemon lists again while the key-value service is slow, and a page of the hundreds of
+// replicas fails each time. The desired state is a single key and must be applied at once. In a
+// single listing of all keys, it would wait for the replicas' pages.
 func TestDesiredStateDoesNotWaitForReplicas(t *testing.T) {
 	store := kv.NewFake(time.Now).Client("a")
 	put(t, store, "op/state", "new")
--- a/internal/mirror/relays.go
+++ b/internal/mirror/relays.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// watcherTTL is how long a peer's report that it watches the service stays valid. Daemons repeat
-// the report more than twice within it.
+// watcherTTL is how long a peer's report that it watches the key-value service stays valid.
+// Daemons repeat the report more than twice within it.
 const watcherTTL = time.Second
 
-// RelayTracker tracks whether a peer watches the service, which lets a daemon do without a watch.
+// RelayTracker tracks whether a peer watches the key-value service, which lets a daemon do
+// without a watch.
 //
 // Each change costs one call for each watching daemon. Therefore only a few daemons of a group
 // watch and relay changes to the others. These few may die, stall, or be partitioned from the
@@ -22,7 +23,7 @@
 	lastReport time.Time // last report of a watching peer
 }
 
-// RecordWatcher records a peer's report that it watches the service successfully.
+// RecordWatcher records a peer's report that it watches the key-value service successfully.
 func (r *RelayTracker) RecordWatcher(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/mirror/relays_test.go
+++ b/internal/mirror/relays_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// While peers watch, a daemon sends no calls to the service. When they fall silent, it continues
-// from its last revision.
+// While peers watch, a daemon sends no calls to the key-value service. When they fall silent, it
+// continues from its last revision.
 func TestRelayedDaemonSendsNoCalls(t *testing.T) {
 	kv := newModelService()
 	counted := &countedWatches{faultlessKV{kv}, sync.Mutex{}, 0}
@@ -151,9 +151,9 @@
 	return &Mirror{prefix: "a/", apply: func(Update) {}, afterOutage: func() bool { return false }, entries: map[string]platform.Entry{}}
 }
 
-// After a restore of the service, a peer that has not detected it still reports and serves
-// revisions of the previous era with higher sequence numbers. Neither may count as newer. Reports
-// of the current era must be accepted.
+// After a restore of the key-value service, a peer that has not detected it still reports and
+// serves revisions of the previous era with higher sequence numbers. Neither may count as newer.
+// Reports of the current era must be accepted.
 func TestCopiesOfEarlierEraAreRejected(t *testing.T) {
 	m := testMirror()
 	before, after := platform.NewRevision(1, 900), platform.NewRevision(2, 480)
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -27,7 +27,7 @@
 // Options configures a Client.
 type Options struct {
 	Addresses       []string      // host:port with an IP address as host; tried in turn
-	ClientID        string        // identifies this daemon in the service's statistics
+	ClientID        string        // identifies this daemon in the key-value service's statistics
 	Timeout         time.Duration // of one attempt; zero: 1 s
 	ReadsPerSecond  float64       // call budget; zero: unlimited
 	WritesPerSecond float64       // call budget; zero: unlimited
@@ -82,7 +82,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1)
 }
 
-// Health returns the health of the service, derived from recent calls.
+// Health returns the health of the key-value service, derived from recent calls.
 func (c *Client) Health() Health { return c.health.health() }
 
 // Close closes idle connections.
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -214,8 +214,8 @@
 	}
 }
 
-// The service receives writes but sends no response before the deadline: their outcome is unknown.
-// If the connection is refused, the write certainly had no effect.
+// The key-value service receives writes but sends no response before the deadline: their outcome is
+// unknown. If the connection is refused, the write certainly had no effect.
 func TestOutageOfWrites(t *testing.T) {
 	s, addr := newFaultyServer(t)
 	c := newClient(t, "one", addr)
@@ -302,8 +302,8 @@
 	}
 }
 
-// A write that the service refuses for its rate limit certainly had no effect. The VM list is
-// returned unchanged.
+// A write that the key-value service refuses for its rate limit certainly had no effect. The VM list
+// is returned unchanged.
 func TestRateLimitAndVMList(t *testing.T) {
 	ctx := testContext(t)
 	limited := httptest.NewServer(kv.NewServer(kv.Options{WritesPerSecond: 0.001}))
--- a/internal/platform/envelope.go
+++ b/internal/platform/envelope.go
@@ -26,10 +26,10 @@
 	EnvelopeOverhead = 4 + 1 + 16 + historyLength*envelopeEntrySize
 )
 
-// envelope wraps a value with the identities of its write and of earlier writes. If the service's
-// response to a write is lost, the writer uses these identities to determine whether the write took
-// effect. This works even after another writer has replaced the value, because each writer copies
-// the identities of the writes that it replaces.
+// envelope wraps a value with the identities of its write and of earlier writes. If the key-value
+// service's response to a write is lost, the writer uses these identities to determine whether the
+// write took effect. This works even after another writer has replaced the value, because each writer
+// copies the identities of the writes that it replaces.
 type envelope struct {
 	id      writeID
 	history []historyEntry // newest first
--- a/internal/platform/envelope_test.go
+++ b/internal/platform/envelope_test.go
@@ -8,9 +8,9 @@
 	_ "github.com/bluebellscale/bluebellscale/internal/testseed" // the same seeds in each run
 )
 
-// register models one key of the service.
+// register models one key of the key-value service.
 type register struct {
-	revision Revision // latest revision of the service
+	revision Revision // latest revision of the key-value service
 	at       Revision // revision of the key; zero: absent
 	current  envelope
 }
--- a/internal/platform/health.go
+++ b/internal/platform/health.go
@@ -11,8 +11,8 @@
 	healthDownAfter = 3  // consecutive failed calls
 )
 
-// healthTracker derives the health of the service from recent calls. A single failure does not
-// count as an outage and a single late response does not count as slowness.
+// healthTracker derives the health of the key-value service from recent calls. A single
+// failure does not count as an outage and a single late response does not count as slowness.
 type healthTracker struct {
 	slowAfter time.Duration
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -23,10 +23,11 @@
 // NewRevision returns the revision with the given number in an era.
 func NewRevision(era, number uint64) Revision { return Revision(era<<eraShift | number) }
 
-// Era returns the number of restores of the service; zero if the service does not report it.
+// Era returns the number of restores of the key-value service; zero if the service does not
+// report it.
 func (r Revision) Era() uint64 { return uint64(r) >> eraShift }
 
-// Number returns the revision number that the service itself uses.
+// Number returns the revision number that the key-value service itself uses.
 func (r Revision) Number() uint64 { return uint64(r) & (1<<eraShift - 1) }
 
 // LeaseID identifies a lease of the key-value service.
@@ -49,12 +50,12 @@
 	// the write had no effect. errors.As with *ConflictError returns the current entry. A
 	// revision of an older era is never current.
 	ErrConflict = errors.New("platform: conflict")
-	// ErrUnavailable reports that the service did not respond; a read can be retried.
+	// ErrUnavailable reports that the key-value service did not respond; a read can be retried.
 	ErrUnavailable = errors.New("platform: unavailable")
 	// ErrUncertain reports a write that may or may not have taken effect and whose outcome could
 	// not be determined in time. The caller must read the key before it acts again.
 	ErrUncertain = errors.New("platform: write outcome unknown")
-	// ErrTooLarge reports a value above the service's size limit.
+	// ErrTooLarge reports a value above the key-value service's size limit.
 	ErrTooLarge = errors.New("platform: value too large")
 	// ErrCompacted reports a watch from a revision whose history was compacted; the prefix must
 	// be listed again.
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -23,10 +23,11 @@
 const maxResponseBytes = 64 << 20
 
 // errNotSent marks a request that certainly had no effect, because it did not leave this process
-// (a refused connection, for example) or because the service refused it for its rate limit.
+// (a refused connection, for example) or because the key-value service refused it for its rate
+// limit.
 var errNotSent = errors.New("platform: request not sent")
 
-// response is the service's response to one attempt.
+// response is the key-value service's response to one attempt.
 type response struct {
 	status int
 	body   []byte
@@ -61,7 +62,7 @@
 	}
 }
 
-// request is one call to the service.
+// request is one call to the key-value service.
 type request struct {
 	method string
 	path   string
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -46,7 +46,7 @@
 // Options of New.
 type Options struct {
 	KV       platform.KV
-	Follower *mirror.Follower // of the service; the caller of New runs it
+	Follower *mirror.Follower // of the key-value service; the caller of New runs it
 	Prefix   string           // of the entries' keys
 	Self     Daemon
 	Logger   hclog.Logger
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -27,8 +27,8 @@
 	return New(Options{KV: store, Follower: mirror.New(mirror.Options{KV: store}), Prefix: "d/", Self: Daemon{ID: request.DaemonID(id)}})
 }
 
-// All leases expire during an outage, and the service recovers without entries. Callers that query
-// the directory then must not get only one address, or none.
+// All leases expire during an outage, and the key-value service recovers without entries. Callers
+// that query the directory then must not get only one address, or none.
 func TestExpiredEntriesAreKeptAfterOutage(t *testing.T) {
 	r := newRoster(kv.NewFake(time.Now).Client("a"), "a")
 	r.apply(mirror.Update{Full: true, Entries: []platform.Entry{entry("b"), entry("c")}})
@@ -51,7 +51,7 @@
 	}
 }
 
-// A daemon whose entry is removed while the service is available is unlisted at once.
+// A daemon whose entry is removed while the key-value service is available is unlisted at once.
 func TestTerminatedDaemonIsUnlistedAtOnce(t *testing.T) {
 	r := newRoster(kv.NewFake(time.Now).Client("a"), "a")
 	r.apply(mirror.Update{Full: true, Entries: []platform.Entry{entry("b")}})
