--- a/internal/policy/pick/pick.go
+++ b/internal/policy/pick/pick.go
@@ -37,7 +37,7 @@
 	HeavyPromptOnReserved:  80 * time.Millisecond,
 	LongOutputOnUnreserved: 40 * time.Millisecond,
 	// On a link that is 90% full, a fetch delays the fetches queued behind it by several times
-	// its own duration. A replica near the store occupies the store's link for half as long.
+	// its own duration. A replica near the context store occupies the store's link for half as long.
 	LinkWeight:   3,
 	StaleWeights: 600 * time.Millisecond,
 }
--- a/internal/policy/pick/pick_test.go
+++ b/internal/policy/pick/pick_test.go
@@ -100,7 +100,8 @@
 
 // 72 outputs of 290 tokens and 43 prompts of 9,200 tokens start per second, on replicas that compute
 // prompts in chunks with one token of each stream between two chunks. On a shared replica, a stream
-// pauses while prompts are computed. Long outputs need about a third of 18 replicas.
+// pauses while prompts are computed. Long outputs need about a third of 18 replicas: about 135 of them run
+// at once, and each uses about 1,100 tokens of memory, 800 of its prompt and 290 of its output.
 func TestLongOutputsGetReservedReplicas(t *testing.T) {
 	const memory = 50_000
 	if n := LongOutputReplicas(18, 135*1100, memory); n < 5 || n > 8 {
@@ -206,7 +207,7 @@
 }
 
 // Contexts of 8,600 tokens return after 8 s to replicas with 118,000 tokens of memory, which have
-// evicted most contexts; the links of the stores are busy in bursts. Computing such a context takes
+// evicted most contexts; the links of the context stores are busy in bursts. Computing such a context takes
 // 170 ms and slows all other requests on the replica. The context must be fetched even if that takes
 // up to some hundred ms longer than computing it.
 func TestSourcesFetchContextDespiteFasterCompute(t *testing.T) {
@@ -223,7 +224,7 @@
 
 // Contexts are stored in one failure domain whose links are 90% full, and replicas run in five
 // domains. A fetch to another domain occupies the link for twice as long. The prompt must go to the
-// replica near the store, even if that is not among the first candidates, until the queue there
+// replica near the context store, even if that is not among the first candidates, until the queue there
 // outweighs the link time saved for other fetches.
 func TestBestSampledPrefersReplicaNearStore(t *testing.T) {
 	const near, transfer = 17, 30 * time.Millisecond
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -30,7 +30,7 @@
 	fingerprint Fingerprint
 	daemon      int
 	ends        int
-	alone       bool
+	alone       bool // no other request may run on the target meanwhile
 }
 
 type call struct {
@@ -113,14 +113,14 @@
 			}
 		}
 	}
-	alone := len(f.runs[target]) == 0
+	idle := len(f.runs[target]) == 0
 	occupied := len(f.runs[target]) > 0 && f.runs[target][0].alone
 	id := request.ID(fmt.Sprint(f.next))
 	if occupied {
 		f.waiting = append(f.waiting, c)
 		return
 	}
-	if _, ok := r.Begin(now, c.fingerprint, id, simTarget(target), alone); !ok {
+	if _, ok := r.Begin(now, c.fingerprint, id, simTarget(target), idle); !ok {
 		f.waiting = append(f.waiting, c)
 		return
 	}
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -164,7 +164,7 @@
 func (ResumeStream) isDecision()   {}
 func (GiveUp) isDecision()         {}
 
-// Decide returns what follows a failure. It takes from the budget when it returns RetryElsewhere.
+// Decide returns what to do after a failed attempt. RetryElsewhere costs one token of the budget.
 func (b *Budget) Decide(now time.Time, rng *rand.Rand, r Request, f Failure) Decision {
 	b.refill(now)
 	if f.Resumable && r.Resumes < b.params.MaxResumes {
--- a/internal/policy/storecache/link.go
+++ b/internal/policy/storecache/link.go
@@ -25,11 +25,11 @@
 	// overdueTTL is how long an overdue fetch counts as running. A fetch of a hung replica never
 	// ends, whereas a slow link causes further reports.
 	overdueTTL = 700 * time.Millisecond
-	// overdueInterval is the time within which overdue fetches count as one, as they waited in
+	// overdueMergeWindow is the time within which overdue fetches count as one, as they waited in
 	// the same queue. recoveryInterval is the time without reports after which the slowness is
 	// halved.
-	overdueInterval  = 300 * time.Millisecond
-	recoveryInterval = time.Second
+	overdueMergeWindow = 300 * time.Millisecond
+	recoveryInterval   = time.Second
 	// minSlowness is the slowness of a link whose readers are all in its failure domain.
 	// maxSlowness still permits enough fetches to measure the link.
 	minSlowness = 0.7
@@ -205,7 +205,7 @@
 	}
 	l.overdue = slices.DeleteFunc(l.overdue, func(o overdue) bool { return now.Sub(o.at) >= overdueTTL })
 	l.overdue = append(l.overdue, overdue{claim: claim, at: now})
-	if now.Sub(l.updatedAt) >= overdueInterval {
+	if now.Sub(l.updatedAt) >= overdueMergeWindow {
 		l.slowness = min(maxSlowness, 2*l.slowness)
 		l.updatedAt = now
 	}
--- a/internal/policy/storecache/storecache.go
+++ b/internal/policy/storecache/storecache.go
@@ -54,8 +54,9 @@
 	// ends. The gap above highWatermark holds the saves that arrive while parts are freed.
 	highWatermark = 0.94
 	lowWatermark  = 0.90
-	// MinProcessAge exceeds the lifetime of every permit granted before the store's process was
-	// first seen. An owner behind a network partition may notice a restart late.
+	// MinProcessAge is how long a store's process must have been known for a new owner to permit
+	// saves at once. It exceeds the lifetime of every permit granted before the process was first
+	// seen. An owner behind a network partition may notice a restart late.
 	MinProcessAge = restartNoticeDelay + ReadPermitTTL + permitSlack
 	// blockTokens is the number of tokens per unit of space that a store allocates.
 	blockTokens = 16
--- a/internal/policy/subset/subset_test.go
+++ b/internal/policy/subset/subset_test.go
@@ -63,8 +63,8 @@
 }
 
 // 53 replicas in five failure domains form eight groups, with contexts in stores of one domain. A
-// fetch from another domain occupies the store's link for twice as long. When the groups were formed
-// by hash alone, two of them had no replica near the stores and fetched all contexts across domains.
+// fetch from another domain occupies the context store's link for twice as long. When the groups were formed
+// by hash alone, two of them had no replica near the context stores and fetched all contexts across domains.
 func TestGroupsSpanAllFailureDomains(t *testing.T) {
 	const replicas, domains = 53, 5
 	groups := GroupCount(95, replicas)
