--- a/internal/placer/candidates.go
+++ b/internal/placer/candidates.go
@@ -137,9 +137,7 @@
 	for _, p := range j.Parts {
 		fresh -= p.Tokens
 	}
-	return pick.Request{KVTokens: j.PromptTokens + pp.expectedOutput(j), TailTokens: max(0, fresh), LongOutput: pp.expectedOutput(j) > longOutputTokens}
+	return pick.Request{KVTokens: j.PromptTokens + pp.outputTokens(j), TailTokens: max(0, fresh), LongOutput: pp.outputTokens(j) > longOutputTokens}
 }
 
-func (pp *PromptPlacer) expectedOutput(j *relay.Job) int {
-	return int(float64(j.OutputTokens) * outputShare)
-}
+func (pp *PromptPlacer) outputTokens(j *relay.Job) int { return int(float64(j.OutputTokens) * outputShare) }
--- a/internal/placer/memory.go
+++ b/internal/placer/memory.go
@@ -12,7 +12,7 @@
 // announcePlacement records that a replica will hold the parts of a prompt, and notifies peers.
 func (pp *PromptPlacer) announcePlacement(r *replicas.Replica, j *relay.Job, salt string) {
 	parts := make([]PlacedPart, len(j.Parts))
-	other := j.PromptTokens + pp.expectedOutput(j)
+	other := j.PromptTokens + pp.outputTokens(j)
 	for i, p := range j.Parts {
 		parts[i] = PlacedPart{Key: partKey(salt, p.ID), Tokens: p.Tokens}
 		other -= p.Tokens
