--- a/internal/placer/plain.go
+++ b/internal/placer/plain.go
@@ -1,5 +1,6 @@
 // Package placer chooses a replica for each attempt of a relayed request. It places calls to plain
-// services by load and health, and prompts on model replicas also by where their parts are cached.
+// services, those that are not model services, by load and health, and prompts on model replicas also
+// by where their parts are cached.
 package placer
 
 import (
@@ -26,14 +27,14 @@
 	CrossDomain:       3 * time.Millisecond,
 }
 
-// Plain places calls of plain services.
-type Plain struct {
+// PlainPlacer places calls of plain services. It implements relay.Placer.
+type PlainPlacer struct {
 	Eligibility
 	Domain string // failure domain of this daemon
 }
 
 // Place implements relay.Placer.
-func (p *Plain) Place(_ context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
+func (p *PlainPlacer) Place(_ context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
 	for {
 		usable := p.eligible(j, p.Set.OfService(j.Service.ID), tried)
 		if len(usable) == 0 {
@@ -46,7 +47,7 @@
 	}
 }
 
-func (p *Plain) cheapest(usable []*replicas.Replica) *replicas.Replica {
+func (p *PlainPlacer) cheapest(usable []*replicas.Replica) *replicas.Replica {
 	now := time.Now()
 	candidates := make([]pick.Candidate, len(usable))
 	for i, r := range usable {
