--- a/cmd/benchreturns/cluster.go
+++ b/cmd/benchreturns/cluster.go
@@ -101,7 +101,7 @@
 
 func (c *cluster) startEngine(i int) error {
 	e, server, err := engine.Start("127.0.0.1:0", engine.Options{
-		Model: model, Version: "v1", TotalBlocks: engineBlocks, KVPerToken: bytesPerToken, Incarnation: uint64(i + 1),
+		Model: model, Version: "v1", TotalBlocks: engineBlocks, KVBytesPerToken: bytesPerToken, Incarnation: uint64(i + 1),
 	})
 	if err != nil {
 		return err
--- a/cmd/standin/ask.go
+++ b/cmd/standin/ask.go
@@ -11,8 +11,8 @@
 	"github.com/urfave/cli/v2"
 )
 
-// askTimeout bounds one question, whatever the daemon or stand-in does.
-const askTimeout = 30 * time.Second
+// requestTimeout bounds one question, whatever the daemon or stand-in does.
+const requestTimeout = 30 * time.Second
 
 // askCommand sends one HTTP request, for scripts: to the fault switches of a stand-in,
 // to its counts, or to a daemon as a caller.
@@ -43,7 +43,7 @@
 	if key := c.String("bearer"); key != "" {
 		req.Header.Set("Authorization", "Bearer "+key)
 	}
-	client := &http.Client{Timeout: askTimeout}
+	client := &http.Client{Timeout: requestTimeout}
 	resp, err := client.Do(req)
 	if err != nil {
 		return errors.Wrap(err, "ask")
--- a/cmd/standin/commands.go
+++ b/cmd/standin/commands.go
@@ -52,24 +52,24 @@
 
 func runEngine(c *cli.Context) error {
 	o := engine.Options{
-		Name:        c.String("name"),
-		Model:       request.Model(c.String("model")),
-		Version:     request.Version(c.String("version")),
-		Role:        c.String("role"),
-		TimeScale:   c.Float64(timeScaleFlag),
-		MaxRunning:  c.Int("max-running"),
-		MaxQueued:   c.Int("max-queued"),
-		TotalBlocks: c.Int("blocks"),
-		KVPerToken:  c.Int64("kv-per-token"),
-		EventLag:    c.Duration("event-lag"),
-		LoadLag:     c.Duration("load-lag"),
-		LoadTime:    c.Duration("load-time"),
-		KeepStreams: c.Duration("keep-streams"),
-		ChecksEpoch: c.Bool("checks-epoch"),
-		Switches:    newSwitches(c),
+		Name:            c.String("name"),
+		Model:           request.Model(c.String("model")),
+		Version:         request.Version(c.String("version")),
+		Role:            c.String("role"),
+		TimeScale:       c.Float64(timeScaleFlag),
+		MaxRunning:      c.Int("max-running"),
+		MaxQueued:       c.Int("max-queued"),
+		TotalBlocks:     c.Int("blocks"),
+		KVBytesPerToken: c.Int64("kv-per-token"),
+		EventLag:        c.Duration("event-lag"),
+		LoadReportLag:   c.Duration("load-lag"),
+		WeightLoadTime:  c.Duration("load-time"),
+		StreamRetention: c.Duration("keep-streams"),
+		ChecksEpoch:     c.Bool("checks-epoch"),
+		Switches:        newSwitches(c),
 	}
 	if address := c.String("weights"); address != "" {
-		o.Weights = engine.NewRemoteWeights(address)
+		o.WeightStore = engine.NewRemoteWeightStore(address)
 	}
 	e := engine.New(o)
 	defer e.Close()
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -62,7 +62,7 @@
 }
 
 // Report implements engine.WeightStore.
-func (w *weightCount) Report(r vmlist.LoadReport) vmlist.LoadAnswer {
+func (w *weightCount) Report(r vmlist.LoadReport) vmlist.LoadResponse {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.loading == nil {
@@ -73,7 +73,7 @@
 		w.loading[r.Replica] = true
 	}
 	w.most = max(w.most, len(w.loading))
-	return vmlist.LoadAnswer{Loading: len(w.loading), Cap: 2, Peak: w.most}
+	return vmlist.LoadResponse{Loading: len(w.loading), Cap: 2, Peak: w.most}
 }
 
 // atOnce returns the most engines that loaded weights at once. The last of them tells that it
@@ -132,8 +132,8 @@
 
 func (c *cluster) startEngine() {
 	e, server, err := engine.Start("127.0.0.1:0", engine.Options{
-		Model: "verdict", Version: "v1", TimeScale: c.timeScale, TotalBlocks: 400, KVPerToken: 64, ChecksEpoch: true,
-		LoadTime: 4 * time.Second, Name: fmt.Sprint(len(c.engines)), Weights: &c.weights, Incarnation: uint64(1000 + len(c.engines)),
+		Model: "verdict", Version: "v1", TimeScale: c.timeScale, TotalBlocks: 400, KVBytesPerToken: 64, ChecksEpoch: true,
+		WeightLoadTime: 4 * time.Second, Name: fmt.Sprint(len(c.engines)), WeightStore: &c.weights, Incarnation: uint64(1000 + len(c.engines)),
 	})
 	c.check(err)
 	c.engines = append(c.engines, e)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -34,12 +34,12 @@
 	c := newCluster(t, 2, 2)
 	swaps := 20
 	for _, e := range c.engines {
-		e.Switches().Apply(fault.Command{SwapAnswers: &swaps})
+		e.Switches().Apply(fault.Command{SwapFrames: &swaps})
 	}
 	c.load(func(l *loadgen.Config) {
 		l.OnSettled = func(settled int) {
 			if settled == 10 {
-				c.engines[0].Switches().Apply(fault.Command{Silent: true})
+				c.engines[0].Switches().Apply(fault.Command{Blackhole: true})
 			}
 		}
 	})
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -212,7 +212,7 @@
 	if a.holds() != 2 || b.holds() != 2 {
 		t.Fatalf("a holds %d and b %d, want 2 and 2", a.holds(), b.holds())
 	}
-	fake.Cut("b", true)
+	fake.Partition("b", true)
 	round(10) // the session lapses, then three scans
 	gaps := 0
 	for range 25 {
@@ -224,7 +224,7 @@
 	if b.holds() != 0 || gaps > 0 {
 		t.Errorf("b holds %d; a lacked partitions at %d of 25 scans", b.holds(), gaps)
 	}
-	fake.Cut("b", false)
+	fake.Partition("b", false)
 	round(60)
 	if a.holds() != 2 || b.holds() != 2 {
 		t.Errorf("joined again: a holds %d and b %d, want 2 and 2", a.holds(), b.holds())
@@ -283,13 +283,13 @@
 	var wg sync.WaitGroup
 	for i := range 40 {
 		wg.Go(func() {
-			server.LoseWrites(1)
+			server.DropWriteResponses(1)
 			ticket, _, err := a.begin(ctx, call(fmt.Sprint(i)))
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			server.LoseWrites(1)
+			server.DropWriteResponses(1)
 			body := make([]byte, 4000)
 			copy(body, fmt.Sprint(i))
 			if err := a.Finish(ctx, ticket, journal.Result{Body: body}); err != nil {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -108,7 +108,7 @@
 	if err := a.Heartbeat(ctx); err != nil {
 		t.Fatal(err)
 	}
-	f.LoseWrites(1)
+	f.DropWriteResponses(1)
 	if _, err := a.Acquire(ctx, "duty"); !errors.Is(err, lease.ErrUnavailable) {
 		t.Fatalf("claim without response: %v", err)
 	}
@@ -322,7 +322,7 @@
 }
 
 func (m *leaseMachine) failNextWrite(t *rapid.T) {
-	m.fault = rapid.SampledFrom([]kv.Fault{kv.FaultUnavailable, kv.FaultLostAnswer, kv.FaultDelayed}).Draw(t, "fault")
+	m.fault = rapid.SampledFrom([]kv.Fault{kv.FaultUnavailable, kv.FaultDroppedResponse, kv.FaultDelayed}).Draw(t, "fault")
 }
 
 func (m *leaseMachine) deliver(*rapid.T) { m.fake.Deliver(0) }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -182,7 +182,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	var result service.Answer
+	var result service.Response
 	if o == outcomeAnswered && (json.Unmarshal(answer, &result) != nil || result.Key != key || result.Bytes != len(body)) {
 		d.log.Error("Wrong result", "key", key, "got", string(answer))
 		o = outcomeWrong
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -60,7 +60,7 @@
 			e := newEnvironment()
 			fleet := e.startFleet(t, size)
 			lone := fleet[size-1]
-			e.service.Cut(lone.Self().Id, cut.service)
+			e.service.Partition(lone.Self().Id, cut.service)
 			e.network.setCut(lone.Self().PeerAddress, cut.peers)
 			if cut.service && cut.peers {
 				eventually(t, "an old proof", func() bool { return !lone.fresh() })
@@ -73,7 +73,7 @@
 				if lone.fresh() || lone.loadCap() != 1 {
 					t.Fatal("the cut daemon counts itself current")
 				}
-				e.service.Cut(lone.Self().Id, false)
+				e.service.Partition(lone.Self().Id, false)
 				e.network.setCut(lone.Self().PeerAddress, false)
 			}
 			eventually(t, "the edit in force on the lone daemon", func() bool { return lone.loadCap() == 2 && lone.fresh() })
--- a/internal/planner/world_test.go
+++ b/internal/planner/world_test.go
@@ -54,7 +54,7 @@
 	var rows strings.Builder
 	for i := range 2 {
 		e, server, err := engine.Start("127.0.0.1:0", engine.Options{
-			Model: "verdict", Version: "v1", TimeScale: 0.001, KVPerToken: 1 << 10, Incarnation: uint64(i + 1),
+			Model: "verdict", Version: "v1", TimeScale: 0.001, KVBytesPerToken: 1 << 10, Incarnation: uint64(i + 1),
 		})
 		w.check(err)
 		t.Cleanup(func() { _ = server.Close(); e.Close() })
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -196,16 +196,16 @@
 	c := newClient(t, "one", addr)
 	var rev platform.Revision
 	for range 3 {
-		s.LoseWrites(1)
+		s.DropWriteResponses(1)
 		next, err := c.CompareAndSwap(ctx, "k", rev, []byte("v"), "")
 		rev = must(t, next, err)()
 	}
-	s.LoseWrites(2)
+	s.DropWriteResponses(2)
 	_, err := c.CompareAndSwap(ctx, "k", rev-1, []byte("stale"), "")
 	if !errors.Is(err, platform.ErrConflict) {
 		t.Errorf("stale write: %v, want a conflict", err)
 	}
-	s.LoseWrites(1)
+	s.DropWriteResponses(1)
 	if err := c.Delete(ctx, "k", rev); err != nil {
 		t.Errorf("delete: %v", err)
 	}
@@ -245,7 +245,7 @@
 	if _, err := both.CompareAndSwap(testContext(t), "k2", 0, nil, ""); err != nil {
 		t.Errorf("second address: %v", err)
 	}
-	s.Cut("three", true)
+	s.Partition("three", true)
 	if _, err := both.Get(testContext(t), "k2"); !errors.Is(err, platform.ErrUnavailable) {
 		t.Errorf("cut client: %v", err)
 	}
--- a/internal/schedules/faults.go
+++ b/internal/schedules/faults.go
@@ -73,7 +73,7 @@
 		w.note("%s: clock behind by %v", d.id, d.clock.behind)
 	case n < 17:
 		w.note("%s: cut off", d.id)
-		w.fake.Cut(string(d.id), true)
+		w.fake.Partition(string(d.id), true)
 	default:
 		w.planned(d)
 	}
@@ -90,7 +90,7 @@
 		w.fake.SetDown(false)
 	case 2:
 		w.note("%s: joined", d.id)
-		w.fake.Cut(string(d.id), false)
+		w.fake.Partition(string(d.id), false)
 	default:
 		w.fake.Deliver(w.rng.IntN(3))
 	}
--- a/internal/schedules/judge.go
+++ b/internal/schedules/judge.go
@@ -12,7 +12,7 @@
 	w.fake.SetDown(false)
 	for _, d := range w.daemons {
 		d.frozen = false
-		w.fake.Cut(string(d.id), false)
+		w.fake.Partition(string(d.id), false)
 	}
 	for w.fake.Deliver(0) {
 	}
--- a/internal/schedules/stories_test.go
+++ b/internal/schedules/stories_test.go
@@ -114,9 +114,9 @@
 	case "down", "up":
 		p.w.fake.SetDown(words[0] == "down")
 	case "cut", "join":
-		p.w.fake.Cut(arg, words[0] == "cut")
+		p.w.fake.Partition(arg, words[0] == "cut")
 	case "lose":
-		p.w.fake.LoseWrites(1)
+		p.w.fake.DropWriteResponses(1)
 	default:
 		p.onDaemon(words[0], p.daemon(arg))
 	}
--- a/internal/schedules/world.go
+++ b/internal/schedules/world.go
@@ -135,7 +135,7 @@
 	}
 	w.fake = kv.NewFake(w.clock.Now)
 	w.fake.SetHook(w.onCall)
-	w.fake.SetAfter(func(client string) { w.pauseInCall(client) })
+	w.fake.SetAfterCall(func(client string) { w.pauseInCall(client) })
 	for i := range daemons {
 		d := &daemon{id: request.DaemonID(fmt.Sprintf("d%d", i))}
 		w.restart(d)
@@ -181,7 +181,7 @@
 	w.outcome.Faults++
 	fault := kv.FaultUnavailable
 	if write {
-		fault = []kv.Fault{kv.FaultUnavailable, kv.FaultLostAnswer, kv.FaultDelayed}[w.rng.IntN(3)]
+		fault = []kv.Fault{kv.FaultUnavailable, kv.FaultDroppedResponse, kv.FaultDelayed}[w.rng.IntN(3)]
 	}
 	w.note("%s: fault %d on %s", client, fault, key)
 	return fault
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -17,8 +17,8 @@
 
 func (p step) empty() bool { return p.prefill == nil && len(p.decode) == 0 }
 
-// nominal returns the time of the step without scale.
-func (p step) nominal() time.Duration {
+// nominalTime returns the time of the step without scale.
+func (p step) nominalTime() time.Duration {
 	d := time.Duration(p.tokens) * time.Second / PrefillTokensPerSec
 	if len(p.decode) > 0 {
 		d += DecodeStep
@@ -29,14 +29,14 @@
 // runBatches is the duty that runs the batch step by step.
 func (e *Engine) runBatches() {
 	defer e.work.Done()
-	free := time.Now() // when the last step ended, were timers exact
+	lastStepEnd := time.Now() // when the last step ended, were timers exact
 	for {
-		if e.switches.WaitThawed(e.ctx) != nil {
+		if e.switches.WaitUnfrozen(e.ctx) != nil {
 			return
 		}
-		next, crash := e.plan()
+		next, crash := e.planStep()
 		if crash != "" {
-			if e.switches.CrashIfMarked(crash) {
+			if e.switches.CrashOnMarker(crash) {
 				return
 			}
 			continue
@@ -45,18 +45,18 @@
 			if !e.waitForWork() {
 				return
 			}
-			free = time.Now()
+			lastStepEnd = time.Now()
 			continue
 		}
-		free = free.Add(e.real(next.nominal()))
-		if !e.pause(e.ctx, time.Until(free)) {
+		lastStepEnd = lastStepEnd.Add(e.scaleTime(next.nominalTime()))
+		if !e.sleep(e.ctx, time.Until(lastStepEnd)) {
 			return
 		}
 		// Small delays of timers are made up for by the next steps; long ones are not.
-		if late := time.Now().Add(-e.real(DecodeStep)); free.Before(late) {
-			free = late
+		if limit := time.Now().Add(-e.scaleTime(DecodeStep)); lastStepEnd.Before(limit) {
+			lastStepEnd = limit
 		}
-		e.complete(next)
+		e.completeStep(next)
 	}
 }
 
@@ -69,13 +69,13 @@
 	}
 }
 
-// plan admits requests to the batch and returns the next step; or the prompt of a
+// planStep admits requests to the batch and returns the next step; or the prompt of a
 // request that is to crash the replica.
-func (e *Engine) plan() (next step, crash string) {
+func (e *Engine) planStep() (next step, crash string) {
 	marked := e.switches.Status().CrashMarker != ""
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for len(e.queue) > 0 && len(e.running) < e.o.MaxRunning {
+	for len(e.queue) > 0 && len(e.running) < e.opts.MaxRunning {
 		s := e.queue[0]
 		e.queue = e.queue[1:]
 		s.started = true
@@ -86,51 +86,51 @@
 	}
 	for _, s := range e.running {
 		if !s.prefilled() {
-			e.reuseLocked(s)
+			e.reuseCachedLocked(s)
 		}
 		switch {
 		case s.prefilled():
 			next.decode = append(next.decode, s)
 		case next.prefill == nil:
 			next.prefill = s
-			next.computed, next.tokens = e.pieceLocked(s)
+			next.computed, next.tokens = e.nextChunkLocked(s)
 		}
 	}
 	return next, ""
 }
 
-// reuseLocked advances over cached blocks. It is asked before every piece, so that
+// reuseCachedLocked advances over cached blocks. It is asked before every piece, so that
 // blocks imported while earlier ones are computed are not computed again.
-func (e *Engine) reuseLocked(s *stream) {
+func (e *Engine) reuseCachedLocked(s *stream) {
 	for {
 		i := s.position / block.TokensPerBlock
 		if i >= len(s.chain) || !e.cache.acquire(s.chain[i]) {
 			return
 		}
-		s.held = append(s.held, s.chain[i])
+		s.heldBlocks = append(s.heldBlocks, s.chain[i])
 		s.position += block.TokensPerBlock
-		s.reused += block.TokensPerBlock
+		s.reusedTokens += block.TokensPerBlock
 	}
 }
 
-// pieceLocked returns the next piece to compute: up to the next cached block, the end
+// nextChunkLocked returns the next piece to compute: up to the next cached block, the end
 // of the prompt, or PrefillPiece tokens.
-func (e *Engine) pieceLocked(s *stream) ([]block.Hash, int) {
+func (e *Engine) nextChunkLocked(s *stream) ([]block.Hash, int) {
 	first := s.position / block.TokensPerBlock
 	end := first
-	for end < len(s.chain) && (end-first+1)*block.TokensPerBlock <= PrefillPiece && !e.cache.has(s.chain[end]) {
+	for end < len(s.chain) && (end-first+1)*block.TokensPerBlock <= PrefillChunk && !e.cache.has(s.chain[end]) {
 		end++
 	}
 	tokens := (end - first) * block.TokensPerBlock
-	if end == len(s.chain) && s.tokens-s.position <= PrefillPiece {
-		tokens = s.tokens - s.position
+	if end == len(s.chain) && s.promptTokens-s.position <= PrefillChunk {
+		tokens = s.promptTokens - s.position
 	}
 	return s.chain[first:end], tokens
 }
 
-// complete applies a step. A prompt that is in place gives its first token with its
+// completeStep applies a step. A prompt that is in place gives its first token with its
 // last piece.
-func (e *Engine) complete(done step) {
+func (e *Engine) completeStep(done step) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -139,57 +139,57 @@
 		s.position += done.tokens
 		for _, h := range e.insertLocked(done.computed) {
 			e.cache.acquire(h)
-			s.held = append(s.held, h)
+			s.heldBlocks = append(s.heldBlocks, h)
 		}
 		if s.prefilled() {
-			e.emitLocked(s, now)
+			e.emitTokenLocked(s, now)
 		}
 	}
 	for _, s := range done.decode {
 		if !s.done {
-			e.emitLocked(s, now)
+			e.emitTokenLocked(s, now)
 		}
 	}
-	e.dropDoneLocked()
-	e.forgetLocked(now)
+	e.removeDoneLocked()
+	e.expireStreamsLocked(now)
 }
 
-func (e *Engine) emitLocked(s *stream, now time.Time) {
+func (e *Engine) emitTokenLocked(s *stream, now time.Time) {
 	if len(s.frames) == 0 {
-		e.stats.ReusedTokens += int64(s.reused)
+		e.stats.ReusedTokens += int64(s.reusedTokens)
 	}
 	s.emitToken(now)
 }
 
-// reportLoad is the duty that renews the load report, which is why it lags.
-func (e *Engine) reportLoad() {
+// refreshLoadReport is the duty that renews the load report, which is why it lags.
+func (e *Engine) refreshLoadReport() {
 	defer e.work.Done()
-	for e.pause(e.ctx, max(e.real(e.o.LoadLag), time.Millisecond)) {
-		if e.switches.WaitThawed(e.ctx) != nil {
+	for e.sleep(e.ctx, max(e.scaleTime(e.opts.LoadReportLag), time.Millisecond)) {
+		if e.switches.WaitUnfrozen(e.ctx) != nil {
 			return
 		}
-		e.takeLoadReport()
+		e.updateLoadReport()
 	}
 }
 
-func (e *Engine) takeLoadReport() {
+func (e *Engine) updateLoadReport() {
 	leaving := e.switches.Status().Leaving
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.loadAt = time.Now()
-	e.load.Incarnation = e.o.Incarnation
+	e.load.Incarnation = e.opts.Incarnation
 	e.load.Model = e.state.Model
 	e.load.Version = e.state.Version
 	e.load.Running = len(e.running)
 	e.load.Queued = len(e.queue)
 	e.load.PrefillTokens = 0
 	for _, s := range e.running {
-		e.load.PrefillTokens += max(0, s.tokens-s.position)
+		e.load.PrefillTokens += max(0, s.promptTokens-s.position)
 	}
 	for _, s := range e.queue {
-		e.load.PrefillTokens += s.tokens
+		e.load.PrefillTokens += s.promptTokens
 	}
 	e.load.UsedBlocks = e.cache.used()
-	e.load.TotalBlocks = e.o.TotalBlocks
+	e.load.TotalBlocks = e.opts.TotalBlocks
 	e.load.Leaving = leaving
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -8,21 +8,21 @@
 
 // cachedBlock is one block of the prefix cache.
 type cachedBlock struct {
-	hash  block.Hash
-	refs  int // running requests and exports that use it
-	place *list.Element
+	hash    block.Hash
+	refs    int // running requests and exports that use it
+	element *list.Element
 }
 
 // cache is a prefix cache in limited memory with eviction of the least recently used
 // block that nothing uses. It is not safe for concurrent use.
 type cache struct {
-	total  int
-	blocks map[block.Hash]*cachedBlock
-	order  *list.List // by use, most recent first
+	capacity int
+	blocks   map[block.Hash]*cachedBlock
+	order    *list.List // by use, most recent first
 }
 
 func newCache(total int) *cache {
-	return &cache{total: total, blocks: make(map[block.Hash]*cachedBlock), order: list.New()}
+	return &cache{capacity: total, blocks: make(map[block.Hash]*cachedBlock), order: list.New()}
 }
 
 func (c *cache) has(h block.Hash) bool { return c.blocks[h] != nil }
@@ -36,7 +36,7 @@
 		return false
 	}
 	b.refs++
-	c.order.MoveToFront(b.place)
+	c.order.MoveToFront(b.element)
 	return true
 }
 
@@ -49,7 +49,7 @@
 			continue
 		}
 		b.refs--
-		c.order.MoveToFront(b.place)
+		c.order.MoveToFront(b.element)
 	}
 }
 
@@ -59,7 +59,7 @@
 	if c.has(h) {
 		return nil, true
 	}
-	for len(c.blocks) >= c.total {
+	for len(c.blocks) >= c.capacity {
 		victim := c.victim()
 		if victim == nil {
 			return evicted, false
@@ -68,7 +68,7 @@
 		evicted = append(evicted, victim.hash)
 	}
 	b := &cachedBlock{hash: h}
-	b.place = c.order.PushFront(b)
+	b.element = c.order.PushFront(b)
 	c.blocks[h] = b
 	return evicted, true
 }
@@ -83,7 +83,7 @@
 }
 
 func (c *cache) remove(b *cachedBlock) {
-	c.order.Remove(b.place)
+	c.order.Remove(b.element)
 	delete(c.blocks, b.hash)
 }
 
--- a/internal/standin/engine/cache_test.go
+++ b/internal/standin/engine/cache_test.go
@@ -13,9 +13,9 @@
 
 // naiveCache keeps blocks in a slice, the most recently used first.
 type naiveCache struct {
-	total int
-	order []block.Hash
-	refs  map[block.Hash]int
+	capacity int
+	order    []block.Hash
+	refs     map[block.Hash]int
 }
 
 func (c *naiveCache) touch(h block.Hash) {
@@ -27,12 +27,12 @@
 	if slices.Contains(c.order, h) {
 		return true
 	}
-	for i := len(c.order) - 1; i >= 0 && len(c.order) >= c.total; i-- {
+	for i := len(c.order) - 1; i >= 0 && len(c.order) >= c.capacity; i-- {
 		if c.refs[c.order[i]] == 0 {
 			c.order = slices.Delete(c.order, i, i+1)
 		}
 	}
-	if len(c.order) >= c.total {
+	if len(c.order) >= c.capacity {
 		return false
 	}
 	c.order = slices.Insert(c.order, 0, h)
@@ -40,12 +40,12 @@
 }
 
 // The cache equals its naive twin: never above its room, never without a block in use.
-func TestCacheEqualsNaive(t *testing.T) {
+func TestCacheMatchesNaiveModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const names = 8
 		total := rapid.IntRange(1, 5).Draw(t, "total")
 		ours := newCache(total)
-		naive := &naiveCache{total: total, refs: make(map[block.Hash]int)}
+		naive := &naiveCache{capacity: total, refs: make(map[block.Hash]int)}
 		var held []block.Hash
 		draw := func(t *rapid.T) block.Hash { return block.Hash{rapid.ByteRange(0, names-1).Draw(t, "block")} }
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -24,68 +24,68 @@
 const (
 	// PrefillTokensPerSec is the speed of prefill.
 	PrefillTokensPerSec = 8000
-	// PrefillPiece is the most prompt tokens in one step.
-	PrefillPiece = 2000
+	// PrefillChunk is the most prompt tokens in one step.
+	PrefillChunk = 2000
 	// DecodeStep is the time of one step that gives each running request a token.
 	DecodeStep = 30 * time.Millisecond
 
-	defaultMaxRunning  = 16
-	defaultMaxQueued   = 256
-	defaultBlocks      = 4096
-	defaultKVPerToken  = 128 << 10
-	defaultEventLag    = 200 * time.Millisecond
-	defaultLoadLag     = 500 * time.Millisecond
-	defaultLoadTime    = 20 * time.Second
-	defaultKeepStreams = time.Minute
-	defaultHeartbeat   = 500 * time.Millisecond
+	defaultMaxRunning      = 16
+	defaultMaxQueued       = 256
+	defaultBlocks          = 4096
+	defaultKVBytesPerToken = 128 << 10
+	defaultEventLag        = 200 * time.Millisecond
+	defaultLoadReportLag   = 500 * time.Millisecond
+	defaultWeightLoadTime  = 20 * time.Second
+	defaultStreamRetention = time.Minute
+	defaultHeartbeat       = 500 * time.Millisecond
 )
 
 // WeightStore counts the replicas that load weights at once; *vmlist.List is one.
 type WeightStore interface {
-	Report(vmlist.LoadReport) vmlist.LoadAnswer
+	Report(vmlist.LoadReport) vmlist.LoadResponse
 }
 
 // Options of New. Zero fields take defaults.
 type Options struct {
-	Name        string // replica name in reports to the weight store
-	Incarnation uint64 // 0: taken from the clock
-	Model       request.Model
-	Version     request.Version
-	Role        string
-	TimeScale   float64 // real time of a nominal second
-	MaxRunning  int     // requests in the batch
-	MaxQueued   int     // requests waiting for the batch
-	TotalBlocks int     // room of the prefix cache
-	KVPerToken  int64   // bytes of KV cache a token
-	EventLag    time.Duration
-	LoadLag     time.Duration
-	LoadTime    time.Duration // time that loading a weight version takes
-	KeepStreams time.Duration // real time that a finished stream stays readable
-	Heartbeat   time.Duration // real time between comments on a stream without frames
-	ChecksEpoch bool          // refuses orders with an old epoch
-	Weights     WeightStore   // nil: loads never slow each other
-	Switches    *fault.Switches
+	Name            string // replica name in reports to the weight store
+	Incarnation     uint64 // 0: taken from the clock
+	Model           request.Model
+	Version         request.Version
+	Role            string
+	TimeScale       float64 // real time of a nominal second
+	MaxRunning      int     // requests in the batch
+	MaxQueued       int     // requests waiting for the batch
+	TotalBlocks     int     // room of the prefix cache
+	KVBytesPerToken int64   // bytes of KV cache a token
+	EventLag        time.Duration
+	LoadReportLag   time.Duration
+	WeightLoadTime  time.Duration // time that loading a weight version takes
+	StreamRetention time.Duration // real time that a finished stream stays readable
+	Heartbeat       time.Duration // real time between comments on a stream without frames
+	ChecksEpoch     bool          // refuses orders with an old epoch
+	WeightStore     WeightStore   // nil: loads never slow each other
+	Switches        *fault.Switches
 }
 
 func (o Options) withDefaults() Options {
-	orElse(&o.Incarnation, uint64(time.Now().UnixNano()))
-	orElse(&o.TimeScale, 1)
-	orElse(&o.MaxRunning, defaultMaxRunning)
-	orElse(&o.MaxQueued, defaultMaxQueued)
-	orElse(&o.TotalBlocks, defaultBlocks)
-	orElse(&o.KVPerToken, defaultKVPerToken)
-	orElse(&o.EventLag, defaultEventLag)
-	orElse(&o.LoadLag, defaultLoadLag)
-	orElse(&o.LoadTime, defaultLoadTime)
-	orElse(&o.KeepStreams, defaultKeepStreams)
-	orElse(&o.Heartbeat, defaultHeartbeat)
+	setDefault(&o.Incarnation, uint64(time.Now().UnixNano()))
+	setDefault(&o.TimeScale, 1)
+	setDefault(&o.MaxRunning, defaultMaxRunning)
+	setDefault(&o.MaxQueued, defaultMaxQueued)
+	setDefault(&o.TotalBlocks, defaultBlocks)
+	setDefault(&o.KVBytesPerToken, defaultKVBytesPerToken)
+	setDefault(&o.EventLag, defaultEventLag)
+	setDefault(&o.LoadReportLag, defaultLoadReportLag)
+	setDefault(&o.WeightLoadTime, defaultWeightLoadTime)
+	setDefault(&o.StreamRetention, defaultStreamRetention)
+	setDefault(&o.Heartbeat, defaultHeartbeat)
 	if o.Switches == nil {
 		o.Switches = fault.New(fault.Options{})
 	}
 	return o
 }
 
-func orElse[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
@@ -102,13 +102,13 @@
 	ExportedBlocks       int64 `json:"exported_blocks"`
 	ImportedBytes        int64 `json:"imported_bytes"`
 	ExportedBytes        int64 `json:"exported_bytes"`
-	OrdersObeyed         int   `json:"orders_obeyed"`
+	OrdersApplied        int   `json:"orders_obeyed"`
 	OrdersRefused        int   `json:"orders_refused"`
 }
 
 // Engine is one replica. Close it to stop its goroutines.
 type Engine struct {
-	o        Options
+	opts     Options
 	switches *fault.Switches
 	client   *http.Client
 	ctx      context.Context
@@ -116,20 +116,20 @@
 	work     sync.WaitGroup
 	wake     chan struct{}
 
-	mu       sync.Mutex
-	cache    *cache
-	events   eventLog
-	streams  map[request.ID]*stream
-	queue    []*stream // by priority, then arrival
-	running  []*stream // by priority, then arrival
-	arrivals uint64
-	swapped  map[request.ID]engineapi.Frame // frames owed to the other stream of a swap
-	state    engineapi.State
-	orders   map[string]struct{}
-	load     engineapi.Load
-	loadAt   time.Time
-	loading  context.CancelFunc
-	stats    Stats
+	mu            sync.Mutex
+	cache         *cache
+	events        eventLog
+	streams       map[request.ID]*stream
+	queue         []*stream // by priority, then arrival
+	running       []*stream // by priority, then arrival
+	arrivals      uint64
+	swappedFrames map[request.ID]engineapi.Frame // frames owed to the other stream of a swap
+	state         engineapi.State
+	appliedOrders map[string]struct{}
+	load          engineapi.Load
+	loadAt        time.Time
+	cancelLoad    context.CancelFunc
+	stats         Stats
 }
 
 // New starts a replica.
@@ -137,17 +137,17 @@
 	o = o.withDefaults()
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Engine{
-		o:        o,
-		switches: o.Switches,
-		client:   newStoreClient(),
-		ctx:      ctx,
-		stop:     stop,
-		wake:     make(chan struct{}, 1),
-		cache:    newCache(o.TotalBlocks),
-		streams:  make(map[request.ID]*stream),
-		swapped:  make(map[request.ID]engineapi.Frame),
-		orders:   make(map[string]struct{}),
-		loading:  func() {},
+		opts:          o,
+		switches:      o.Switches,
+		client:        newStoreClient(),
+		ctx:           ctx,
+		stop:          stop,
+		wake:          make(chan struct{}, 1),
+		cache:         newCache(o.TotalBlocks),
+		streams:       make(map[request.ID]*stream),
+		swappedFrames: make(map[request.ID]engineapi.Frame),
+		appliedOrders: make(map[string]struct{}),
+		cancelLoad:    func() {},
 		state: engineapi.State{
 			Incarnation: o.Incarnation,
 			Model:       o.Model,
@@ -156,19 +156,19 @@
 			ChecksEpoch: o.ChecksEpoch,
 		},
 	}
-	e.events.lag = e.real(o.EventLag)
-	e.takeLoadReport()
+	e.events.lag = e.scaleTime(o.EventLag)
+	e.updateLoadReport()
 	e.work.Add(2)
 	go e.runBatches()
-	go e.reportLoad()
+	go e.refreshLoadReport()
 	return e
 }
 
 // Start starts a replica and serves it on address. If o.Switches is nil the replica
 // gets switches whose Die closes the server and the replica.
 func Start(address string, o Options) (*Engine, *fault.Server, error) {
-	own := o.Switches == nil
-	if own {
+	ownSwitches := o.Switches == nil
+	if ownSwitches {
 		o.Switches = fault.New(fault.Options{Seed: int64(o.Incarnation)})
 	}
 	e := New(o)
@@ -177,7 +177,7 @@
 		e.Close()
 		return nil, nil, err
 	}
-	if own {
+	if ownSwitches {
 		o.Switches.SetDie(func() {
 			e.stop()
 			go server.Close()
@@ -203,26 +203,26 @@
 	return e.stats
 }
 
-// real turns a nominal duration into a real one, by scale and slow factor.
-func (e *Engine) real(nominal time.Duration) time.Duration {
-	return e.switches.Scale(time.Duration(float64(nominal) * e.o.TimeScale))
+// scaleTime turns a nominal duration into a real one, by scale and slow factor.
+func (e *Engine) scaleTime(nominal time.Duration) time.Duration {
+	return e.switches.Scale(time.Duration(float64(nominal) * e.opts.TimeScale))
 }
 
-func (e *Engine) blockBytes() int64 { return e.o.KVPerToken * block.TokensPerBlock }
+func (e *Engine) blockBytes() int64 { return e.opts.KVBytesPerToken * block.TokensPerBlock }
 
-// pause waits and tells whether the replica goes on.
-func (e *Engine) pause(ctx context.Context, d time.Duration) bool {
+// sleep waits and tells whether the replica goes on.
+func (e *Engine) sleep(ctx context.Context, d time.Duration) bool {
 	return sleep.For(ctx, d) == nil
 }
 
-func (e *Engine) signal() {
+func (e *Engine) notifyWork() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (e *Engine) eventLocked(kind engineapi.EventKind, blocks []block.Hash) {
+func (e *Engine) publishEventLocked(kind engineapi.EventKind, blocks []block.Hash) {
 	if len(blocks) == 0 && kind != engineapi.BlocksCleared {
 		return
 	}
@@ -232,7 +232,7 @@
 // insertLocked adds blocks to the cache, publishes what changed, and returns the
 // blocks that are in the cache now.
 func (e *Engine) insertLocked(hashes []block.Hash) []block.Hash {
-	var removed, stored, in []block.Hash
+	var removed, stored, cached []block.Hash
 	for _, h := range hashes {
 		known := e.cache.has(h)
 		evicted, ok := e.cache.insert(h)
@@ -240,15 +240,15 @@
 		if !ok {
 			continue
 		}
-		in = append(in, h)
+		cached = append(cached, h)
 		if !known {
 			stored = append(stored, h)
 		}
 		// In use until all are in, so that none evicts another of its own chain.
 		e.cache.acquire(h)
 	}
-	e.cache.release(in)
-	e.eventLocked(engineapi.BlocksRemoved, removed)
-	e.eventLocked(engineapi.BlocksStored, stored)
-	return in
+	e.cache.release(cached)
+	e.publishEventLocked(engineapi.BlocksRemoved, removed)
+	e.publishEventLocked(engineapi.BlocksStored, stored)
+	return cached
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// read returns the text of a stream and its last frame.
-func read(ctx context.Context, s *target.Stream) (string, engineapi.Frame, error) {
+// readStream returns the text of a stream and its last frame.
+func readStream(ctx context.Context, s *target.Stream) (string, engineapi.Frame, error) {
 	defer s.Close()
 	var text strings.Builder
 	for {
@@ -76,14 +76,14 @@
 	}
 }
 
-func ask(t *testing.T, client *target.Client, req engineapi.CompletionRequest) engineapi.Usage {
+func complete(t *testing.T, client *target.Client, req engineapi.CompletionRequest) engineapi.Usage {
 	t.Helper()
 	ctx := testContext(t)
 	s, err := client.Complete(ctx, req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, last, err := read(ctx, s)
+	text, last, err := readStream(ctx, s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,20 +100,20 @@
 	return strings.Repeat(letter, blocks*block.BytesPerBlock)
 }
 
-func TestAnswersAreWholeAndReuseIsCounted(t *testing.T) {
+func TestAnswersAreCompleteAndReuseIsCounted(t *testing.T) {
 	_, client := start(t, engine.Options{})
-	var asked sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, letter := range []string{"a", "b", "c", "d"} {
-		asked.Go(func() { ask(t, client, completion(request.ID(letter), prompt(40, letter), 20)) })
+		requests.Go(func() { complete(t, client, completion(request.ID(letter), prompt(40, letter), 20)) })
 	}
-	asked.Wait()
-	again := ask(t, client, completion("again", prompt(40, "a")+"tail", 5))
+	requests.Wait()
+	again := complete(t, client, completion("again", prompt(40, "a")+"tail", 5))
 	if again.CachedTokens != 40*block.TokensPerBlock || again.PromptTokens != 40*block.TokensPerBlock+1 {
 		t.Fatalf("usage %+v", again)
 	}
 	other := completion("other", prompt(40, "a"), 5)
 	other.CacheSalt = "another organisation"
-	if got := ask(t, client, other); got.CachedTokens != 0 {
+	if got := complete(t, client, other); got.CachedTokens != 0 {
 		t.Fatalf("reuse across salts: %+v", got)
 	}
 }
@@ -121,18 +121,18 @@
 // A context is kept in a store VM and comes back after eviction, but one of its blocks
 // is torn. A user would get an answer computed from garbage if the block were taken.
 // The cause is a store that died half way through a write or a read.
-func TestTornBlockIsAMiss(t *testing.T) {
+func TestTornBlockIsCacheMiss(t *testing.T) {
 	ctx := testContext(t)
 	switches := fault.New(fault.Options{})
-	room := store.New(store.Options{MemoryBytes: 1 << 40, Switches: switches})
-	server, err := fault.Serve("127.0.0.1:0", switches, room.Handler())
+	contextStore := store.New(store.Options{MemoryBytes: 1 << 40, Switches: switches})
+	server, err := fault.Serve("127.0.0.1:0", switches, contextStore.Handler())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
 	_, first := start(t, engine.Options{})
 	_, second := start(t, engine.Options{})
-	ask(t, first, completion("kept", prompt(20, "a"), 1))
+	complete(t, first, completion("kept", prompt(20, "a"), 1))
 
 	export, err := first.Export(ctx, engineapi.ExportRequest{
 		StoreAddress: server.Address(),
@@ -158,7 +158,7 @@
 	if got, err := second.Import(ctx, imports); err != nil || got.Imported != 5 || got.Corrupt != 1 {
 		t.Fatalf("torn import %+v: %v", got, err)
 	}
-	if got := ask(t, second, completion("back", prompt(20, "a"), 3)); got.CachedTokens != 5*block.TokensPerBlock {
+	if got := complete(t, second, completion("back", prompt(20, "a"), 3)); got.CachedTokens != 5*block.TokensPerBlock {
 		t.Fatalf("usage %+v", got)
 	}
 	imports.Version = "v2"
@@ -187,7 +187,7 @@
 	if _, err := client.Order(ctx, swap); err != nil {
 		t.Fatal(err)
 	}
-	if _, last, err := read(ctx, waiting); err != nil || last.Error == nil || last.Error.Started {
+	if _, last, err := readStream(ctx, waiting); err != nil || last.Error == nil || last.Error.Started {
 		t.Fatalf("waiting request: %+v, %v", last, err)
 	}
 	if state, err := client.State(ctx); err != nil || state.Version != "v2" {
@@ -247,10 +247,10 @@
 	e, client := start(t, engine.Options{})
 	marker := "poison"
 	e.Switches().Apply(fault.Command{CrashMarker: &marker})
-	ask(t, client, completion("innocent", "hello", 2))
+	complete(t, client, completion("innocent", "hello", 2))
 	s, err := client.Complete(ctx, completion("guilty", "some poison", 2))
 	if err == nil {
-		_, _, err = read(ctx, s)
+		_, _, err = readStream(ctx, s)
 	}
 	if !errors.Is(err, target.ErrCut) || target.NotStarted(err) {
 		t.Fatalf("crash: %v", err)
@@ -260,11 +260,11 @@
 func TestSkippedEventsLeaveAGap(t *testing.T) {
 	ctx := testContext(t)
 	e, client := start(t, engine.Options{EventLag: time.Nanosecond})
-	ask(t, client, completion("1", prompt(2, "a"), 1))
+	complete(t, client, completion("1", prompt(2, "a"), 1))
 	skip := 1
 	e.Switches().Apply(fault.Command{SkipEvents: &skip})
-	ask(t, client, completion("2", prompt(2, "b"), 1))
-	ask(t, client, completion("3", prompt(2, "c"), 1))
+	complete(t, client, completion("2", prompt(2, "b"), 1))
+	complete(t, client, completion("3", prompt(2, "c"), 1))
 	page, err := client.Events(ctx, 0)
 	if err != nil || len(page.Events) != 2 {
 		t.Fatalf("page %+v: %v", page, err)
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// keptEvents is how many cache events an engine remembers.
-	keptEvents = 8192
-	// pageEvents is the most events in one page.
-	pageEvents = 512
+	// maxEvents is how many cache events an engine remembers.
+	maxEvents = 8192
+	// maxPageEvents is the most events in one page.
+	maxPageEvents = 512
 )
 
 type loggedEvent struct {
-	event   engineapi.CacheEvent
-	visible time.Time
+	event     engineapi.CacheEvent
+	visibleAt time.Time
 }
 
 // eventLog publishes cache events late. An event that is skipped leaves a hole in
@@ -33,19 +33,19 @@
 		return
 	}
 	e := engineapi.CacheEvent{Seq: l.seq, Kind: kind, Blocks: blocks}
-	l.events = append(l.events, loggedEvent{event: e, visible: now.Add(l.lag)})
-	if len(l.events) > keptEvents {
-		l.events = append([]loggedEvent(nil), l.events[len(l.events)-keptEvents/2:]...)
+	l.events = append(l.events, loggedEvent{event: e, visibleAt: now.Add(l.lag)})
+	if len(l.events) > maxEvents {
+		l.events = append([]loggedEvent(nil), l.events[len(l.events)-maxEvents/2:]...)
 	}
 }
 
-// after returns the visible events beyond a sequence. Next is the last event of the
+// pageAfter returns the visible events beyond a sequence. Next is the last event of the
 // page, so that a skipped one shows as a hole before the following event.
-func (l *eventLog) after(now time.Time, after uint64) ([]engineapi.CacheEvent, uint64) {
+func (l *eventLog) pageAfter(now time.Time, after uint64) ([]engineapi.CacheEvent, uint64) {
 	page := []engineapi.CacheEvent{}
 	next := min(after, l.seq)
 	for _, logged := range l.events {
-		if logged.visible.After(now) || len(page) == pageEvents {
+		if logged.visibleAt.After(now) || len(page) == maxPageEvents {
 			break
 		}
 		if logged.event.Seq <= after {
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -26,48 +26,48 @@
 	mux.HandleFunc("POST "+engineapi.PathImport, e.serveImport)
 	mux.HandleFunc("POST "+engineapi.PathOrders, e.serveOrder)
 	mux.HandleFunc("GET "+engineapi.PathState, e.serveState)
-	mux.HandleFunc("GET "+PathStats, func(w http.ResponseWriter, _ *http.Request) { reply(w, e.Stats()) })
+	mux.HandleFunc("GET "+PathStats, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Stats()) })
 	return mux
 }
 
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var req engineapi.CompletionRequest
-	if !decode(w, r, &req) {
+	if !decodeJSON(w, r, &req) {
 		return
 	}
 	if req.RequestID == "" || req.MaxTokens <= 0 {
-		refuse(w, refusal(engineapi.CodeBadRequest, "request_id and max_tokens are needed"))
+		writeError(w, newError(engineapi.CodeBadRequest, "request_id and max_tokens are needed"))
 		return
 	}
 	e.mu.Lock()
 	s, refused := e.acceptLocked(req)
 	e.mu.Unlock()
 	if refused != nil {
-		refuse(w, refused)
+		writeError(w, refused)
 		return
 	}
-	e.signal()
+	e.notifyWork()
 	e.serveFrames(w, r, s, 0)
 }
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil || from < 0 {
-		refuse(w, refusal(engineapi.CodeBadRequest, "from must be a sequence"))
+		writeError(w, newError(engineapi.CodeBadRequest, "from must be a sequence"))
 		return
 	}
-	s := e.find(r)
+	s := e.findStream(r)
 	if s == nil {
-		refuse(w, refusal(engineapi.CodeUnknownStream, "no such stream"))
+		writeError(w, newError(engineapi.CodeUnknownStream, "no such stream"))
 		return
 	}
 	e.serveFrames(w, r, s, from)
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
-	s := e.find(r)
+	s := e.findStream(r)
 	if s == nil {
-		refuse(w, refusal(engineapi.CodeUnknownStream, "no such stream"))
+		writeError(w, newError(engineapi.CodeUnknownStream, "no such stream"))
 		return
 	}
 	e.mu.Lock()
@@ -76,7 +76,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (e *Engine) find(r *http.Request) *stream {
+func (e *Engine) findStream(r *http.Request) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.streams[request.ID(r.PathValue("id"))]
@@ -88,7 +88,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flush(w)
-	heartbeat := time.NewTicker(e.o.Heartbeat)
+	heartbeat := time.NewTicker(e.opts.Heartbeat)
 	defer heartbeat.Stop()
 	for {
 		frames, changed, done := e.framesFrom(s, from)
@@ -118,7 +118,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := from; i < len(s.frames); i++ {
-		frames = append(frames, e.swapLocked(s, s.frames[i]))
+		frames = append(frames, e.swapFrameLocked(s, s.frames[i]))
 	}
 	return frames, s.changed, s.done
 }
@@ -143,82 +143,82 @@
 	load := e.load
 	load.AgeMillis = time.Since(e.loadAt).Milliseconds()
 	e.mu.Unlock()
-	reply(w, load)
+	writeJSON(w, load)
 }
 
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		refuse(w, refusal(engineapi.CodeBadRequest, "after must be a sequence"))
+		writeError(w, newError(engineapi.CodeBadRequest, "after must be a sequence"))
 		return
 	}
 	e.mu.Lock()
-	events, next := e.events.after(time.Now(), after)
+	events, next := e.events.pageAfter(time.Now(), after)
 	e.mu.Unlock()
-	reply(w, engineapi.EventPage{Incarnation: e.o.Incarnation, Events: events, Next: next})
+	writeJSON(w, engineapi.EventPage{Incarnation: e.opts.Incarnation, Events: events, Next: next})
 }
 
 func (e *Engine) serveBlocks(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	snapshot := engineapi.Snapshot{Incarnation: e.o.Incarnation, Seq: e.events.seq, Blocks: e.cache.hashes()}
+	snapshot := engineapi.Snapshot{Incarnation: e.opts.Incarnation, Seq: e.events.seq, Blocks: e.cache.hashes()}
 	e.mu.Unlock()
-	reply(w, snapshot)
+	writeJSON(w, snapshot)
 }
 
 func (e *Engine) serveExport(w http.ResponseWriter, r *http.Request) {
 	var req engineapi.ExportRequest
-	if decode(w, r, &req) {
-		reply(w, e.export(r.Context(), req))
+	if decodeJSON(w, r, &req) {
+		writeJSON(w, e.export(r.Context(), req))
 	}
 }
 
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	var req engineapi.ImportRequest
-	if !decode(w, r, &req) {
+	if !decodeJSON(w, r, &req) {
 		return
 	}
 	out, refused := e.importBlocks(r.Context(), req)
 	if refused != nil {
-		refuse(w, refused)
+		writeError(w, refused)
 		return
 	}
-	reply(w, out)
+	writeJSON(w, out)
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var o engineapi.Order
-	if !decode(w, r, &o) {
+	if !decodeJSON(w, r, &o) {
 		return
 	}
-	if refused := e.order(o); refused != nil {
-		refuse(w, refused)
+	if refused := e.applyOrder(o); refused != nil {
+		writeError(w, refused)
 		return
 	}
-	reply(w, engineapi.OrderResponse{Accepted: true})
+	writeJSON(w, engineapi.OrderResponse{Accepted: true})
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	state := e.state
 	e.mu.Unlock()
-	reply(w, state)
+	writeJSON(w, state)
 }
 
-func decode(w http.ResponseWriter, r *http.Request, v any) bool {
+func decodeJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(r.Body).Decode(v); err != nil {
-		refuse(w, refusal(engineapi.CodeBadRequest, err.Error()))
+		writeError(w, newError(engineapi.CodeBadRequest, err.Error()))
 		return false
 	}
 	return true
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
 
-// refuse answers with an engineapi.Error.
-func refuse(w http.ResponseWriter, e *engineapi.Error) {
+// writeError answers with an engineapi.Error.
+func writeError(w http.ResponseWriter, e *engineapi.Error) {
 	status := http.StatusServiceUnavailable
 	switch e.Code {
 	case engineapi.CodeBadRequest:
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	// transfersAtOnce is how many blocks of one export or import are on their way.
-	transfersAtOnce  = 8
-	storeDialTimeout = 2 * time.Second
+	// maxConcurrentTransfers is how many blocks of one export or import are on their way.
+	maxConcurrentTransfers = 8
+	storeDialTimeout       = 2 * time.Second
 	// maxPayload is the largest block content read, in bytes.
 	maxPayload = 1 << 20
 	// payloadCopies makes a block's content long enough to be torn.
@@ -39,12 +39,12 @@
 func newStoreClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: storeDialTimeout}).DialContext,
-		MaxIdleConnsPerHost: 2 * transfersAtOnce,
+		MaxIdleConnsPerHost: 2 * maxConcurrentTransfers,
 	}}
 }
 
-// payload is the content that stands for a block's KV cache.
-func payload(h block.Hash) []byte {
+// blockPayload is the content that stands for a block's KV cache.
+func blockPayload(h block.Hash) []byte {
 	return bytes.Repeat([]byte(h.String()), payloadCopies)
 }
 
@@ -52,15 +52,15 @@
 	return "http://" + address + storeapi.PathObjects + url.PathEscape(name)
 }
 
-// inOrder runs f for 0..n-1, several at once, and returns how many leading ones
+// runOrdered runs f for 0..n-1, several at once, and returns how many leading ones
 // succeeded and the error of the first that did not. It starts none after an error
 // and returns when all that it started have ended.
-func inOrder(ctx context.Context, n int, f func(context.Context, int) error) (int, error) {
+func runOrdered(ctx context.Context, n int, f func(context.Context, int) error) (int, error) {
 	errs := make([]error, n)
 	var next atomic.Int64
 	var failed atomic.Bool
 	var workers sync.WaitGroup
-	for range min(n, transfersAtOnce) {
+	for range min(n, maxConcurrentTransfers) {
 		workers.Go(func() {
 			for ctx.Err() == nil && !failed.Load() {
 				i := int(next.Add(1)) - 1
@@ -87,17 +87,17 @@
 // be written; later ones that were on their way are freed again, since nobody would
 // know of them. Blocks are in use, so not evicted, until they are written.
 func (e *Engine) export(ctx context.Context, req engineapi.ExportRequest) engineapi.ExportResponse {
-	held := e.holdLeading(req.Blocks)
+	held := e.acquireLeading(req.Blocks)
 	defer e.releaseBlocks(held)
 	written := make([]engineapi.ExportedBlock, len(held))
-	n, _ := inOrder(ctx, len(held), func(ctx context.Context, i int) error {
+	n, _ := runOrdered(ctx, len(held), func(ctx context.Context, i int) error {
 		var err error
 		written[i], err = e.exportBlock(ctx, req, held[i])
 		return err
 	})
-	for _, tried := range written[n:] {
-		if tried.Length > 0 {
-			e.freeExported(req, tried.Hash)
+	for _, attempted := range written[n:] {
+		if attempted.Length > 0 {
+			e.freeExported(req, attempted.Hash)
 		}
 	}
 	e.mu.Lock()
@@ -107,7 +107,7 @@
 	return engineapi.ExportResponse{Written: written[:n]}
 }
 
-func (e *Engine) holdLeading(hashes []block.Hash) []block.Hash {
+func (e *Engine) acquireLeading(hashes []block.Hash) []block.Hash {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i, h := range hashes {
@@ -125,7 +125,7 @@
 }
 
 func (e *Engine) exportBlock(ctx context.Context, req engineapi.ExportRequest, h block.Hash) (engineapi.ExportedBlock, error) {
-	content := payload(h)
+	content := blockPayload(h)
 	out := engineapi.ExportedBlock{Hash: h, Length: e.blockBytes(), Digest: digestOf(content)}
 	url := objectURL(req.StoreAddress, req.Prefix+h.String())
 	put, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(content))
@@ -163,7 +163,7 @@
 	if refused := e.checkVersion(req); refused != nil {
 		return engineapi.ImportResponse{}, refused
 	}
-	n, err := inOrder(ctx, len(req.Blocks), func(ctx context.Context, i int) error {
+	n, err := runOrdered(ctx, len(req.Blocks), func(ctx context.Context, i int) error {
 		return e.importBlock(ctx, req, req.Blocks[i])
 	})
 	out := engineapi.ImportResponse{Imported: n}
@@ -184,7 +184,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if req.Version != e.state.Version {
-		return refusal(engineapi.CodeWrongVersion, "loaded is "+string(e.state.Version))
+		return newError(engineapi.CodeWrongVersion, "loaded is "+string(e.state.Version))
 	}
 	return nil
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -13,16 +13,16 @@
 // loadSteps is how many parts a weight load is paced in.
 const loadSteps = 20
 
-// order obeys an order, or refuses one with an old epoch if this replica checks.
-func (e *Engine) order(o engineapi.Order) *engineapi.Error {
+// applyOrder obeys an order, or refuses one with an old epoch if this replica checks.
+func (e *Engine) applyOrder(o engineapi.Order) *engineapi.Error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, repeated := e.orders[o.OperationID]; repeated && o.OperationID != "" {
+	if _, repeated := e.appliedOrders[o.OperationID]; repeated && o.OperationID != "" {
 		return nil
 	}
-	if e.o.ChecksEpoch && o.Epoch < e.state.HighestEpoch {
+	if e.opts.ChecksEpoch && o.Epoch < e.state.HighestEpoch {
 		e.stats.OrdersRefused++
-		return refusal(engineapi.CodeStaleEpoch, "a higher epoch was seen")
+		return newError(engineapi.CodeStaleEpoch, "a higher epoch was seen")
 	}
 	e.state.HighestEpoch = max(e.state.HighestEpoch, o.Epoch)
 	switch o.Kind {
@@ -35,19 +35,19 @@
 	case engineapi.OrderSetRole:
 		e.state.Role = o.Role
 	default:
-		return refusal(engineapi.CodeBadRequest, "unknown order kind")
+		return newError(engineapi.CodeBadRequest, "unknown order kind")
 	}
-	e.orders[o.OperationID] = struct{}{}
+	e.appliedOrders[o.OperationID] = struct{}{}
 	e.state.LastOrder = o.OperationID
-	e.stats.OrdersObeyed++
+	e.stats.OrdersApplied++
 	return nil
 }
 
 // startLoadLocked begins to load a version; a load under way is given up.
 func (e *Engine) startLoadLocked(o engineapi.Order) {
-	e.loading()
+	e.cancelLoad()
 	ctx, cancel := context.WithCancel(e.ctx)
-	e.loading = cancel
+	e.cancelLoad = cancel
 	e.state.Loading = o.Version
 	e.work.Add(1)
 	go e.loadVersion(ctx, o)
@@ -55,10 +55,10 @@
 
 func (e *Engine) loadVersion(ctx context.Context, o engineapi.Order) {
 	defer e.work.Done()
-	defer e.reportWeights(false)
+	defer e.reportWeightLoad(false)
 	for progress := 0.0; progress < loadSteps; {
-		speed := e.reportWeights(true)
-		if !e.pause(ctx, e.real(e.o.LoadTime/loadSteps)) || e.switches.WaitThawed(ctx) != nil {
+		speed := e.reportWeightLoad(true)
+		if !e.sleep(ctx, e.scaleTime(e.opts.WeightLoadTime/loadSteps)) || e.switches.WaitUnfrozen(ctx) != nil {
 			return
 		}
 		progress += speed
@@ -70,12 +70,12 @@
 	}
 }
 
-// reportWeights returns the speed of this replica's load, 1 for full.
-func (e *Engine) reportWeights(loading bool) float64 {
-	if e.o.Weights == nil {
+// reportWeightLoad returns the speed of this replica's load, 1 for full.
+func (e *Engine) reportWeightLoad(loading bool) float64 {
+	if e.opts.WeightStore == nil {
 		return 1
 	}
-	a := e.o.Weights.Report(vmlist.LoadReport{Replica: e.o.Name, Loading: loading})
+	a := e.opts.WeightStore.Report(vmlist.LoadReport{Replica: e.opts.Name, Loading: loading})
 	if a.Cap == 0 || a.Loading <= a.Cap {
 		return 1
 	}
@@ -93,10 +93,10 @@
 	e.state.Loading = ""
 	now := time.Now()
 	for _, s := range e.queue {
-		s.finish(now, nil, refusal(engineapi.CodeWrongVersion, "weights were swapped before the request started"))
+		s.finish(now, nil, newError(engineapi.CodeWrongVersion, "weights were swapped before the request started"))
 	}
-	e.dropDoneLocked()
+	e.removeDoneLocked()
 	kept := e.cache.clear()
-	e.eventLocked(engineapi.BlocksCleared, nil)
-	e.eventLocked(engineapi.BlocksStored, kept)
+	e.publishEventLocked(engineapi.BlocksCleared, nil)
+	e.publishEventLocked(engineapi.BlocksStored, kept)
 }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -13,16 +13,16 @@
 
 // stream is one request with its frames so far. Engine.mu guards it.
 type stream struct {
-	req     engineapi.CompletionRequest
-	digest  promptDigest
-	arrival uint64
-	chain   []block.Hash
-	tokens  int // of the prompt
+	req          engineapi.CompletionRequest
+	digest       promptDigest
+	arrival      uint64
+	chain        []block.Hash
+	promptTokens int // of the prompt
 
-	started  bool         // has entered the batch
-	position int          // prompt tokens in place
-	reused   int          // of those, not computed here
-	held     []block.Hash // cached blocks in use
+	started      bool         // has entered the batch
+	position     int          // prompt tokens in place
+	reusedTokens int          // of those, not computed here
+	heldBlocks   []block.Hash // cached blocks in use
 
 	frames   []engineapi.Frame
 	changed  chan struct{} // closed at the next change
@@ -32,26 +32,26 @@
 
 func newStream(req engineapi.CompletionRequest, arrival uint64) *stream {
 	return &stream{
-		req:     req,
-		digest:  digestPrompt(req.Prompt),
-		arrival: arrival,
-		chain:   block.Chain(req.CacheSalt, []byte(req.Prompt)),
-		tokens:  block.Tokens(len(req.Prompt)),
-		changed: make(chan struct{}),
+		req:          req,
+		digest:       digestPrompt(req.Prompt),
+		arrival:      arrival,
+		chain:        block.Chain(req.CacheSalt, []byte(req.Prompt)),
+		promptTokens: block.Tokens(len(req.Prompt)),
+		changed:      make(chan struct{}),
 	}
 }
 
-// before orders streams by priority, then arrival.
-func (s *stream) before(other *stream) int {
+// compare orders streams by priority, then arrival.
+func (s *stream) compare(other *stream) int {
 	if s.req.Priority != other.req.Priority {
 		return s.req.Priority - other.req.Priority
 	}
 	return int(int64(s.arrival) - int64(other.arrival))
 }
 
-func (s *stream) prefilled() bool { return s.position >= s.tokens }
+func (s *stream) prefilled() bool { return s.position >= s.promptTokens }
 
-func (s *stream) append(f engineapi.Frame) {
+func (s *stream) appendFrame(f engineapi.Frame) {
 	f.RequestID = s.req.RequestID
 	f.Version = s.req.Version
 	f.Seq = len(s.frames)
@@ -62,13 +62,13 @@
 
 // emitToken adds the next output token, and the last frame after the last token.
 func (s *stream) emitToken(now time.Time) {
-	s.append(engineapi.Frame{Text: s.digest.token(len(s.frames))})
+	s.appendFrame(engineapi.Frame{Text: s.digest.token(len(s.frames))})
 	if len(s.frames) < s.req.MaxTokens {
 		return
 	}
 	s.finish(now, &engineapi.Usage{
-		PromptTokens: s.tokens,
-		CachedTokens: s.reused,
+		PromptTokens: s.promptTokens,
+		CachedTokens: s.reusedTokens,
 		OutputTokens: s.req.MaxTokens,
 	}, nil)
 }
@@ -76,11 +76,11 @@
 func (s *stream) finish(now time.Time, usage *engineapi.Usage, failure *engineapi.Error) {
 	s.done = true
 	s.finished = now
-	s.append(engineapi.Frame{Done: true, Usage: usage, Error: failure})
+	s.appendFrame(engineapi.Frame{Done: true, Usage: usage, Error: failure})
 }
 
 func insertSorted(list []*stream, s *stream) []*stream {
-	i, _ := slices.BinarySearchFunc(list, s, (*stream).before)
+	i, _ := slices.BinarySearchFunc(list, s, (*stream).compare)
 	return slices.Insert(list, i, s)
 }
 
@@ -89,15 +89,15 @@
 func (e *Engine) acceptLocked(req engineapi.CompletionRequest) (*stream, *engineapi.Error) {
 	if old := e.streams[req.RequestID]; old != nil && !old.failed() {
 		if old.req != req {
-			return nil, refusal(engineapi.CodeBadRequest, "request id is in use for another request")
+			return nil, newError(engineapi.CodeBadRequest, "request id is in use for another request")
 		}
 		return old, nil
 	}
 	if req.Model != e.state.Model || req.Version != e.state.Version {
-		return nil, refusal(engineapi.CodeWrongVersion, "loaded is "+string(e.state.Model)+" "+string(e.state.Version))
+		return nil, newError(engineapi.CodeWrongVersion, "loaded is "+string(e.state.Model)+" "+string(e.state.Version))
 	}
-	if len(e.queue) >= e.o.MaxQueued {
-		return nil, refusal(engineapi.CodeBusy, "queue is full")
+	if len(e.queue) >= e.opts.MaxQueued {
+		return nil, newError(engineapi.CodeBusy, "queue is full")
 	}
 	e.arrivals++
 	s := newStream(req, e.arrivals)
@@ -124,50 +124,50 @@
 		Message: "cancelled by its caller",
 		Started: s.started,
 	})
-	e.dropDoneLocked()
+	e.removeDoneLocked()
 }
 
-// dropDoneLocked takes finished streams out of queue and batch.
-func (e *Engine) dropDoneLocked() {
+// removeDoneLocked takes finished streams out of queue and batch.
+func (e *Engine) removeDoneLocked() {
 	done := func(s *stream) bool { return s.done }
 	for _, s := range e.running {
 		if s.done {
-			e.cache.release(s.held)
-			s.held = nil
+			e.cache.release(s.heldBlocks)
+			s.heldBlocks = nil
 		}
 	}
 	e.running = slices.DeleteFunc(e.running, done)
 	e.queue = slices.DeleteFunc(e.queue, done)
 }
 
-// forgetLocked drops streams that finished long ago.
-func (e *Engine) forgetLocked(now time.Time) {
+// expireStreamsLocked drops streams that finished long ago.
+func (e *Engine) expireStreamsLocked(now time.Time) {
 	for id, s := range e.streams {
-		if s.done && now.Sub(s.finished) > e.o.KeepStreams {
+		if s.done && now.Sub(s.finished) > e.opts.StreamRetention {
 			delete(e.streams, id)
-			delete(e.swapped, id)
+			delete(e.swappedFrames, id)
 		}
 	}
 }
 
-// swapLocked returns the frame to send in place of f on s's connection: while a swap
+// swapFrameLocked returns the frame to send in place of f on s's connection: while a swap
 // is ordered, the newest frame of another open stream, which later gets f instead of
 // one of its own. Both keep their own request id, as a mix-up in a real engine would.
-func (e *Engine) swapLocked(s *stream, f engineapi.Frame) engineapi.Frame {
+func (e *Engine) swapFrameLocked(s *stream, f engineapi.Frame) engineapi.Frame {
 	id := s.req.RequestID
-	if owed, ok := e.swapped[id]; ok {
-		delete(e.swapped, id)
+	if owed, ok := e.swappedFrames[id]; ok {
+		delete(e.swappedFrames, id)
 		return owed
 	}
-	other := e.otherOpenLocked(s)
-	if other == nil || !e.switches.TakeSwap() {
+	other := e.otherRunningLocked(s)
+	if other == nil || !e.switches.TakeSwappedFrame() {
 		return f
 	}
-	e.swapped[other.req.RequestID] = f
+	e.swappedFrames[other.req.RequestID] = f
 	return other.frames[len(other.frames)-1]
 }
 
-func (e *Engine) otherOpenLocked(s *stream) *stream {
+func (e *Engine) otherRunningLocked(s *stream) *stream {
 	for _, other := range e.running {
 		if other != s && len(other.frames) > 0 {
 			return other
@@ -176,6 +176,6 @@
 	return nil
 }
 
-func refusal(code, message string) *engineapi.Error {
+func newError(code, message string) *engineapi.Error {
 	return &engineapi.Error{Code: code, Message: message}
 }
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -9,25 +9,25 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/vmlist"
 )
 
-const weightsTimeout = time.Second
+const weightStoreTimeout = time.Second
 
-// RemoteWeights is a WeightStore over HTTP. A store that does not answer slows nobody.
-type RemoteWeights struct {
+// RemoteWeightStore is a WeightStore over HTTP. A store that does not answer slows nobody.
+type RemoteWeightStore struct {
 	url    string
 	client *http.Client
 }
 
-// NewRemoteWeights reports to the VM list stand-in at address (host:port).
-func NewRemoteWeights(address string) *RemoteWeights {
-	return &RemoteWeights{
+// NewRemoteWeightStore reports to the VM list stand-in at address (host:port).
+func NewRemoteWeightStore(address string) *RemoteWeightStore {
+	return &RemoteWeightStore{
 		url:    "http://" + address + vmlist.PathWeights,
-		client: &http.Client{Timeout: weightsTimeout},
+		client: &http.Client{Timeout: weightStoreTimeout},
 	}
 }
 
 // Report implements WeightStore.
-func (r *RemoteWeights) Report(report vmlist.LoadReport) vmlist.LoadAnswer {
-	var answer vmlist.LoadAnswer
+func (r *RemoteWeightStore) Report(report vmlist.LoadReport) vmlist.LoadResponse {
+	var answer vmlist.LoadResponse
 	body, err := json.Marshal(report)
 	if err != nil {
 		return answer
@@ -38,7 +38,7 @@
 	}
 	defer resp.Body.Close()
 	if json.NewDecoder(resp.Body).Decode(&answer) != nil {
-		return vmlist.LoadAnswer{}
+		return vmlist.LoadResponse{}
 	}
 	return answer
 }
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -97,8 +97,8 @@
 	}
 
 	order(`{"silent":true}`)
-	if r.switches.Status().Silenced != 1 {
-		t.Fatalf("silenced %d connections", r.switches.Status().Silenced)
+	if r.switches.Status().Blackholed != 1 {
+		t.Fatalf("silenced %d connections", r.switches.Status().Blackholed)
 	}
 	old, stop := context.WithCancel(ctx)
 	silent := make(chan error, 1)
--- a/internal/standin/fault/listener.go
+++ b/internal/standin/fault/listener.go
@@ -40,12 +40,12 @@
 // either end writes, and stays open.
 type Conn struct {
 	net.Conn
-	switches *Switches
-	control  atomic.Bool // carries a request to /fault; exempt from all switches
-	silent   atomic.Bool
-	closing  context.Context
-	close    context.CancelFunc
-	once     sync.Once
+	switches   *Switches
+	control    atomic.Bool // carries a request to /fault; exempt from all switches
+	blackholed atomic.Bool
+	closing    context.Context
+	close      context.CancelFunc
+	once       sync.Once
 }
 
 func newConn(inner net.Conn, s *Switches) *Conn {
@@ -53,8 +53,8 @@
 	return &Conn{Conn: inner, switches: s, closing: closing, close: cancel}
 }
 
-func (c *Conn) silence() bool {
-	return !c.control.Load() && c.silent.CompareAndSwap(false, true)
+func (c *Conn) blackhole() bool {
+	return !c.control.Load() && c.blackholed.CompareAndSwap(false, true)
 }
 
 // Read implements net.Conn. A silent connection reads and discards, so that it still
@@ -65,7 +65,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if !c.silent.Load() {
+		if !c.blackholed.Load() {
 			return n, nil
 		}
 	}
@@ -74,10 +74,10 @@
 // Write implements net.Conn. A frozen stand-in's write waits.
 func (c *Conn) Write(p []byte) (int, error) {
 	if !c.control.Load() {
-		if err := c.switches.WaitThawed(c.closing); err != nil {
+		if err := c.switches.WaitUnfrozen(c.closing); err != nil {
 			return 0, net.ErrClosed
 		}
-		if c.silent.Load() {
+		if c.blackholed.Load() {
 			return len(p), nil
 		}
 	}
--- a/internal/standin/fault/middleware.go
+++ b/internal/standin/fault/middleware.go
@@ -28,7 +28,7 @@
 			s.serveControl(w, r)
 			return
 		}
-		s.serveFaulty(w, r, next)
+		s.serveWithFaults(w, r, next)
 	})
 }
 
@@ -53,12 +53,12 @@
 	json.NewEncoder(w).Encode(status)
 }
 
-func (s *Switches) serveFaulty(w http.ResponseWriter, r *http.Request, next http.Handler) {
-	if err := s.WaitThawed(r.Context()); err != nil {
+func (s *Switches) serveWithFaults(w http.ResponseWriter, r *http.Request, next http.Handler) {
+	if err := s.WaitUnfrozen(r.Context()); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	status := s.Status()
-	if status.Cut {
+	if status.CloseConns {
 		panic(http.ErrAbortHandler)
 	}
 	if sleep.For(r.Context(), time.Duration(status.DelayMillis)*time.Millisecond) != nil {
@@ -66,21 +66,21 @@
 	}
 	// A read takes no effect, so a lost answer is always that of a request that does:
 	// else the daemons' probes would use the switch up.
-	if r.Method != http.MethodGet && s.TakeLostAnswer() {
-		next.ServeHTTP(newDiscard(), r)
+	if r.Method != http.MethodGet && s.TakeDroppedResponse() {
+		next.ServeHTTP(newDiscardWriter(), r)
 		panic(http.ErrAbortHandler)
 	}
 	next.ServeHTTP(w, r)
 }
 
-// discard is a response that goes nowhere.
-type discard struct {
+// discardWriter is a response that goes nowhere.
+type discardWriter struct {
 	header http.Header
 }
 
-func newDiscard() *discard { return &discard{header: make(http.Header)} }
+func newDiscardWriter() *discardWriter { return &discardWriter{header: make(http.Header)} }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d *discard) WriteHeader(int)             {}
-func (d *discard) Flush()                      {}
+func (d *discardWriter) Header() http.Header         { return d.header }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) WriteHeader(int)             {}
+func (d *discardWriter) Flush()                      {}
--- a/internal/standin/fault/switches.go
+++ b/internal/standin/fault/switches.go
@@ -31,41 +31,41 @@
 
 // Status is the setting of all switches.
 type Status struct {
-	Frozen       bool    `json:"frozen"`
-	Slow         float64 `json:"slow"`           // factor on all simulated times
-	DelayMillis  int64   `json:"delay_ms"`       // before each request is handled
-	Cut          bool    `json:"cut"`            // each request's connection is closed
-	LoseAnswers  int     `json:"lose_answers"`   // next requests that take effect unanswered
-	LoseRate     float64 `json:"lose_rate"`      // share of further requests that do
-	SwapAnswers  int     `json:"swap_answers"`   // next pairs of frames to swap
-	SkipEvents   int     `json:"skip_events"`    // next cache events to leave out
-	SkipRate     float64 `json:"skip_rate"`      // share of further cache events to leave out
-	TearReads    int     `json:"tear_reads"`     // next object reads to answer with torn content
-	CrashMarker  string  `json:"crash_marker"`   // a prompt that contains it ends the stand-in
-	Leaving      bool    `json:"leaving"`        // reported as leaving
-	Full         bool    `json:"full"`           // refuses new objects for lack of room
-	RefuseMillis int64   `json:"refuse_ms"`      // last order to refuse connections, in milliseconds
-	Silenced     int     `json:"silenced_total"` // connections made silent so far
+	Frozen           bool    `json:"frozen"`
+	Slow             float64 `json:"slow"`           // factor on all simulated times
+	DelayMillis      int64   `json:"delay_ms"`       // before each request is handled
+	CloseConns       bool    `json:"cut"`            // each request's connection is closed
+	DropResponses    int     `json:"lose_answers"`   // next requests that take effect unanswered
+	DropResponseRate float64 `json:"lose_rate"`      // share of further requests that do
+	SwapFrames       int     `json:"swap_answers"`   // next pairs of frames to swap
+	SkipEvents       int     `json:"skip_events"`    // next cache events to leave out
+	SkipEventRate    float64 `json:"skip_rate"`      // share of further cache events to leave out
+	TearReads        int     `json:"tear_reads"`     // next object reads to answer with torn content
+	CrashMarker      string  `json:"crash_marker"`   // a prompt that contains it ends the stand-in
+	Leaving          bool    `json:"leaving"`        // reported as leaving
+	Full             bool    `json:"full"`           // refuses new objects for lack of room
+	RefuseMillis     int64   `json:"refuse_ms"`      // last order to refuse connections, in milliseconds
+	Blackholed       int     `json:"silenced_total"` // connections made silent so far
 }
 
 // Command changes switches; absent fields stay as they are.
 type Command struct {
-	Die          bool     `json:"die,omitempty"`
-	Freeze       *bool    `json:"freeze,omitempty"`
-	Slow         *float64 `json:"slow,omitempty"`
-	DelayMillis  *int64   `json:"delay_ms,omitempty"`
-	Cut          *bool    `json:"cut,omitempty"`
-	LoseAnswers  *int     `json:"lose_answers,omitempty"`
-	LoseRate     *float64 `json:"lose_rate,omitempty"`
-	SwapAnswers  *int     `json:"swap_answers,omitempty"`
-	SkipEvents   *int     `json:"skip_events,omitempty"`
-	SkipRate     *float64 `json:"skip_rate,omitempty"`
-	TearReads    *int     `json:"tear_reads,omitempty"`
-	CrashMarker  *string  `json:"crash_marker,omitempty"`
-	Leaving      *bool    `json:"leaving,omitempty"`
-	Full         *bool    `json:"full,omitempty"`
-	RefuseMillis *int64   `json:"refuse_ms,omitempty"` // close connections and refuse new ones for so long
-	Silent       bool     `json:"silent,omitempty"`    // make all open connections silent for good
+	Die              bool     `json:"die,omitempty"`
+	Freeze           *bool    `json:"freeze,omitempty"`
+	Slow             *float64 `json:"slow,omitempty"`
+	DelayMillis      *int64   `json:"delay_ms,omitempty"`
+	CloseConns       *bool    `json:"cut,omitempty"`
+	DropResponses    *int     `json:"lose_answers,omitempty"`
+	DropResponseRate *float64 `json:"lose_rate,omitempty"`
+	SwapFrames       *int     `json:"swap_answers,omitempty"`
+	SkipEvents       *int     `json:"skip_events,omitempty"`
+	SkipEventRate    *float64 `json:"skip_rate,omitempty"`
+	TearReads        *int     `json:"tear_reads,omitempty"`
+	CrashMarker      *string  `json:"crash_marker,omitempty"`
+	Leaving          *bool    `json:"leaving,omitempty"`
+	Full             *bool    `json:"full,omitempty"`
+	RefuseMillis     *int64   `json:"refuse_ms,omitempty"` // close connections and refuse new ones for so long
+	Blackhole        bool     `json:"silent,omitempty"`    // make all open connections silent for good
 }
 
 // Switches holds the faults of one stand-in. It is safe for concurrent use.
@@ -75,7 +75,7 @@
 	mu          sync.Mutex
 	rng         *rand.Rand
 	status      Status
-	thawed      chan struct{} // closed while not frozen
+	unfrozen    chan struct{} // closed while not frozen
 	refuseUntil time.Time
 	conns       map[*Conn]struct{}
 }
@@ -85,11 +85,11 @@
 	thawed := make(chan struct{})
 	close(thawed)
 	s := &Switches{
-		die:    o.Die,
-		rng:    rand.New(rand.NewSource(o.Seed)),
-		status: Status{Slow: 1},
-		thawed: thawed,
-		conns:  make(map[*Conn]struct{}),
+		die:      o.Die,
+		rng:      rand.New(rand.NewSource(o.Seed)),
+		status:   Status{Slow: 1},
+		unfrozen: thawed,
+		conns:    make(map[*Conn]struct{}),
 	}
 	if s.die == nil {
 		s.die = func() { os.Exit(exitCode) }
@@ -117,24 +117,24 @@
 	if c.Freeze != nil {
 		s.freezeLocked(*c.Freeze)
 	}
-	set(&s.status.Slow, c.Slow)
-	set(&s.status.DelayMillis, c.DelayMillis)
-	set(&s.status.Cut, c.Cut)
-	set(&s.status.LoseAnswers, c.LoseAnswers)
-	set(&s.status.LoseRate, c.LoseRate)
-	set(&s.status.SwapAnswers, c.SwapAnswers)
-	set(&s.status.SkipEvents, c.SkipEvents)
-	set(&s.status.SkipRate, c.SkipRate)
-	set(&s.status.TearReads, c.TearReads)
-	set(&s.status.CrashMarker, c.CrashMarker)
-	set(&s.status.Leaving, c.Leaving)
-	set(&s.status.Full, c.Full)
-	set(&s.status.RefuseMillis, c.RefuseMillis)
+	setIfPresent(&s.status.Slow, c.Slow)
+	setIfPresent(&s.status.DelayMillis, c.DelayMillis)
+	setIfPresent(&s.status.CloseConns, c.CloseConns)
+	setIfPresent(&s.status.DropResponses, c.DropResponses)
+	setIfPresent(&s.status.DropResponseRate, c.DropResponseRate)
+	setIfPresent(&s.status.SwapFrames, c.SwapFrames)
+	setIfPresent(&s.status.SkipEvents, c.SkipEvents)
+	setIfPresent(&s.status.SkipEventRate, c.SkipEventRate)
+	setIfPresent(&s.status.TearReads, c.TearReads)
+	setIfPresent(&s.status.CrashMarker, c.CrashMarker)
+	setIfPresent(&s.status.Leaving, c.Leaving)
+	setIfPresent(&s.status.Full, c.Full)
+	setIfPresent(&s.status.RefuseMillis, c.RefuseMillis)
 	if c.RefuseMillis != nil {
 		s.refuseUntil = time.Now().Add(time.Duration(*c.RefuseMillis) * time.Millisecond)
 	}
-	if c.Silent {
-		s.silenceLocked()
+	if c.Blackhole {
+		s.blackholeLocked()
 	}
 	closing := s.connsToCloseLocked(c)
 	status, die := s.status, s.die
@@ -149,7 +149,7 @@
 	return status
 }
 
-func set[T any](field *T, value *T) {
+func setIfPresent[T any](field *T, value *T) {
 	if value != nil {
 		*field = *value
 	}
@@ -158,23 +158,23 @@
 func (s *Switches) freezeLocked(freeze bool) {
 	switch {
 	case freeze && !s.status.Frozen:
-		s.thawed = make(chan struct{})
+		s.unfrozen = make(chan struct{})
 	case !freeze && s.status.Frozen:
-		close(s.thawed)
+		close(s.unfrozen)
 	}
 	s.status.Frozen = freeze
 }
 
-func (s *Switches) silenceLocked() {
+func (s *Switches) blackholeLocked() {
 	for conn := range s.conns {
-		if conn.silence() {
-			s.status.Silenced++
+		if conn.blackhole() {
+			s.status.Blackholed++
 		}
 	}
 }
 
 func (s *Switches) connsToCloseLocked(c Command) []*Conn {
-	cut := c.Cut != nil && *c.Cut
+	cut := c.CloseConns != nil && *c.CloseConns
 	refuse := c.RefuseMillis != nil && *c.RefuseMillis > 0
 	if !cut && !refuse {
 		return nil
@@ -188,10 +188,10 @@
 	return closing
 }
 
-// WaitThawed returns once the stand-in is not frozen, or with the context's error.
-func (s *Switches) WaitThawed(ctx context.Context) error {
+// WaitUnfrozen returns once the stand-in is not frozen, or with the context's error.
+func (s *Switches) WaitUnfrozen(ctx context.Context) error {
 	s.mu.Lock()
-	thawed := s.thawed
+	thawed := s.unfrozen
 	s.mu.Unlock()
 	select {
 	case <-thawed:
@@ -206,25 +206,25 @@
 	return time.Duration(float64(d) * s.Status().Slow)
 }
 
-// TakeLostAnswer tells whether this request's answer is to be lost, and counts it.
-func (s *Switches) TakeLostAnswer() bool {
+// TakeDroppedResponse tells whether this request's answer is to be lost, and counts it.
+func (s *Switches) TakeDroppedResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.takeLocked(&s.status.LoseAnswers, s.status.LoseRate)
+	return s.takeLocked(&s.status.DropResponses, s.status.DropResponseRate)
 }
 
-// TakeSwap tells whether this frame is to be swapped, and counts it.
-func (s *Switches) TakeSwap() bool {
+// TakeSwappedFrame tells whether this frame is to be swapped, and counts it.
+func (s *Switches) TakeSwappedFrame() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.takeLocked(&s.status.SwapAnswers, 0)
+	return s.takeLocked(&s.status.SwapFrames, 0)
 }
 
 // TakeSkippedEvent tells whether this cache event is to be left out, and counts it.
 func (s *Switches) TakeSkippedEvent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.takeLocked(&s.status.SkipEvents, s.status.SkipRate)
+	return s.takeLocked(&s.status.SkipEvents, s.status.SkipEventRate)
 }
 
 // TakeTornRead tells whether this object read is to be torn, and counts it.
@@ -242,9 +242,9 @@
 	return rate > 0 && s.rng.Float64() < rate
 }
 
-// CrashIfMarked ends the stand-in if text contains the crash marker, and tells
+// CrashOnMarker ends the stand-in if text contains the crash marker, and tells
 // whether it did.
-func (s *Switches) CrashIfMarked(text string) bool {
+func (s *Switches) CrashOnMarker(text string) bool {
 	s.mu.Lock()
 	marker, die := s.status.CrashMarker, s.die
 	s.mu.Unlock()
--- a/internal/standin/kv/core.go
+++ b/internal/standin/kv/core.go
@@ -175,14 +175,14 @@
 // expireLocked visits leases in a fixed order, so that revisions repeat with a seed.
 func (c *Core) expireLocked() {
 	now := c.now()
-	var lapsed []string
+	var expired []string
 	for id, l := range c.leases {
 		if !now.Before(l.expires) {
-			lapsed = append(lapsed, id)
+			expired = append(expired, id)
 		}
 	}
-	sort.Strings(lapsed)
-	for _, id := range lapsed {
+	sort.Strings(expired)
+	for _, id := range expired {
 		c.endLeaseLocked(id)
 	}
 }
--- a/internal/standin/kv/fake.go
+++ b/internal/standin/kv/fake.go
@@ -21,8 +21,8 @@
 	// FaultUnavailable fails the call without effect; a write reports ErrUncertain,
 	// since its caller can't tell.
 	FaultUnavailable
-	// FaultLostAnswer lets a write take effect and reports ErrUncertain.
-	FaultLostAnswer
+	// FaultDroppedResponse lets a write take effect and reports ErrUncertain.
+	FaultDroppedResponse
 	// FaultDelayed holds a write back and reports ErrUncertain; Deliver lets it reach
 	// the service later, as a slow network would.
 	FaultDelayed
@@ -35,9 +35,9 @@
 // Fake is the service in the same process. Its switches and hook set faults.
 type Fake struct {
 	*switches
-	core  *Core
-	hook  Hook
-	after func(client string)
+	core      *Core
+	hook      Hook
+	afterCall func(client string)
 
 	delayedMu sync.Mutex
 	delayed   []kvapi.CASRequest
@@ -54,9 +54,9 @@
 // SetHook sets the fault hook; call it before the fake is used.
 func (f *Fake) SetHook(h Hook) { f.hook = h }
 
-// SetAfter sets a hook that runs after each call took effect and before its caller
+// SetAfterCall sets a hook that runs after each call took effect and before its caller
 // sees the answer; call it before the fake is used.
-func (f *Fake) SetAfter(after func(client string)) { f.after = after }
+func (f *Fake) SetAfterCall(after func(client string)) { f.afterCall = after }
 
 // Deliver lets the i-th delayed write reach the service. It reports false if there
 // is none.
@@ -92,18 +92,18 @@
 
 var _ platform.KV = (*fakeClient)(nil)
 
-func (c *fakeClient) settled() {
-	if c.f.after != nil {
-		c.f.after(c.id)
+func (c *fakeClient) runAfterCall() {
+	if c.f.afterCall != nil {
+		c.f.afterCall(c.id)
 	}
 }
 
-func (c *fakeClient) fault(ctx context.Context, write bool, key string, bytes int) Fault {
-	cl := classRead
+func (c *fakeClient) nextFault(ctx context.Context, write bool, key string, bytes int) Fault {
+	class := classRead
 	if write {
-		cl = classWrite
+		class = classWrite
 	}
-	slow, reachable := c.f.arrive(c.id, cl, bytes)
+	slow, reachable := c.f.recordCall(c.id, class, bytes)
 	if !reachable || sleep.For(ctx, slow) != nil {
 		return FaultUnavailable
 	}
@@ -112,19 +112,19 @@
 			return fault
 		}
 	}
-	if write && c.f.loseAnswer() {
-		return FaultLostAnswer
+	if write && c.f.takeDroppedResponse() {
+		return FaultDroppedResponse
 	}
 	return FaultNone
 }
 
 // Get implements platform.KV.
 func (c *fakeClient) Get(ctx context.Context, key string) (platform.Entry, error) {
-	if c.fault(ctx, false, key, 0) != FaultNone {
+	if c.nextFault(ctx, false, key, 0) != FaultNone {
 		return platform.Entry{}, platform.ErrUnavailable
 	}
 	e, err := c.f.core.Get(key)
-	c.settled()
+	c.runAfterCall()
 	if err != nil {
 		return platform.Entry{}, platform.ErrNotFound
 	}
@@ -133,12 +133,12 @@
 
 // List implements platform.KV.
 func (c *fakeClient) List(ctx context.Context, prefix string) ([]platform.Entry, platform.Revision, error) {
-	if c.fault(ctx, false, prefix, 0) != FaultNone {
+	if c.nextFault(ctx, false, prefix, 0) != FaultNone {
 		return nil, 0, platform.ErrUnavailable
 	}
 	out := c.f.core.List(prefix)
-	c.settled()
-	return fromAPIAll(out.Entries), platform.Revision(out.Revision), nil
+	c.runAfterCall()
+	return fromAPIEntries(out.Entries), platform.Revision(out.Revision), nil
 }
 
 // CompareAndSwap implements platform.KV.
@@ -153,7 +153,7 @@
 }
 
 func (c *fakeClient) write(ctx context.Context, req kvapi.CASRequest) (platform.Revision, error) {
-	fault := c.fault(ctx, true, req.Key, len(req.Value))
+	fault := c.nextFault(ctx, true, req.Key, len(req.Value))
 	switch fault {
 	case FaultUnavailable:
 		return 0, platform.ErrUncertain
@@ -162,8 +162,8 @@
 		return 0, platform.ErrUncertain
 	}
 	revision, err := c.f.core.CompareAndSwap(req)
-	c.settled()
-	if fault == FaultLostAnswer {
+	c.runAfterCall()
+	if fault == FaultDroppedResponse {
 		return 0, platform.ErrUncertain
 	}
 	var conflict *conflictError
@@ -181,28 +181,28 @@
 
 // Watch implements platform.KV. The wait is by the real clock.
 func (c *fakeClient) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]platform.Entry, platform.Revision, error) {
-	slow, reachable := c.f.arrive(c.id, classWatch, 0)
+	slow, reachable := c.f.recordCall(c.id, classWatch, 0)
 	if !reachable || sleep.For(ctx, slow) != nil {
 		return nil, 0, platform.ErrUnavailable
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	out := c.f.core.await(waitCtx, prefix, uint64(after))
+	out := c.f.core.waitForChanges(waitCtx, prefix, uint64(after))
 	if ctx.Err() != nil {
 		return nil, 0, errors.Mark(ctx.Err(), platform.ErrUnavailable)
 	}
-	return fromAPIAll(out.Entries), platform.Revision(out.Revision), nil
+	return fromAPIEntries(out.Entries), platform.Revision(out.Revision), nil
 }
 
 // GrantLease implements platform.KV.
 func (c *fakeClient) GrantLease(ctx context.Context, ttl time.Duration) (platform.LeaseID, error) {
-	fault := c.fault(ctx, true, "", 0)
+	fault := c.nextFault(ctx, true, "", 0)
 	if fault == FaultUnavailable || fault == FaultDelayed {
 		return "", platform.ErrUnavailable
 	}
 	id := c.f.core.Grant(ttl)
-	c.settled()
-	if fault == FaultLostAnswer {
+	c.runAfterCall()
+	if fault == FaultDroppedResponse {
 		return "", platform.ErrUnavailable
 	}
 	return platform.LeaseID(id), nil
@@ -210,14 +210,14 @@
 
 // KeepAlive implements platform.KV.
 func (c *fakeClient) KeepAlive(ctx context.Context, id platform.LeaseID) error {
-	fault := c.fault(ctx, true, "", 0)
+	fault := c.nextFault(ctx, true, "", 0)
 	if fault == FaultUnavailable || fault == FaultDelayed {
 		return platform.ErrUnavailable
 	}
 	_, err := c.f.core.KeepAlive(string(id))
-	c.settled()
+	c.runAfterCall()
 	switch {
-	case fault == FaultLostAnswer:
+	case fault == FaultDroppedResponse:
 		return platform.ErrUnavailable
 	case err != nil:
 		return platform.ErrNotFound
@@ -227,7 +227,7 @@
 
 // RevokeLease implements platform.KV.
 func (c *fakeClient) RevokeLease(ctx context.Context, id platform.LeaseID) error {
-	if c.fault(ctx, true, "", 0) == FaultUnavailable {
+	if c.nextFault(ctx, true, "", 0) == FaultUnavailable {
 		return platform.ErrUnavailable
 	}
 	c.f.core.Revoke(string(id))
@@ -244,7 +244,7 @@
 	}
 }
 
-func fromAPIAll(in []kvapi.Entry) []platform.Entry {
+func fromAPIEntries(in []kvapi.Entry) []platform.Entry {
 	out := make([]platform.Entry, 0, len(in))
 	for _, e := range in {
 		out = append(out, fromAPI(e))
--- a/internal/standin/kv/server.go
+++ b/internal/standin/kv/server.go
@@ -107,7 +107,7 @@
 	s.mux.HandleFunc("POST "+kvapi.PathGrant, s.guard(classWrite, s.grant))
 	s.mux.HandleFunc("POST "+kvapi.PathKeepAlive, s.guard(classWrite, s.keepAlive))
 	s.mux.HandleFunc("POST "+kvapi.PathRevoke, s.guard(classWrite, s.revoke))
-	s.mux.HandleFunc("POST "+PathFault, s.fault)
+	s.mux.HandleFunc("POST "+PathFault, s.setFaults)
 	s.mux.HandleFunc("GET "+PathCounts, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, s.Counts())
 	})
@@ -115,14 +115,14 @@
 
 // guard counts a call and applies rates and faults. A cut connection is closed
 // without an answer, as a caller of an unreachable service would see it.
-func (s *Server) guard(c class, next http.HandlerFunc) http.HandlerFunc {
+func (s *Server) guard(c callClass, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		slow, reachable := s.arrive(r.Header.Get(ClientHeader), c, max(0, int(r.ContentLength)))
+		slow, reachable := s.recordCall(r.Header.Get(ClientHeader), c, max(0, int(r.ContentLength)))
 		if !reachable {
 			panic(http.ErrAbortHandler)
 		}
 		if !s.allow(c) {
-			s.reject()
+			s.recordRejected()
 			writeJSON(w, http.StatusTooManyRequests, struct{}{})
 			return
 		}
@@ -134,7 +134,7 @@
 	}
 }
 
-func (s *Server) allow(c class) bool {
+func (s *Server) allow(c callClass) bool {
 	if c == classWrite {
 		return s.writes.Allow()
 	}
@@ -147,14 +147,14 @@
 		writeJSON(w, http.StatusNotFound, struct{}{})
 		return
 	}
-	s.sent(len(e.Value))
+	s.recordBytes(len(e.Value))
 	writeJSON(w, http.StatusOK, e)
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	out := s.core.List(r.URL.Query().Get("prefix"))
 	for _, e := range out.Entries {
-		s.sent(len(e.Value))
+		s.recordBytes(len(e.Value))
 	}
 	writeJSON(w, http.StatusOK, out)
 }
@@ -166,18 +166,18 @@
 	wait := min(time.Duration(millis)*time.Millisecond, maxWatch)
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
-	out := s.core.await(ctx, q.Get("prefix"), after)
+	out := s.core.waitForChanges(ctx, q.Get("prefix"), after)
 	if r.Context().Err() != nil {
 		return
 	}
 	for _, e := range out.Entries {
-		s.sent(len(e.Value))
+		s.recordBytes(len(e.Value))
 	}
 	writeJSON(w, http.StatusOK, out)
 }
 
-// await returns the changes after a revision, or none when ctx ends first.
-func (c *Core) await(ctx context.Context, prefix string, after uint64) kvapi.WatchResponse {
+// waitForChanges returns the changes after a revision, or none when ctx ends first.
+func (c *Core) waitForChanges(ctx context.Context, prefix string, after uint64) kvapi.WatchResponse {
 	for {
 		out, changed := c.Changes(prefix, after)
 		if len(out.Entries) > 0 {
@@ -194,11 +194,11 @@
 func (s *Server) cas(w http.ResponseWriter, r *http.Request) {
 	var req kvapi.CASRequest
 	if !readJSON(w, r, &req) {
-		s.reject()
+		s.recordRejected()
 		return
 	}
 	revision, err := s.core.CompareAndSwap(req)
-	if s.loseAnswer() {
+	if s.takeDroppedResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	var conflict *conflictError
@@ -208,7 +208,7 @@
 	case errors.As(err, &conflict):
 		writeJSON(w, http.StatusConflict, kvapi.CASResponse{Current: &conflict.current})
 	case errors.Is(err, errTooLarge):
-		s.reject()
+		s.recordRejected()
 		writeJSON(w, http.StatusRequestEntityTooLarge, struct{}{})
 	default:
 		writeJSON(w, http.StatusNotFound, struct{}{})
@@ -221,7 +221,7 @@
 		return
 	}
 	id := s.core.Grant(time.Duration(req.TTLMillis) * time.Millisecond)
-	s.answerLease(w, kvapi.LeaseResponse{ID: id, TTLMillis: req.TTLMillis})
+	s.writeLeaseResponse(w, kvapi.LeaseResponse{ID: id, TTLMillis: req.TTLMillis})
 }
 
 func (s *Server) keepAlive(w http.ResponseWriter, r *http.Request) {
@@ -234,7 +234,7 @@
 		writeJSON(w, http.StatusNotFound, struct{}{})
 		return
 	}
-	s.answerLease(w, kvapi.LeaseResponse{ID: req.ID, TTLMillis: ttl.Milliseconds()})
+	s.writeLeaseResponse(w, kvapi.LeaseResponse{ID: req.ID, TTLMillis: ttl.Milliseconds()})
 }
 
 func (s *Server) revoke(w http.ResponseWriter, r *http.Request) {
@@ -243,17 +243,17 @@
 		return
 	}
 	s.core.Revoke(req.ID)
-	s.answerLease(w, kvapi.LeaseResponse{ID: req.ID})
+	s.writeLeaseResponse(w, kvapi.LeaseResponse{ID: req.ID})
 }
 
-func (s *Server) answerLease(w http.ResponseWriter, resp kvapi.LeaseResponse) {
-	if s.loseAnswer() {
+func (s *Server) writeLeaseResponse(w http.ResponseWriter, resp kvapi.LeaseResponse) {
+	if s.takeDroppedResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, http.StatusOK, resp)
 }
 
-func (s *Server) fault(w http.ResponseWriter, r *http.Request) {
+func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
 	var req FaultRequest
 	if !readJSON(w, r, &req) {
 		return
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -26,8 +26,8 @@
 // maxBody is the largest call body in bytes.
 const maxBody = 8 << 20
 
-// Answer is the result of a call.
-type Answer struct {
+// Response is the result of a call.
+type Response struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
 	Key     string `json:"key"`
@@ -79,7 +79,7 @@
 	return maps.Clone(s.executions)
 }
 
-func (s *Service) execute(key string) uint64 {
+func (s *Service) recordExecution(key string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.executions[key]++
@@ -93,15 +93,15 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if s.switches.CrashIfMarked(string(body)) {
+	if s.switches.CrashOnMarker(string(body)) {
 		panic(http.ErrAbortHandler)
 	}
 	key := r.Header.Get(HeaderKey)
-	answer := Answer{
+	answer := Response{
 		Service: r.PathValue("name"),
 		Path:    r.PathValue("rest"),
 		Key:     key,
-		Serial:  s.execute(key),
+		Serial:  s.recordExecution(key),
 		Bytes:   len(body),
 	}
 	// The execution stands from here on, even if its caller goes away.
--- a/internal/standin/store/handler.go
+++ b/internal/standin/store/handler.go
@@ -61,11 +61,11 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := s.link.carry(r.Context(), length, s.switches.Status().Slow); err != nil {
+	if err := s.link.transfer(r.Context(), length, s.switches.Status().Slow); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	if err := s.put(name, content, digest, length); err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -91,16 +91,16 @@
 	}
 	o, err := s.get(name, r.URL.Query().Get("peek") != "")
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	slow := s.switches.Status().Slow
 	if o.tier == storeapi.TierDisk {
-		if err := s.disk.carry(r.Context(), o.length, slow); err != nil {
+		if err := s.disk.transfer(r.Context(), o.length, slow); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
-	if err := s.link.carry(r.Context(), o.length, slow); err != nil {
+	if err := s.link.transfer(r.Context(), o.length, slow); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	content := o.content
@@ -120,7 +120,7 @@
 		return
 	}
 	if err := s.free(name); err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -140,10 +140,10 @@
 	for _, name := range req.Names {
 		moved, err := s.move(name, req.Tier)
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
-		if err := s.disk.carry(r.Context(), moved, s.switches.Status().Slow); err != nil {
+		if err := s.disk.transfer(r.Context(), moved, s.switches.Status().Slow); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -160,7 +160,7 @@
 	until := time.Now().Add(time.Duration(req.TTLMillis) * time.Millisecond)
 	for _, name := range req.Names {
 		if err := s.pin(name, until); err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 	}
@@ -183,12 +183,12 @@
 	json.NewEncoder(w).Encode(storeapi.ListResponse{Objects: s.list(q.Get("prefix"), q.Get("contains"), limit)})
 }
 
-func refuse(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusInternalServerError
 	switch {
 	case errors.Is(err, errAbsent):
 		status = http.StatusNotFound
-	case errors.Is(err, errGone):
+	case errors.Is(err, errFreed):
 		status = http.StatusGone
 	case errors.Is(err, errExists), errors.Is(err, errPinned):
 		status = http.StatusConflict
--- a/internal/standin/store/link.go
+++ b/internal/standin/store/link.go
@@ -10,14 +10,14 @@
 type link struct {
 	mu          sync.Mutex
 	bytesPerSec float64
-	free        time.Time // when the last transfer in the queue ends
+	busyUntil   time.Time // when the last transfer in the queue ends
 }
 
 func newLink(bytesPerSec float64) *link { return &link{bytesPerSec: bytesPerSec} }
 
-// carry waits until n bytes have passed; slow divides the link's speed. A transfer
+// transfer waits until n bytes have passed; slow divides the link's speed. A transfer
 // whose caller goes away has still taken its place in the queue.
-func (l *link) carry(ctx context.Context, n int64, slow float64) error {
+func (l *link) transfer(ctx context.Context, n int64, slow float64) error {
 	end := l.reserve(time.Now(), n, slow)
 	wait := time.Until(end)
 	if wait <= 0 {
@@ -36,21 +36,21 @@
 func (l *link) reserve(now time.Time, n int64, slow float64) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.free.Before(now) {
-		l.free = now
+	if l.busyUntil.Before(now) {
+		l.busyUntil = now
 	}
 	if l.bytesPerSec > 0 {
 		seconds := float64(n) * slow / l.bytesPerSec
-		l.free = l.free.Add(time.Duration(seconds * float64(time.Second)))
+		l.busyUntil = l.busyUntil.Add(time.Duration(seconds * float64(time.Second)))
 	}
-	return l.free
+	return l.busyUntil
 }
 
-// queued returns how many bytes wait at now.
-func (l *link) queued(now time.Time, slow float64) int64 {
+// queuedBytes returns how many bytes wait at now.
+func (l *link) queuedBytes(now time.Time, slow float64) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	wait := l.free.Sub(now)
+	wait := l.busyUntil.Sub(now)
 	if wait <= 0 {
 		return 0
 	}
--- a/internal/standin/store/link_test.go
+++ b/internal/standin/store/link_test.go
@@ -14,7 +14,7 @@
 			t.Fatalf("transfer %d ends after %v, want %v", i, got, want)
 		}
 	}
-	if got := l.queued(now, 1); got != 2500 {
+	if got := l.queuedBytes(now, 1); got != 2500 {
 		t.Fatalf("queued %d", got)
 	}
 	if got := l.reserve(now, 100, 10).Sub(now); got != 3500*time.Millisecond {
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -19,7 +19,7 @@
 // Errors of Store.
 var (
 	errAbsent = errors.New("store: no such object")
-	errGone   = errors.New("store: name was freed")
+	errFreed  = errors.New("store: name was freed")
 	errExists = errors.New("store: name holds other content")
 	errFull   = errors.New("store: full")
 	errPinned = errors.New("store: pinned")
@@ -39,21 +39,21 @@
 }
 
 type object struct {
-	name    string
-	content []byte
-	digest  string
-	length  int64 // bytes charged
-	tier    storeapi.Tier
-	pinned  time.Time // until then
-	used    time.Time // last read or write
-	place   *list.Element
+	name        string
+	content     []byte
+	digest      string
+	length      int64 // bytes charged
+	tier        storeapi.Tier
+	pinnedUntil time.Time // until then
+	lastUsed    time.Time // last read or write
+	element     *list.Element
 }
 
 // tier is one kind of room. Its order is by use, most recent first.
 type tier struct {
-	total int64
-	used  int64
-	order *list.List
+	capacity int64
+	used     int64
+	order    *list.List
 }
 
 // Store is the stand-in's state.
@@ -65,7 +65,7 @@
 
 	mu       sync.Mutex
 	objects  map[string]*object
-	gone     map[string]struct{}
+	freed    map[string]struct{}
 	tiers    map[storeapi.Tier]*tier
 	bytesIn  int64
 	bytesOut int64
@@ -83,10 +83,10 @@
 		link:     newLink(o.LinkBytesPerSec / scale),
 		disk:     newLink(o.DiskBytesPerSec / scale),
 		objects:  make(map[string]*object),
-		gone:     make(map[string]struct{}),
+		freed:    make(map[string]struct{}),
 		tiers: map[storeapi.Tier]*tier{
-			storeapi.TierMemory: {total: o.MemoryBytes, order: list.New()},
-			storeapi.TierDisk:   {total: o.DiskBytes, order: list.New()},
+			storeapi.TierMemory: {capacity: o.MemoryBytes, order: list.New()},
+			storeapi.TierDisk:   {capacity: o.DiskBytes, order: list.New()},
 		},
 	}
 	if s.switches == nil {
@@ -99,8 +99,8 @@
 func (s *Store) put(name string, content []byte, digest string, length int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.gone[name]; ok {
-		return errGone
+	if _, ok := s.freed[name]; ok {
+		return errFreed
 	}
 	if old, ok := s.objects[name]; ok {
 		if old.digest != digest || old.length != length {
@@ -111,12 +111,12 @@
 	if s.switches.Status().Full {
 		return errFull
 	}
-	if err := s.makeRoomLocked(storeapi.TierMemory, length, time.Now()); err != nil {
+	if err := s.makeSpaceLocked(storeapi.TierMemory, length, time.Now()); err != nil {
 		return err
 	}
-	o := &object{name: name, content: content, digest: digest, length: length, used: time.Now()}
+	o := &object{name: name, content: content, digest: digest, length: length, lastUsed: time.Now()}
 	s.objects[name] = o
-	s.enterLocked(o, storeapi.TierMemory)
+	s.addToTierLocked(o, storeapi.TierMemory)
 	s.bytesIn += length
 	return nil
 }
@@ -130,8 +130,8 @@
 		return object{}, err
 	}
 	if !peek {
-		s.tiers[o.tier].order.MoveToFront(o.place)
-		o.used = time.Now()
+		s.tiers[o.tier].order.MoveToFront(o.element)
+		o.lastUsed = time.Now()
 	}
 	s.bytesOut += o.length
 	return *o, nil
@@ -145,7 +145,7 @@
 	now := time.Now()
 	for name, o := range s.objects {
 		if strings.HasPrefix(name, prefix) && strings.Contains(name, contains) {
-			out = append(out, storeapi.Listed{Name: name, Tier: o.tier, IdleMillis: now.Sub(o.used).Milliseconds()})
+			out = append(out, storeapi.Listed{Name: name, Tier: o.tier, IdleMillis: now.Sub(o.lastUsed).Milliseconds()})
 		}
 	}
 	slices.SortFunc(out, func(a, b storeapi.Listed) int {
@@ -158,8 +158,8 @@
 	if o, ok := s.objects[name]; ok {
 		return o, nil
 	}
-	if _, ok := s.gone[name]; ok {
-		return nil, errGone
+	if _, ok := s.freed[name]; ok {
+		return nil, errFreed
 	}
 	return nil, errAbsent
 }
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	if time.Now().Before(o.pinned) {
+	if time.Now().Before(o.pinnedUntil) {
 		return errPinned
 	}
 	s.freeLocked(o)
@@ -180,9 +180,9 @@
 }
 
 func (s *Store) freeLocked(o *object) {
-	s.leaveLocked(o)
+	s.removeFromTierLocked(o)
 	delete(s.objects, o.name)
-	s.gone[o.name] = struct{}{}
+	s.freed[o.name] = struct{}{}
 }
 
 // move brings an object to a tier and returns the bytes moved.
@@ -196,11 +196,11 @@
 	if o.tier == to {
 		return 0, nil
 	}
-	if err := s.makeRoomLocked(to, o.length, time.Now()); err != nil {
+	if err := s.makeSpaceLocked(to, o.length, time.Now()); err != nil {
 		return 0, err
 	}
-	s.leaveLocked(o)
-	s.enterLocked(o, to)
+	s.removeFromTierLocked(o)
+	s.addToTierLocked(o, to)
 	return o.length, nil
 }
 
@@ -212,18 +212,18 @@
 	if err != nil {
 		return err
 	}
-	if until.After(o.pinned) {
-		o.pinned = until
+	if until.After(o.pinnedUntil) {
+		o.pinnedUntil = until
 	}
 	return nil
 }
 
-func (s *Store) makeRoomLocked(name storeapi.Tier, length int64, now time.Time) error {
+func (s *Store) makeSpaceLocked(name storeapi.Tier, length int64, now time.Time) error {
 	t := s.tiers[name]
-	if length > t.total {
+	if length > t.capacity {
 		return errFull
 	}
-	for t.used+length > t.total {
+	for t.used+length > t.capacity {
 		if !s.evict {
 			return errFull
 		}
@@ -237,12 +237,12 @@
 func (s *Store) evictOneLocked(name storeapi.Tier, now time.Time) error {
 	for e := s.tiers[name].order.Back(); e != nil; e = e.Prev() {
 		o := e.Value.(*object)
-		if now.Before(o.pinned) {
+		if now.Before(o.pinnedUntil) {
 			continue
 		}
-		if name == storeapi.TierMemory && s.makeRoomLocked(storeapi.TierDisk, o.length, now) == nil {
-			s.leaveLocked(o)
-			s.enterLocked(o, storeapi.TierDisk)
+		if name == storeapi.TierMemory && s.makeSpaceLocked(storeapi.TierDisk, o.length, now) == nil {
+			s.removeFromTierLocked(o)
+			s.addToTierLocked(o, storeapi.TierDisk)
 			return nil
 		}
 		s.freeLocked(o)
@@ -251,16 +251,16 @@
 	return errFull
 }
 
-func (s *Store) enterLocked(o *object, name storeapi.Tier) {
+func (s *Store) addToTierLocked(o *object, name storeapi.Tier) {
 	t := s.tiers[name]
 	o.tier = name
-	o.place = t.order.PushFront(o)
+	o.element = t.order.PushFront(o)
 	t.used += o.length
 }
 
-func (s *Store) leaveLocked(o *object) {
+func (s *Store) removeFromTierLocked(o *object) {
 	t := s.tiers[o.tier]
-	t.order.Remove(o.place)
+	t.order.Remove(o.element)
 	t.used -= o.length
 }
 
@@ -272,11 +272,11 @@
 	memory, disk := s.tiers[storeapi.TierMemory], s.tiers[storeapi.TierDisk]
 	return storeapi.Status{
 		MemoryUsed:      memory.used,
-		MemoryTotal:     memory.total,
+		MemoryTotal:     memory.capacity,
 		DiskUsed:        disk.used,
-		DiskTotal:       disk.total,
+		DiskTotal:       disk.capacity,
 		LinkBytesPerSec: int64(s.link.bytesPerSec / slow),
-		LinkQueueBytes:  s.link.queued(time.Now(), slow),
+		LinkQueueBytes:  s.link.queuedBytes(time.Now(), slow),
 		BytesOut:        s.bytesOut,
 		BytesIn:         s.bytesIn,
 	}
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -23,8 +23,8 @@
 	PathWeights = "/v1/weights"
 )
 
-// reportLife is how long a replica counts as loading after its last report.
-const reportLife = 2 * time.Second
+// reportTTL is how long a replica counts as loading after its last report.
+const reportTTL = 2 * time.Second
 
 // LoadReport says whether a replica loads weights now.
 type LoadReport struct {
@@ -32,8 +32,8 @@
 	Loading bool   `json:"loading"`
 }
 
-// LoadAnswer tells how many replicas load at once.
-type LoadAnswer struct {
+// LoadResponse tells how many replicas load at once.
+type LoadResponse struct {
 	Loading int `json:"loading"`
 	Cap     int `json:"cap"`  // loads at once at full speed
 	Peak    int `json:"peak"` // most loads at once so far
@@ -45,7 +45,7 @@
 	LoadCap int           // loads at once at full speed; 0: no limit
 }
 
-type version struct {
+type snapshot struct {
 	at  time.Time
 	vms []platform.VM
 }
@@ -55,11 +55,11 @@
 	mux     *http.ServeMux
 	loadCap int
 
-	mu       sync.Mutex
-	lag      time.Duration
-	versions []version // oldest first
-	loading  map[string]time.Time
-	peak     int
+	mu        sync.Mutex
+	lag       time.Duration
+	snapshots []snapshot // oldest first
+	loading   map[string]time.Time
+	peak      int
 }
 
 // New returns an empty list.
@@ -83,7 +83,7 @@
 func (l *List) Set(vms []platform.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.versions = append(l.versions, version{at: time.Now(), vms: vms})
+	l.snapshots = append(l.snapshots, snapshot{at: time.Now(), vms: vms})
 }
 
 // SetLag changes the lag.
@@ -97,21 +97,21 @@
 func (l *List) VMs() []platform.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.versions) == 0 {
+	if len(l.snapshots) == 0 {
 		return []platform.VM{}
 	}
-	seen := time.Now().Add(-l.lag)
+	visibleUntil := time.Now().Add(-l.lag)
 	current := 0
-	for i, v := range l.versions {
-		if !v.at.After(seen) {
+	for i, v := range l.snapshots {
+		if !v.at.After(visibleUntil) {
 			current = i
 		}
 	}
-	return l.versions[current].vms
+	return l.snapshots[current].vms
 }
 
 // Report notes a replica's load of weights and tells how many load at once.
-func (l *List) Report(r LoadReport) LoadAnswer {
+func (l *List) Report(r LoadReport) LoadResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -120,15 +120,15 @@
 		l.loading[r.Replica] = now
 	}
 	for replica, at := range l.loading {
-		if now.Sub(at) > reportLife {
+		if now.Sub(at) > reportTTL {
 			delete(l.loading, replica)
 		}
 	}
 	l.peak = max(l.peak, len(l.loading))
-	return LoadAnswer{Loading: len(l.loading), Cap: l.loadCap, Peak: l.peak}
+	return LoadResponse{Loading: len(l.loading), Cap: l.loadCap, Peak: l.peak}
 }
 
-func (l *List) serveGet(w http.ResponseWriter, _ *http.Request) { reply(w, l.VMs()) }
+func (l *List) serveGet(w http.ResponseWriter, _ *http.Request) { writeJSON(w, l.VMs()) }
 
 func (l *List) serveSet(w http.ResponseWriter, r *http.Request) {
 	var vms []platform.VM
@@ -146,10 +146,10 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	reply(w, l.Report(report))
+	writeJSON(w, l.Report(report))
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
--- a/internal/standin/vmlist/vmlist_test.go
+++ b/internal/standin/vmlist/vmlist_test.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/vmlist"
 )
 
-func TestListLags(t *testing.T) {
+func TestListIsDelayedByLag(t *testing.T) {
 	l := vmlist.New(vmlist.Options{Lag: time.Hour})
 	l.Set([]platform.VM{{ID: "a"}})
 	l.Set([]platform.VM{{ID: "a", Leaving: true}})
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	ctx := testContext(t)
 	scope := block.Scope{Org: "a/b", Model: "verdict", Version: "v1"}
-	e, server, err := engine.Start("127.0.0.1:0", engine.Options{Model: "verdict", Version: "v1", TimeScale: 0.001, KVPerToken: 1})
+	e, server, err := engine.Start("127.0.0.1:0", engine.Options{Model: "verdict", Version: "v1", TimeScale: 0.001, KVBytesPerToken: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 	if _, err := client.Status(ctx); err != nil {
 		t.Fatal(err)
 	}
-	switches.Apply(fault.Command{Silent: true})
+	switches.Apply(fault.Command{Blackhole: true})
 	if _, err := client.Status(ctx); !errors.Is(err, store.ErrUnavailable) {
 		t.Fatalf("silent connection: %v", err)
 	}
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -104,7 +104,7 @@
 	service := kv.NewFake(nil)
 	first, second := newKeeper(service, "d1"), newKeeper(service, "d2")
 	met := false
-	service.SetAfter(func(client string) {
+	service.SetAfterCall(func(client string) {
 		if client == "d1" && !met {
 			met = true // d1 has read the page and not written it yet
 			falls(t, second, "a2", "t2")
--- a/internal/table/editor_test.go
+++ b/internal/table/editor_test.go
@@ -228,7 +228,7 @@
 func TestLostAnswerOfAnAcceptedEdit(t *testing.T) {
 	kv := newTestKV()
 	editor := applySample(t, kv)
-	kv.LoseWrites(1)
+	kv.DropWriteResponses(1)
 	result, err := editor.Set(t.Context(), SetRequest{Sheet: SheetOrganisations, ID: "acme", Cells: []CellValue{{"weight", "11"}}})
 	if err != nil || result.Written != 1 {
 		t.Fatalf("result %+v, error %v", result, err)
--- a/internal/table/machine_test.go
+++ b/internal/table/machine_test.go
@@ -114,11 +114,11 @@
 			"see": func(t *rapid.T) { m.see(t, pick(t)) },
 			"edit": func(t *rapid.T) {
 				if rapid.IntRange(0, 3).Draw(t, "lose") == 0 {
-					m.kv.LoseWrites(1)
+					m.kv.DropWriteResponses(1)
 				}
 				weight := rapid.SampledFrom([]string{"", "1", "2", "3"}).Draw(t, "weight")
 				m.edit(t, pick(t), rapid.SampledFrom(machineIDs).Draw(t, "id"), weight)
-				m.kv.LoseWrites(0)
+				m.kv.DropWriteResponses(0)
 			},
 			"read":    func(t *rapid.T) { m.take(t, replica(t), nil) },
 			"gossip":  func(t *rapid.T) { m.take(t, replica(t), m.keep(m.replicas[replica(t)].Above(nil))) },
--- a/internal/table/tableschedule/schedule.go
+++ b/internal/table/tableschedule/schedule.go
@@ -202,12 +202,12 @@
 	case 0:
 		w.outcome.Faults++
 		w.tell("the answer to %s is lost", client)
-		return kv.FaultLostAnswer
+		return kv.FaultDroppedResponse
 	case 1:
 		w.outcome.Faults++
 		w.tell("the answer to %s is lost and the service goes down", client)
 		w.setDown(true)
-		return kv.FaultLostAnswer
+		return kv.FaultDroppedResponse
 	case 2:
 		w.outcome.Faults++
 		return kv.FaultUnavailable
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -195,7 +195,7 @@
 
 	_, refusedErr := newClient(t, closed.Addr().String(), testTimeout).CallService(ctx, call)
 	lose := 1
-	switches.Apply(fault.Command{LoseAnswers: &lose})
+	switches.Apply(fault.Command{DropResponses: &lose})
 	_, lostErr := newClient(t, server.Address(), testTimeout).CallService(ctx, call)
 	wrong := completion("wrong", 1)
 	wrong.Version = "v0"
@@ -257,14 +257,14 @@
 		text.WriteString(f.Text)
 		next++
 		if next == 20 {
-			e.Switches().Apply(fault.Command{Silent: true})
+			e.Switches().Apply(fault.Command{Blackhole: true})
 		}
 	}
 	s.Close()
 	if want := engine.ExpectedText(req.Prompt, req.MaxTokens); text.String() != want {
 		t.Fatalf("text %q, want %q", text.String(), want)
 	}
-	if got := e.Switches().Status().Silenced; got == 0 {
+	if got := e.Switches().Status().Blackholed; got == 0 {
 		t.Fatal("no connection went silent")
 	}
 }
@@ -276,7 +276,7 @@
 	e, address := startEngine(t, engine.Options{})
 	client := newClient(t, address, testTimeout)
 	swap := 1
-	e.Switches().Apply(fault.Command{SwapAnswers: &swap})
+	e.Switches().Apply(fault.Command{SwapFrames: &swap})
 	var streams []*target.Stream
 	for _, id := range []string{"a", "b"} {
 		s, err := client.Complete(ctx, completion(id, endless))
