--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -6,18 +6,18 @@
 	"github.com/bluebellscale/bluebellscale/internal/block"
 )
 
-// step is what one pass over the batch does: one piece of one prompt, and a token for
-// each request whose prompt is in place.
+// step is one pass over the batch: it prefills one chunk of one prompt and produces a
+// token for each request whose prompt is complete.
 type step struct {
 	prefill  *stream
-	computed []block.Hash // whole blocks of the piece
-	tokens   int          // of the piece
+	computed []block.Hash // complete blocks of the chunk
+	tokens   int          // prompt tokens of the chunk
 	decode   []*stream
 }
 
 func (p step) empty() bool { return p.prefill == nil && len(p.decode) == 0 }
 
-// nominalTime returns the time of the step without scale.
+// nominalTime returns the unscaled duration of the step.
 func (p step) nominalTime() time.Duration {
 	d := time.Duration(p.tokens) * time.Second / PrefillTokensPerSec
 	if len(p.decode) > 0 {
@@ -26,10 +26,10 @@
 	return d
 }
 
-// runBatches is the duty that runs the batch step by step.
+// runBatches executes batch steps until the replica stops.
 func (e *Engine) runBatches() {
 	defer e.work.Done()
-	lastStepEnd := time.Now() // when the last step ended, were timers exact
+	lastStepEnd := time.Now() // end of the last step, assuming exact timers
 	for {
 		if e.switches.WaitUnfrozen(e.ctx) != nil {
 			return
@@ -52,7 +52,8 @@
 		if !e.sleep(e.ctx, time.Until(lastStepEnd)) {
 			return
 		}
-		// Small delays of timers are made up for by the next steps; long ones are not.
+		// The next steps compensate for short timer delays, but not for delays of more than
+		// one decode step.
 		if limit := time.Now().Add(-e.scaleTime(DecodeStep)); lastStepEnd.Before(limit) {
 			lastStepEnd = limit
 		}
@@ -69,8 +70,8 @@
 	}
 }
 
-// planStep admits requests to the batch and returns the next step; or the prompt of a
-// request that is to crash the replica.
+// planStep admits requests to the batch and returns the next step. While a crash marker is
+// set, it returns the prompt of each admitted request instead, for the caller to check.
 func (e *Engine) planStep() (next step, crash string) {
 	marked := e.switches.Status().CrashMarker != ""
 	e.mu.Lock()
@@ -99,8 +100,9 @@
 	return next, ""
 }
 
-// reuseCachedLocked advances over cached blocks. It is asked before every piece, so that
-// blocks imported while earlier ones are computed are not computed again.
+// reuseCachedLocked advances a stream over cached blocks. It runs before every chunk, so
+// that blocks that were imported during the computation of earlier ones are not
+// recomputed.
 func (e *Engine) reuseCachedLocked(s *stream) {
 	for {
 		i := s.position / block.TokensPerBlock
@@ -113,8 +115,9 @@
 	}
 }
 
-// nextChunkLocked returns the next piece to compute: up to the next cached block, the end
-// of the prompt, or PrefillPiece tokens.
+// nextChunkLocked returns the complete blocks and the number of tokens of the next chunk
+// to compute. The chunk ends at the next cached block, at the end of the prompt, or after
+// PrefillChunk tokens.
 func (e *Engine) nextChunkLocked(s *stream) ([]block.Hash, int) {
 	first := s.position / block.TokensPerBlock
 	end := first
@@ -128,8 +131,8 @@
 	return s.chain[first:end], tokens
 }
 
-// completeStep applies a step. A prompt that is in place gives its first token with its
-// last piece.
+// completeStep applies the results of a step. The last chunk of a prompt also produces
+// the first output token.
 func (e *Engine) completeStep(done step) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -161,7 +164,8 @@
 	s.emitToken(now)
 }
 
-// refreshLoadReport is the duty that renews the load report, which is why it lags.
+// refreshLoadReport renews the load report periodically, so the report lags behind the
+// actual load.
 func (e *Engine) refreshLoadReport() {
 	defer e.work.Done()
 	for e.sleep(e.ctx, max(e.scaleTime(e.opts.LoadReportLag), time.Millisecond)) {
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -6,19 +6,19 @@
 	"github.com/bluebellscale/bluebellscale/internal/block"
 )
 
-// cachedBlock is one block of the prefix cache.
+// cachedBlock is a block in the prefix cache.
 type cachedBlock struct {
 	hash    block.Hash
-	refs    int // running requests and exports that use it
+	refs    int // number of running requests and exports that use the block
 	element *list.Element
 }
 
-// cache is a prefix cache in limited memory with eviction of the least recently used
-// block that nothing uses. It is not safe for concurrent use.
+// cache is a prefix cache of limited capacity. It evicts the least recently used block
+// without references. It is not safe for concurrent use.
 type cache struct {
 	capacity int
 	blocks   map[block.Hash]*cachedBlock
-	order    *list.List // by use, most recent first
+	order    *list.List // by last use, most recent first
 }
 
 func newCache(total int) *cache {
@@ -29,7 +29,7 @@
 
 func (c *cache) used() int { return len(c.blocks) }
 
-// acquire marks a cached block as in use and tells whether it is there.
+// acquire adds a reference to a block and reports whether the block is cached.
 func (c *cache) acquire(h block.Hash) bool {
 	b := c.blocks[h]
 	if b == nil {
@@ -40,8 +40,8 @@
 	return true
 }
 
-// release undoes one acquire of each block. Later blocks of a chain become the less
-// recently used, since they are of no use without the earlier ones.
+// release drops one reference to each block. Later blocks of a chain become less recently
+// used than earlier ones, since they are useless without these.
 func (c *cache) release(hashes []block.Hash) {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		b := c.blocks[hashes[i]]
@@ -53,8 +53,8 @@
 	}
 }
 
-// insert adds a block, evicting others if need be. It returns what it evicted and
-// whether the block is in the cache now: it is not if all room is in use.
+// insert adds a block and evicts others if necessary. It returns the evicted blocks and
+// whether the block is now cached, which fails if all blocks of a full cache are in use.
 func (c *cache) insert(h block.Hash) (evicted []block.Hash, ok bool) {
 	if c.has(h) {
 		return nil, true
@@ -87,7 +87,7 @@
 	delete(c.blocks, b.hash)
 }
 
-// clear drops all blocks that nothing uses and returns those that stay.
+// clear drops all blocks without references and returns the remaining ones.
 func (c *cache) clear() []block.Hash {
 	for _, b := range c.blocks {
 		if b.refs == 0 {
@@ -97,7 +97,7 @@
 	return c.hashes()
 }
 
-// hashes lists all blocks, the most recently used first.
+// hashes returns the hashes of all blocks, the most recently used first.
 func (c *cache) hashes() []block.Hash {
 	all := make([]block.Hash, 0, len(c.blocks))
 	for e := c.order.Front(); e != nil; e = e.Next() {
--- a/internal/standin/engine/cache_test.go
+++ b/internal/standin/engine/cache_test.go
@@ -8,10 +8,11 @@
 
 	"github.com/bluebellscale/bluebellscale/internal/block"
 
-	_ "github.com/bluebellscale/bluebellscale/internal/testseed" // the same seeds in each run
+	_ "github.com/bluebellscale/bluebellscale/internal/testseed" // fixes the seeds
 )
 
-// naiveCache keeps blocks in a slice, the most recently used first.
+// naiveCache is a reference model of cache. It holds its blocks in a slice, the most
+// recently used first.
 type naiveCache struct {
 	capacity int
 	order    []block.Hash
@@ -39,7 +40,8 @@
 	return true
 }
 
-// The cache equals its naive twin: never above its room, never without a block in use.
+// TestCacheMatchesNaiveModel compares the cache with a reference model, to detect a cache
+// that exceeds its capacity or evicts a block in use.
 func TestCacheMatchesNaiveModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const names = 8
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,9 +1,9 @@
-// Package engine is a stand-in for a model engine; it serves engineapi.
+// Package engine is a stand-in for a model engine. It serves engineapi.
 //
-// It keeps the time behaviour of a real engine without a model: continuous batching,
-// prefill in pieces, priorities, a prefix cache in limited memory, resume and cancel,
-// KV export and import, late and gapped cache events, a lagging load report, orders.
-// Its output is a function of the prompt alone (ExpectedText).
+// It simulates the timing of a real engine without a model: continuous batching, chunked
+// prefill, priorities, a prefix cache in limited memory, resume and cancel, KV export and
+// import, delayed cache events with gaps, a delayed load report, and orders. Its output
+// is a function of the prompt alone (ExpectedText).
 package engine
 
 import (
@@ -20,13 +20,14 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/vmlist"
 )
 
-// Nominal behaviour; Options.TimeScale turns nominal times into real ones.
+// Nominal speeds and times. Options.TimeScale converts nominal to real time.
 const (
-	// PrefillTokensPerSec is the speed of prefill.
+	// PrefillTokensPerSec is the nominal speed of prefill.
 	PrefillTokensPerSec = 8000
-	// PrefillChunk is the most prompt tokens in one step.
+	// PrefillChunk is the maximum number of prompt tokens in one step.
 	PrefillChunk = 2000
-	// DecodeStep is the time of one step that gives each running request a token.
+	// DecodeStep is the nominal duration of a step that produces one token for each running
+	// request.
 	DecodeStep = 30 * time.Millisecond
 
 	defaultMaxRunning      = 16
@@ -40,30 +41,31 @@
 	defaultHeartbeat       = 500 * time.Millisecond
 )
 
-// WeightStore counts the replicas that load weights at once; *vmlist.List is one.
+// WeightStore counts the replicas that load weights concurrently. *vmlist.List
+// implements it.
 type WeightStore interface {
 	Report(vmlist.LoadReport) vmlist.LoadResponse
 }
 
-// Options of New. Zero fields take defaults.
+// Options configures New. Zero fields take defaults.
 type Options struct {
 	Name            string // replica name in reports to the weight store
-	Incarnation     uint64 // 0: taken from the clock
+	Incarnation     uint64 // 0: derived from the clock
 	Model           request.Model
 	Version         request.Version
 	Role            string
-	TimeScale       float64 // real time of a nominal second
-	MaxRunning      int     // requests in the batch
-	MaxQueued       int     // requests waiting for the batch
-	TotalBlocks     int     // room of the prefix cache
-	KVBytesPerToken int64   // bytes of KV cache a token
-	EventLag        time.Duration
-	LoadReportLag   time.Duration
-	WeightLoadTime  time.Duration // time that loading a weight version takes
-	StreamRetention time.Duration // real time that a finished stream stays readable
-	Heartbeat       time.Duration // real time between comments on a stream without frames
-	ChecksEpoch     bool          // refuses orders with an old epoch
-	WeightStore     WeightStore   // nil: loads never slow each other
+	TimeScale       float64       // real seconds per nominal second
+	MaxRunning      int           // maximum number of requests in the batch
+	MaxQueued       int           // maximum number of requests waiting for the batch
+	TotalBlocks     int           // capacity of the prefix cache
+	KVBytesPerToken int64         // bytes of KV cache per token
+	EventLag        time.Duration // delay of cache events
+	LoadReportLag   time.Duration // interval at which the load report is renewed
+	WeightLoadTime  time.Duration // duration of a weight load at full speed
+	StreamRetention time.Duration // real time for which a finished stream stays readable
+	Heartbeat       time.Duration // real time between comments on an idle stream
+	ChecksEpoch     bool          // reject orders with an old epoch
+	WeightStore     WeightStore   // nil: concurrent loads do not slow each other down
 	Switches        *fault.Switches
 }
 
@@ -92,7 +94,7 @@
 	}
 }
 
-// Stats counts what an engine did, for checks in tests.
+// Stats holds counters of an engine's work, for assertions in tests.
 type Stats struct {
 	Accepted             int   `json:"accepted"`
 	AcceptedWhileLeaving int   `json:"accepted_while_leaving"`
@@ -106,7 +108,7 @@
 	OrdersRefused        int   `json:"orders_refused"`
 }
 
-// Engine is one replica. Close it to stop its goroutines.
+// Engine is one replica. Close stops its goroutines.
 type Engine struct {
 	opts     Options
 	switches *fault.Switches
@@ -123,7 +125,7 @@
 	queue         []*stream // by priority, then arrival
 	running       []*stream // by priority, then arrival
 	arrivals      uint64
-	swappedFrames map[request.ID]engineapi.Frame // frames owed to the other stream of a swap
+	swappedFrames map[request.ID]engineapi.Frame // by lending stream: the frame that it sends in exchange
 	state         engineapi.State
 	appliedOrders map[string]struct{}
 	load          engineapi.Load
@@ -164,8 +166,8 @@
 	return e
 }
 
-// Start starts a replica and serves it on address. If o.Switches is nil the replica
-// gets switches whose Die closes the server and the replica.
+// Start starts a replica and serves it on address. If o.Switches is nil, the replica gets
+// switches whose Die stops both the server and the replica.
 func Start(address string, o Options) (*Engine, *fault.Server, error) {
 	ownSwitches := o.Switches == nil
 	if ownSwitches {
@@ -186,7 +188,7 @@
 	return e, server, nil
 }
 
-// Close stops the replica; open streams end without a last frame.
+// Close stops the replica. Open streams end without a last frame.
 func (e *Engine) Close() {
 	e.stop()
 	e.work.Wait()
@@ -196,21 +198,22 @@
 // Switches returns the replica's fault switches.
 func (e *Engine) Switches() *fault.Switches { return e.switches }
 
-// Stats returns the counts so far.
+// Stats returns a copy of the counters.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.stats
 }
 
-// scaleTime turns a nominal duration into a real one, by scale and slow factor.
+// scaleTime converts a nominal duration to real time with the time scale and the slow
+// factor.
 func (e *Engine) scaleTime(nominal time.Duration) time.Duration {
 	return e.switches.Scale(time.Duration(float64(nominal) * e.opts.TimeScale))
 }
 
 func (e *Engine) blockBytes() int64 { return e.opts.KVBytesPerToken * block.TokensPerBlock }
 
-// sleep waits and tells whether the replica goes on.
+// sleep waits for d and reports whether ctx is still active.
 func (e *Engine) sleep(ctx context.Context, d time.Duration) bool {
 	return sleep.For(ctx, d) == nil
 }
@@ -229,8 +232,8 @@
 	e.events.add(time.Now(), kind, blocks, e.switches.TakeSkippedEvent())
 }
 
-// insertLocked adds blocks to the cache, publishes what changed, and returns the
-// blocks that are in the cache now.
+// insertLocked adds blocks to the cache, publishes the changes as cache events, and
+// returns those of the blocks that are now cached.
 func (e *Engine) insertLocked(hashes []block.Hash) []block.Hash {
 	var removed, stored, cached []block.Hash
 	for _, h := range hashes {
@@ -244,7 +247,8 @@
 		if !known {
 			stored = append(stored, h)
 		}
-		// In use until all are in, so that none evicts another of its own chain.
+		// Hold the block until all are inserted, so that no block evicts another block of
+		// its own chain.
 		e.cache.acquire(h)
 	}
 	e.cache.release(cached)
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -23,7 +23,7 @@
 const (
 	testScale   = 0.01
 	testTimeout = 30 * time.Second
-	// endless is more tokens than any test waits for.
+	// endless is a number of tokens that no request of a test reaches.
 	endless = 1_000_000
 )
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// readStream returns the text of a stream and its last frame.
+// readStream reads a stream to its end and returns its text and its last frame.
 func readStream(ctx context.Context, s *target.Stream) (string, engineapi.Frame, error) {
 	defer s.Close()
 	var text strings.Builder
@@ -118,9 +118,9 @@
 	}
 }
 
-// A context is kept in a store VM and comes back after eviction, but one of its blocks
-// is torn. A user would get an answer computed from garbage if the block were taken.
-// The cause is a store that died half way through a write or a read.
+// TestTornBlockIsCacheMiss imports a context from a store VM in which one block is
+// truncated, because the store died during a write or a read. If the engine cached the
+// block, the user would receive an answer computed from corrupt data.
 func TestTornBlockIsCacheMiss(t *testing.T) {
 	ctx := testContext(t)
 	switches := fault.New(fault.Options{})
@@ -140,7 +140,7 @@
 		Blocks:       block.Chain("salt", []byte(prompt(21, "a"))),
 	})
 	if err != nil || len(export.Written) != 20 {
-		t.Fatalf("exported %d blocks: %v", len(export.Written), err)
+		t.Fatalf("export wrote %d blocks: %v", len(export.Written), err)
 	}
 	imports := engineapi.ImportRequest{
 		StoreAddress: server.Address(),
@@ -167,8 +167,9 @@
 	}
 }
 
-// Weights are swapped while one request runs and others wait or arrive. A user must
-// not get words of two versions, nor words computed from the old version's cache.
+// TestVersionSwap swaps weights while one request runs, one is queued and one arrives. A
+// user must not receive tokens of two versions, or tokens computed from the cache of the
+// old version.
 func TestVersionSwap(t *testing.T) {
 	ctx := testContext(t)
 	_, client := start(t, engine.Options{MaxRunning: 1, ChecksEpoch: true})
@@ -236,7 +237,7 @@
 	if err := client.Cancel(ctx, "running"); err != nil {
 		t.Fatal(err)
 	}
-	// The batch has room for one and no request ends by itself.
+	// The batch holds one request, and no request ends by itself.
 	if f, err := urgent.Next(ctx); err != nil || f.Done {
 		t.Fatalf("urgent request: %+v, %v", f, err)
 	}
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxEvents is how many cache events an engine remembers.
+	// maxEvents is the maximum number of cache events that an engine retains.
 	maxEvents = 8192
-	// maxPageEvents is the most events in one page.
+	// maxPageEvents is the maximum number of events in one page.
 	maxPageEvents = 512
 )
 
@@ -19,8 +19,8 @@
 	visibleAt time.Time
 }
 
-// eventLog publishes cache events late. An event that is skipped leaves a hole in
-// the sequence.
+// eventLog publishes cache events after a delay. A skipped event leaves a gap in the
+// sequence.
 type eventLog struct {
 	lag    time.Duration
 	seq    uint64
@@ -39,8 +39,9 @@
 	}
 }
 
-// pageAfter returns the visible events beyond a sequence. Next is the last event of the
-// page, so that a skipped one shows as a hole before the following event.
+// pageAfter returns the visible events after a sequence number, and the sequence number
+// of the last event of the page. A skipped event therefore appears as a gap before the
+// next event.
 func (l *eventLog) pageAfter(now time.Time, after uint64) ([]engineapi.CacheEvent, uint64) {
 	page := []engineapi.CacheEvent{}
 	next := min(after, l.seq)
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -10,10 +10,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// PathStats is where Stats are read.
+// PathStats is the HTTP path of Stats.
 const PathStats = "/debug/stats"
 
-// Handler serves engineapi.
+// Handler returns the HTTP handler that serves engineapi.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+engineapi.PathCompletions, e.serveCompletion)
@@ -82,8 +82,9 @@
 	return e.streams[request.ID(r.PathValue("id"))]
 }
 
-// serveFrames sends a stream's frames from a sequence on as server-sent events, and a
-// comment now and then while there are none. The run goes on if the reader goes away.
+// serveFrames sends a stream's frames as server-sent events, starting at sequence number
+// from. It sends heartbeat comments while there are no frames. The request continues if
+// the reader disconnects.
 func (e *Engine) serveFrames(w http.ResponseWriter, r *http.Request, s *stream, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -217,7 +218,7 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// writeError answers with an engineapi.Error.
+// writeError sends an engineapi.Error as the response.
 func writeError(w http.ResponseWriter, e *engineapi.Error) {
 	status := http.StatusServiceUnavailable
 	switch e.Code {
--- a/internal/standin/engine/kv.go
+++ b/internal/standin/engine/kv.go
@@ -22,18 +22,20 @@
 )
 
 const (
-	// maxConcurrentTransfers is how many blocks of one export or import are on their way.
+	// maxConcurrentTransfers is the maximum number of blocks that one export or import
+	// transfers concurrently.
 	maxConcurrentTransfers = 8
 	storeDialTimeout       = 2 * time.Second
-	// maxPayload is the largest block content read, in bytes.
+	// maxPayload is the maximum size of a block's content in bytes.
 	maxPayload = 1 << 20
-	// payloadCopies makes a block's content long enough to be torn.
+	// payloadCopies is the number of copies of its hash that make up a block's content.
+	// The content must be long enough to be torn.
 	payloadCopies = 8
 )
 
 var (
-	errTorn = errors.New("engine: block is torn")
-	errMiss = errors.New("engine: block cannot be read")
+	errTorn = errors.New("engine: block content is truncated or corrupt")
+	errMiss = errors.New("engine: block cannot be read or cached")
 )
 
 func newStoreClient() *http.Client {
@@ -43,7 +45,7 @@
 	}}
 }
 
-// blockPayload is the content that stands for a block's KV cache.
+// blockPayload returns the content that represents a block's KV cache.
 func blockPayload(h block.Hash) []byte {
 	return bytes.Repeat([]byte(h.String()), payloadCopies)
 }
@@ -52,9 +54,9 @@
 	return "http://" + address + storeapi.PathObjects + url.PathEscape(name)
 }
 
-// runOrdered runs f for 0..n-1, several at once, and returns how many leading ones
-// succeeded and the error of the first that did not. It starts none after an error
-// and returns when all that it started have ended.
+// runOrdered calls f for 0..n-1, several concurrently. It returns the number of leading
+// calls that succeeded and the error of the first call that failed. After an error it
+// starts no further calls. It returns when all started calls have ended.
 func runOrdered(ctx context.Context, n int, f func(context.Context, int) error) (int, error) {
 	errs := make([]error, n)
 	var next atomic.Int64
@@ -83,9 +85,9 @@
 	return started, ctx.Err()
 }
 
-// export writes blocks to a store VM, up to the first that is not cached or cannot
-// be written; later ones that were on their way are freed again, since nobody would
-// know of them. Blocks are in use, so not evicted, until they are written.
+// export writes blocks to a store VM, up to the first block that is not cached or cannot
+// be written. Later blocks whose transfer had started are freed again, since the response
+// does not list them. Blocks are held, and therefore not evicted, until they are written.
 func (e *Engine) export(ctx context.Context, req engineapi.ExportRequest) engineapi.ExportResponse {
 	held := e.acquireLeading(req.Blocks)
 	defer e.releaseBlocks(held)
@@ -141,7 +143,7 @@
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
 	if resp.StatusCode/100 != 2 {
-		return out, errors.Newf("engine: store answered %s", resp.Status)
+		return out, errors.Newf("engine: store responded with status %s", resp.Status)
 	}
 	return out, nil
 }
@@ -157,8 +159,8 @@
 	}
 }
 
-// importBlocks reads blocks from a store VM and enters each into the cache only when
-// its length and digest are right, so that a running request never meets a torn one.
+// importBlocks reads blocks from a store VM. It caches a block only if the length and the
+// digest match, so that a running request never uses a torn block.
 func (e *Engine) importBlocks(ctx context.Context, req engineapi.ImportRequest) (engineapi.ImportResponse, *engineapi.Error) {
 	if refused := e.checkVersion(req); refused != nil {
 		return engineapi.ImportResponse{}, refused
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -10,10 +10,12 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/vmlist"
 )
 
-// loadSteps is how many parts a weight load is paced in.
+// loadSteps is the number of steps of a weight load. The load reports its progress and
+// adapts its speed after each step.
 const loadSteps = 20
 
-// applyOrder obeys an order, or refuses one with an old epoch if this replica checks.
+// applyOrder executes an order. A replica that checks epochs rejects an order with an
+// old epoch.
 func (e *Engine) applyOrder(o engineapi.Order) *engineapi.Error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -43,7 +45,7 @@
 	return nil
 }
 
-// startLoadLocked begins to load a version; a load under way is given up.
+// startLoadLocked starts to load a version and cancels a load in progress.
 func (e *Engine) startLoadLocked(o engineapi.Order) {
 	e.cancelLoad()
 	ctx, cancel := context.WithCancel(e.ctx)
@@ -70,7 +72,8 @@
 	}
 }
 
-// reportWeightLoad returns the speed of this replica's load, 1 for full.
+// reportWeightLoad reports to the weight store whether this replica loads weights, and
+// returns the speed of the load as a share of full speed.
 func (e *Engine) reportWeightLoad(loading bool) float64 {
 	if e.opts.WeightStore == nil {
 		return 1
@@ -82,9 +85,9 @@
 	return float64(a.Cap) / float64(a.Loading)
 }
 
-// swapVersionLocked puts loaded weights into use. Running requests go on with their
-// own version and blocks; waiting ones have not started and are handed back; blocks
-// that nothing uses are dropped.
+// swapVersionLocked switches to the loaded weights. Running requests continue with their
+// own version and blocks. Queued requests have not started and fail with
+// CodeWrongVersion. Unused cached blocks are dropped.
 func (e *Engine) swapVersionLocked(model request.Model, version request.Version) {
 	if model != "" {
 		e.state.Model = model
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -8,24 +8,24 @@
 	"github.com/bluebellscale/bluebellscale/internal/engineapi"
 )
 
-// codeCancelled is the code of a stream's last frame after a cancel.
+// codeCancelled is the error code in the last frame of a cancelled stream.
 const codeCancelled = "cancelled"
 
-// stream is one request with its frames so far. Engine.mu guards it.
+// stream is a request with the frames produced for it. Engine.mu guards it.
 type stream struct {
 	req          engineapi.CompletionRequest
 	digest       promptDigest
 	arrival      uint64
 	chain        []block.Hash
-	promptTokens int // of the prompt
+	promptTokens int
 
-	started      bool         // has entered the batch
-	position     int          // prompt tokens in place
-	reusedTokens int          // of those, not computed here
-	heldBlocks   []block.Hash // cached blocks in use
+	started      bool         // the request has entered the batch
+	position     int          // number of prompt tokens that are computed or reused
+	reusedTokens int          // number of prompt tokens that were reused from the cache
+	heldBlocks   []block.Hash // cached blocks that the stream references
 
 	frames   []engineapi.Frame
-	changed  chan struct{} // closed at the next change
+	changed  chan struct{} // closed at the next change of the stream
 	done     bool
 	finished time.Time
 }
@@ -41,7 +41,7 @@
 	}
 }
 
-// compare orders streams by priority, then arrival.
+// compare orders streams by priority, then by arrival.
 func (s *stream) compare(other *stream) int {
 	if s.req.Priority != other.req.Priority {
 		return s.req.Priority - other.req.Priority
@@ -60,7 +60,7 @@
 	s.changed = make(chan struct{})
 }
 
-// emitToken adds the next output token, and the last frame after the last token.
+// emitToken appends the next output token, and the last frame after the last token.
 func (s *stream) emitToken(now time.Time) {
 	s.appendFrame(engineapi.Frame{Text: s.digest.token(len(s.frames))})
 	if len(s.frames) < s.req.MaxTokens {
@@ -84,8 +84,8 @@
 	return slices.Insert(list, i, s)
 }
 
-// acceptLocked queues a request, or returns the stream that an equal request has. A
-// repeat of a request that failed here runs anew.
+// acceptLocked queues a request, or returns the existing stream of the same request. A
+// retry of a request that failed on this replica runs again.
 func (e *Engine) acceptLocked(req engineapi.CompletionRequest) (*stream, *engineapi.Error) {
 	if old := e.streams[req.RequestID]; old != nil && !old.failed() {
 		if old.req != req {
@@ -114,7 +114,7 @@
 	return s.done && s.frames[len(s.frames)-1].Error != nil
 }
 
-// cancelLocked ends a stream. What it computed stays in the cache.
+// cancelLocked cancels a stream. The blocks that the stream computed stay cached.
 func (e *Engine) cancelLocked(s *stream) {
 	if s.done {
 		return
@@ -127,7 +127,7 @@
 	e.removeDoneLocked()
 }
 
-// removeDoneLocked takes finished streams out of queue and batch.
+// removeDoneLocked removes finished streams from the queue and the batch.
 func (e *Engine) removeDoneLocked() {
 	done := func(s *stream) bool { return s.done }
 	for _, s := range e.running {
@@ -140,7 +140,7 @@
 	e.queue = slices.DeleteFunc(e.queue, done)
 }
 
-// expireStreamsLocked drops streams that finished long ago.
+// expireStreamsLocked drops streams that finished more than StreamRetention ago.
 func (e *Engine) expireStreamsLocked(now time.Time) {
 	for id, s := range e.streams {
 		if s.done && now.Sub(s.finished) > e.opts.StreamRetention {
@@ -150,9 +150,10 @@
 	}
 }
 
-// swapFrameLocked returns the frame to send in place of f on s's connection: while a swap
-// is ordered, the newest frame of another open stream, which later gets f instead of
-// one of its own. Both keep their own request id, as a mix-up in a real engine would.
+// swapFrameLocked returns the frame to send instead of f on the connection of s. If a swap
+// is due, this is the newest frame of another running stream, which later sends f instead
+// of its own frame. Both frames retain their request ids, as they would if a real engine
+// confused two streams.
 func (e *Engine) swapFrameLocked(s *stream, f engineapi.Frame) engineapi.Frame {
 	id := s.req.RequestID
 	if owed, ok := e.swappedFrames[id]; ok {
--- a/internal/standin/engine/text.go
+++ b/internal/standin/engine/text.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// syllables make up the stand-in's words.
+// syllables are the parts of the output words.
 var syllables = [...]string{
 	"ba", "ce", "di", "fo", "gu", "ha", "je", "ki",
 	"lo", "mu", "na", "pe", "ri", "so", "tu", "ve",
@@ -19,7 +19,7 @@
 
 func digestPrompt(prompt string) promptDigest { return sha256.Sum256([]byte(prompt)) }
 
-// token returns output token seq of the prompt: a function of both alone.
+// token returns output token seq of the prompt. It depends on these two alone.
 func (d promptDigest) token(seq int) string {
 	var buf [sha256.Size + 8]byte
 	copy(buf[:], d[:])
@@ -34,9 +34,9 @@
 	return word.String()
 }
 
-// ExpectedText returns the first n output tokens for a prompt. It is the same for
-// every engine and weight version, so that a caller can check that it got the whole
-// answer to its own prompt.
+// ExpectedText returns the first n output tokens for a prompt. The text is the same for
+// every engine and weight version, so that a caller can verify that it received the
+// complete answer to its own prompt.
 func ExpectedText(prompt string, n int) string {
 	digest := digestPrompt(prompt)
 	var text strings.Builder
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -11,13 +11,14 @@
 
 const weightStoreTimeout = time.Second
 
-// RemoteWeightStore is a WeightStore over HTTP. A store that does not answer slows nobody.
+// RemoteWeightStore is a WeightStore over HTTP. If the store does not respond, loads run
+// at full speed.
 type RemoteWeightStore struct {
 	url    string
 	client *http.Client
 }
 
-// NewRemoteWeightStore reports to the VM list stand-in at address (host:port).
+// NewRemoteWeightStore returns a client of the VM list stand-in at address (host:port).
 func NewRemoteWeightStore(address string) *RemoteWeightStore {
 	return &RemoteWeightStore{
 		url:    "http://" + address + vmlist.PathWeights,
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -40,7 +40,8 @@
 	return r
 }
 
-// client has its own connections, kept between requests.
+// client returns a send function with its own connections, which it reuses between
+// requests.
 func (r *rig) client(t *testing.T) func(ctx context.Context, method, path, body string) error {
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
@@ -67,7 +68,7 @@
 	order := func(body string) {
 		t.Helper()
 		if err := r.client(t)(ctx, http.MethodPost, fault.Path, body); err != nil {
-			t.Fatalf("switches did not answer to %s: %v", body, err)
+			t.Fatalf("command %s failed: %v", body, err)
 		}
 	}
 	want := func(what string, answered bool, served int64) {
@@ -80,12 +81,12 @@
 	}
 	want("no fault", true, 1)
 	order(`{"lose_answers":1}`)
-	want("lost answer", false, 1)
-	want("after the lost answer", true, 1)
+	want("dropped response", false, 1)
+	want("after the dropped response", true, 1)
 	order(`{"cut":true}`)
-	want("cut", false, 0)
+	want("closed connections", false, 0)
 	order(`{"cut":false}`)
-	want("after the cut", true, 1)
+	want("after the connections were allowed again", true, 1)
 
 	order(`{"freeze":true}`)
 	frozen := make(chan error, 1)
@@ -98,7 +99,7 @@
 
 	order(`{"silent":true}`)
 	if r.switches.Status().Blackholed != 1 {
-		t.Fatalf("silenced %d connections", r.switches.Status().Blackholed)
+		t.Fatalf("blackholed %d connections", r.switches.Status().Blackholed)
 	}
 	old, stop := context.WithCancel(ctx)
 	silent := make(chan error, 1)
@@ -112,14 +113,15 @@
 	stop()
 	<-silent
 
-	// Not over HTTP, since a stand-in that dies need not answer.
+	// The command bypasses HTTP because a stand-in that dies need not respond.
 	r.switches.Apply(fault.Command{Die: true})
 	<-r.server.Done()
-	want("dead", false, 0)
+	want("after the server died", false, 0)
 }
 
-// pending does something several times and checks that a request is still open after
-// each. On a busy machine it may miss that the request ended, but never errs.
+// pending calls meanwhile several times and checks after each call that a request is
+// still open. On a busy machine it may miss that the request ended, but it never reports
+// a false failure.
 func pending(t *testing.T, request <-chan error, meanwhile func()) {
 	t.Helper()
 	for range 20 {
--- a/internal/standin/fault/listener.go
+++ b/internal/standin/fault/listener.go
@@ -7,19 +7,19 @@
 	"sync/atomic"
 )
 
-// Listener accepts connections that obey the switches.
+// Listener accepts connections to which the switches apply.
 type Listener struct {
 	net.Listener
 	switches *Switches
 }
 
-// NewListener wraps inner.
+// NewListener returns a Listener that wraps inner.
 func NewListener(inner net.Listener, s *Switches) *Listener {
 	return &Listener{Listener: inner, switches: s}
 }
 
 // Accept implements net.Listener. While connections are refused it closes each new
-// one, which the other end sees as a reset or an early end.
+// connection, which the peer sees as a reset or an unexpected EOF.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		inner, err := l.Listener.Accept()
@@ -36,12 +36,12 @@
 	}
 }
 
-// Conn is a connection that can freeze, or go silent for good: it then swallows what
-// either end writes, and stays open.
+// Conn is a connection that can be frozen or blackholed. A blackholed connection stays
+// open but discards the data of both ends, permanently.
 type Conn struct {
 	net.Conn
 	switches   *Switches
-	control    atomic.Bool // carries a request to /fault; exempt from all switches
+	control    atomic.Bool // has carried a request to /fault; exempt from all switches
 	blackholed atomic.Bool
 	closing    context.Context
 	close      context.CancelFunc
@@ -57,8 +57,8 @@
 	return !c.control.Load() && c.blackholed.CompareAndSwap(false, true)
 }
 
-// Read implements net.Conn. A silent connection reads and discards, so that it still
-// notices that the other end closed.
+// Read implements net.Conn. A blackholed connection reads and discards data, so that
+// it still detects that the peer closed the connection.
 func (c *Conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -71,7 +71,7 @@
 	}
 }
 
-// Write implements net.Conn. A frozen stand-in's write waits.
+// Write implements net.Conn. While the stand-in is frozen, Write blocks.
 func (c *Conn) Write(p []byte) (int, error) {
 	if !c.control.Load() {
 		if err := c.switches.WaitUnfrozen(c.closing); err != nil {
--- a/internal/standin/fault/middleware.go
+++ b/internal/standin/fault/middleware.go
@@ -10,18 +10,18 @@
 	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
-// Path is where the switches are read and set.
+// Path is the HTTP path at which the switches are read and set.
 const Path = "/fault"
 
 type connKey struct{}
 
-// ConnContext makes a request's connection known to Middleware; http.Server has a
-// field of this name.
+// ConnContext passes a request's connection to Middleware. It is the value for the
+// http.Server field of the same name.
 func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// Middleware serves Path and lets all other requests meet the faults that are set.
+// Middleware serves Path and applies the configured faults to all other requests.
 func Middleware(s *Switches, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == Path {
@@ -36,7 +36,7 @@
 	if conn, ok := r.Context().Value(connKey{}).(*Conn); ok {
 		conn.control.Store(true)
 	}
-	// The connection is exempt from now on, so it must not carry other requests.
+	// The connection is now exempt from the switches and must not carry other requests.
 	w.Header().Set("Connection", "close")
 	status := s.Status()
 	if r.Method == http.MethodPost {
@@ -64,8 +64,8 @@
 	if sleep.For(r.Context(), time.Duration(status.DelayMillis)*time.Millisecond) != nil {
 		panic(http.ErrAbortHandler)
 	}
-	// A read takes no effect, so a lost answer is always that of a request that does:
-	// else the daemons' probes would use the switch up.
+	// Only requests that take effect lose their response. Otherwise the daemons' probes,
+	// which are reads, would use up the switch.
 	if r.Method != http.MethodGet && s.TakeDroppedResponse() {
 		next.ServeHTTP(newDiscardWriter(), r)
 		panic(http.ErrAbortHandler)
@@ -73,7 +73,7 @@
 	next.ServeHTTP(w, r)
 }
 
-// discardWriter is a response that goes nowhere.
+// discardWriter is a ResponseWriter that discards the response.
 type discardWriter struct {
 	header http.Header
 }
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -12,15 +12,15 @@
 
 const readHeaderTimeout = 30 * time.Second
 
-// Server serves one stand-in over HTTP with its switches.
+// Server serves one stand-in over HTTP and applies its switches.
 type Server struct {
 	http     *http.Server
 	listener net.Listener
 	done     chan struct{}
 }
 
-// Serve listens on address (host:port; port 0 lets the system choose) and serves
-// handler behind the switches until Close.
+// Serve listens on address (host:port; the system chooses the port if it is 0) and
+// serves handler behind the switches until Close.
 func Serve(address string, s *Switches, handler http.Handler) (*Server, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
@@ -46,13 +46,13 @@
 // Address returns the host:port that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the server at once, as a killed process would: it closes the listener
-// and every connection.
+// Close stops the server immediately, as killing its process would: it closes the
+// listener and every connection.
 func (s *Server) Close() error {
 	err := s.http.Close()
 	<-s.done
 	return err
 }
 
-// Done is closed when the server no longer serves.
+// Done returns a channel that is closed when the server has stopped.
 func (s *Server) Done() <-chan struct{} { return s.done }
--- a/internal/standin/fault/switches.go
+++ b/internal/standin/fault/switches.go
@@ -1,11 +1,11 @@
-// Package fault holds the fault switches that every stand-in of a platform part
-// shares: a Switches value, the HTTP interface that sets it (/fault), and a Server
-// whose connections and handlers obey it. Stand-ins are for tests only.
+// Package fault provides fault injection for the stand-ins of platform components:
+// a Switches value, the HTTP interface that sets it (/fault), and a Server whose
+// connections and handlers apply it. Stand-ins are for tests only.
 //
 //	GET  /fault   Status
 //	POST /fault   Command -> Status
 //
-// Requests to /fault are answered in spite of all switches but Die and RefuseMillis.
+// Requests to /fault are served regardless of all switches except Die and RefuseMillis.
 package fault
 
 import (
@@ -17,38 +17,39 @@
 	"time"
 )
 
-// exitCode is the status of a stand-in process that died by a switch.
+// exitCode is the exit status of a stand-in process that the Die switch or the crash
+// marker ended.
 const exitCode = 3
 
-// Options of New.
+// Options configures New.
 type Options struct {
-	// Seed drives the switches that work by rate.
+	// Seed seeds the random source of the switches that apply at a rate.
 	Seed int64
-	// Die ends the stand-in at once. Nil ends the process. A stand-in that runs inside
-	// a test sets it to close its Server.
+	// Die terminates the stand-in immediately. If it is nil, the process exits. A
+	// stand-in that runs inside a test sets it to close its Server.
 	Die func()
 }
 
-// Status is the setting of all switches.
+// Status is the current setting of all switches.
 type Status struct {
 	Frozen           bool    `json:"frozen"`
-	Slow             float64 `json:"slow"`           // factor on all simulated times
-	DelayMillis      int64   `json:"delay_ms"`       // before each request is handled
-	CloseConns       bool    `json:"cut"`            // each request's connection is closed
-	DropResponses    int     `json:"lose_answers"`   // next requests that take effect unanswered
-	DropResponseRate float64 `json:"lose_rate"`      // share of further requests that do
-	SwapFrames       int     `json:"swap_answers"`   // next pairs of frames to swap
-	SkipEvents       int     `json:"skip_events"`    // next cache events to leave out
-	SkipEventRate    float64 `json:"skip_rate"`      // share of further cache events to leave out
-	TearReads        int     `json:"tear_reads"`     // next object reads to answer with torn content
-	CrashMarker      string  `json:"crash_marker"`   // a prompt that contains it ends the stand-in
-	Leaving          bool    `json:"leaving"`        // reported as leaving
-	Full             bool    `json:"full"`           // refuses new objects for lack of room
-	RefuseMillis     int64   `json:"refuse_ms"`      // last order to refuse connections, in milliseconds
-	Blackholed       int     `json:"silenced_total"` // connections made silent so far
+	Slow             float64 `json:"slow"`           // factor applied to all simulated times
+	DelayMillis      int64   `json:"delay_ms"`       // delay before each request is handled
+	CloseConns       bool    `json:"cut"`            // close the connection of each request unanswered
+	DropResponses    int     `json:"lose_answers"`   // number of next requests that take effect but get no response
+	DropResponseRate float64 `json:"lose_rate"`      // share of further requests that get no response
+	SwapFrames       int     `json:"swap_answers"`   // number of next frame pairs to swap
+	SkipEvents       int     `json:"skip_events"`    // number of next cache events to skip
+	SkipEventRate    float64 `json:"skip_rate"`      // share of further cache events to skip
+	TearReads        int     `json:"tear_reads"`     // number of next object reads that return truncated content
+	CrashMarker      string  `json:"crash_marker"`   // a prompt or body that contains it crashes the stand-in
+	Leaving          bool    `json:"leaving"`        // the load report says that the stand-in is leaving
+	Full             bool    `json:"full"`           // refuse new objects for lack of space
+	RefuseMillis     int64   `json:"refuse_ms"`      // duration of the last command to refuse connections
+	Blackholed       int     `json:"silenced_total"` // connections blackholed so far
 }
 
-// Command changes switches; absent fields stay as they are.
+// Command changes switches. Absent fields keep their setting.
 type Command struct {
 	Die              bool     `json:"die,omitempty"`
 	Freeze           *bool    `json:"freeze,omitempty"`
@@ -64,8 +65,8 @@
 	CrashMarker      *string  `json:"crash_marker,omitempty"`
 	Leaving          *bool    `json:"leaving,omitempty"`
 	Full             *bool    `json:"full,omitempty"`
-	RefuseMillis     *int64   `json:"refuse_ms,omitempty"` // close connections and refuse new ones for so long
-	Blackhole        bool     `json:"silent,omitempty"`    // make all open connections silent for good
+	RefuseMillis     *int64   `json:"refuse_ms,omitempty"` // close open connections and refuse new ones for this long
+	Blackhole        bool     `json:"silent,omitempty"`    // blackhole all open connections permanently
 }
 
 // Switches holds the faults of one stand-in. It is safe for concurrent use.
@@ -75,12 +76,12 @@
 	mu          sync.Mutex
 	rng         *rand.Rand
 	status      Status
-	unfrozen    chan struct{} // closed while not frozen
+	unfrozen    chan struct{} // closed while the stand-in is not frozen
 	refuseUntil time.Time
 	conns       map[*Conn]struct{}
 }
 
-// New returns switches with no fault set.
+// New returns Switches with no fault set.
 func New(o Options) *Switches {
 	thawed := make(chan struct{})
 	close(thawed)
@@ -97,21 +98,22 @@
 	return s
 }
 
-// SetDie replaces what ends the stand-in; call it before the stand-in serves.
+// SetDie replaces the function that terminates the stand-in. It must be called before
+// the stand-in serves.
 func (s *Switches) SetDie(die func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.die = die
 }
 
-// Status returns the setting of all switches.
+// Status returns the current setting of all switches.
 func (s *Switches) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.status
 }
 
-// Apply obeys a command and returns the new setting.
+// Apply executes a command and returns the new setting.
 func (s *Switches) Apply(c Command) Status {
 	s.mu.Lock()
 	if c.Freeze != nil {
@@ -188,7 +190,7 @@
 	return closing
 }
 
-// WaitUnfrozen returns once the stand-in is not frozen, or with the context's error.
+// WaitUnfrozen blocks until the stand-in is not frozen, or returns the context's error.
 func (s *Switches) WaitUnfrozen(ctx context.Context) error {
 	s.mu.Lock()
 	thawed := s.unfrozen
@@ -201,33 +203,35 @@
 	}
 }
 
-// Scale returns d times the slow factor.
+// Scale returns d multiplied by the slow factor.
 func (s *Switches) Scale(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * s.Status().Slow)
 }
 
-// TakeDroppedResponse tells whether this request's answer is to be lost, and counts it.
+// TakeDroppedResponse reports whether the response to this request must be dropped,
+// and consumes one drop.
 func (s *Switches) TakeDroppedResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.takeLocked(&s.status.DropResponses, s.status.DropResponseRate)
 }
 
-// TakeSwappedFrame tells whether this frame is to be swapped, and counts it.
+// TakeSwappedFrame reports whether this frame must be swapped, and consumes one swap.
 func (s *Switches) TakeSwappedFrame() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.takeLocked(&s.status.SwapFrames, 0)
 }
 
-// TakeSkippedEvent tells whether this cache event is to be left out, and counts it.
+// TakeSkippedEvent reports whether this cache event must be skipped, and consumes one
+// skip.
 func (s *Switches) TakeSkippedEvent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.takeLocked(&s.status.SkipEvents, s.status.SkipEventRate)
 }
 
-// TakeTornRead tells whether this object read is to be torn, and counts it.
+// TakeTornRead reports whether this object read must be torn, and consumes one tear.
 func (s *Switches) TakeTornRead() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,7 +246,7 @@
 	return rate > 0 && s.rng.Float64() < rate
 }
 
-// CrashOnMarker ends the stand-in if text contains the crash marker, and tells
+// CrashOnMarker terminates the stand-in if text contains the crash marker, and reports
 // whether it did.
 func (s *Switches) CrashOnMarker(text string) bool {
 	s.mu.Lock()
--- a/internal/standin/kv/core.go
+++ b/internal/standin/kv/core.go
@@ -1,5 +1,6 @@
-// Package kv is a stand-in for the platform's key-value service: compare-and-swap,
-// lists, leases, bounded watches, call counts and fault switches, all in memory.
+// Package kv is an in-memory stand-in for the platform's key-value service. It provides
+// compare-and-swap, lists, leases, watches with a time limit, call counts and fault
+// switches.
 package kv
 
 import (
@@ -20,7 +21,8 @@
 	errTooLarge = errors.New("kv: value too large")
 )
 
-// conflictError carries the entry that a compare-and-swap met.
+// conflictError carries the current entry, whose revision a compare-and-swap did not
+// expect.
 type conflictError struct {
 	current kvapi.Entry
 }
@@ -33,19 +35,19 @@
 	keys    map[string]struct{}
 }
 
-// Core is the state of the service. It is safe for concurrent use.
+// Core holds the state of the service. It is safe for concurrent use.
 type Core struct {
 	now func() time.Time
 
 	mu       sync.Mutex
 	revision uint64
-	entries  map[string]kvapi.Entry // deleted keys stay as tombstones for watches
+	entries  map[string]kvapi.Entry // includes tombstones of deleted keys, for watches
 	leases   map[string]*leaseState
 	granted  uint64
 	changed  chan struct{} // closed and replaced at every change
 }
 
-// NewCore returns an empty service that reads the time from now.
+// NewCore returns an empty Core that uses now as its clock.
 func NewCore(now func() time.Time) *Core {
 	return &Core{
 		now:     now,
@@ -55,7 +57,7 @@
 	}
 }
 
-// Get returns a live entry.
+// Get returns the entry of a key that is not deleted.
 func (c *Core) Get(key string) (kvapi.Entry, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +69,7 @@
 	return e, nil
 }
 
-// List returns the live entries below prefix, ordered by key.
+// List returns the entries under prefix that are not deleted, ordered by key.
 func (c *Core) List(prefix string) kvapi.ListResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +84,7 @@
 	return out
 }
 
-// CompareAndSwap writes or deletes a key whose revision is req.Expect.
+// CompareAndSwap writes or deletes a key if its current revision is req.Expect.
 func (c *Core) CompareAndSwap(req kvapi.CASRequest) (uint64, error) {
 	if len(req.Value) > kvapi.MaxValue {
 		return 0, errTooLarge
@@ -119,8 +121,8 @@
 	return c.revision, nil
 }
 
-// Changes returns the entries below prefix changed after a revision, oldest first,
-// and a channel that is closed at the next change.
+// Changes returns the entries under prefix that changed after a revision, oldest first,
+// and a channel that is closed at the next change of any key.
 func (c *Core) Changes(prefix string, after uint64) (kvapi.WatchResponse, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +137,7 @@
 	return out, c.changed
 }
 
-// Grant returns a new lease. Identities are never used again.
+// Grant creates a lease and returns its id. Ids are never reused.
 func (c *Core) Grant(ttl time.Duration) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +147,7 @@
 	return id
 }
 
-// KeepAlive renews a lease that has not lapsed.
+// KeepAlive renews a lease that has not expired, and returns its TTL.
 func (c *Core) KeepAlive(id string) (time.Duration, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,14 +167,16 @@
 	c.endLeaseLocked(id)
 }
 
-// Expire ends the leases that have lapsed, so that watches learn of it.
+// Expire ends expired leases and deletes their keys, so that watches report the
+// deletions.
 func (c *Core) Expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expireLocked()
 }
 
-// expireLocked visits leases in a fixed order, so that revisions repeat with a seed.
+// expireLocked ends expired leases in a fixed order, so that a test with the same seed
+// gets the same revisions.
 func (c *Core) expireLocked() {
 	now := c.now()
 	var expired []string
--- a/internal/standin/kv/fake.go
+++ b/internal/standin/kv/fake.go
@@ -12,27 +12,28 @@
 	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
-// Fault is what happens to one call on a Fake.
+// Fault is the fault that a Fake injects into one call.
 type Fault int
 
 const (
-	// FaultNone lets the call through.
+	// FaultNone processes the call normally.
 	FaultNone Fault = iota
-	// FaultUnavailable fails the call without effect; a write reports ErrUncertain,
-	// since its caller can't tell.
+	// FaultUnavailable fails the call without effect. A write returns ErrUncertain, since
+	// its caller cannot know whether it took effect.
 	FaultUnavailable
-	// FaultDroppedResponse lets a write take effect and reports ErrUncertain.
+	// FaultDroppedResponse lets a write take effect but returns ErrUncertain.
 	FaultDroppedResponse
-	// FaultDelayed holds a write back and reports ErrUncertain; Deliver lets it reach
-	// the service later, as a slow network would.
+	// FaultDelayed defers a write and returns ErrUncertain. Deliver applies the write
+	// later, as if a slow network had delayed it.
 	FaultDelayed
 )
 
-// Hook chooses the fault of one call. It runs without any lock held, so that a test
-// may act on the service in between.
+// Hook selects the fault of one call. It runs without any lock held, so that it may
+// itself call the service.
 type Hook func(client string, write bool, key string) Fault
 
-// Fake is the service in the same process. Its switches and hook set faults.
+// Fake is the service within the process of the test. Its switches and its hook inject
+// faults.
 type Fake struct {
 	*switches
 	core      *Core
@@ -43,7 +44,7 @@
 	delayed   []kvapi.CASRequest
 }
 
-// NewFake returns an empty service that reads the time from now (nil: time.Now).
+// NewFake returns an empty Fake that uses now as its clock (nil: time.Now).
 func NewFake(now func() time.Time) *Fake {
 	if now == nil {
 		now = time.Now
@@ -51,15 +52,14 @@
 	return &Fake{switches: newSwitches(), core: NewCore(now)}
 }
 
-// SetHook sets the fault hook; call it before the fake is used.
+// SetHook sets the fault hook. It must be called before the Fake is used.
 func (f *Fake) SetHook(h Hook) { f.hook = h }
 
-// SetAfterCall sets a hook that runs after each call took effect and before its caller
-// sees the answer; call it before the fake is used.
+// SetAfterCall sets a hook that runs after a call takes effect and before its caller
+// receives the response. It must be called before the Fake is used.
 func (f *Fake) SetAfterCall(after func(client string)) { f.afterCall = after }
 
-// Deliver lets the i-th delayed write reach the service. It reports false if there
-// is none.
+// Deliver applies the i-th delayed write. It returns false if there is no such write.
 func (f *Fake) Deliver(i int) bool {
 	f.delayedMu.Lock()
 	if i >= len(f.delayed) {
@@ -79,10 +79,11 @@
 	f.delayed = append(f.delayed, req)
 }
 
-// Expire ends lapsed leases, so that watches learn of it.
+// Expire ends expired leases and deletes their keys, so that watches report the
+// deletions.
 func (f *Fake) Expire() { f.core.Expire() }
 
-// Client returns the service as one daemon sees it.
+// Client returns a client of the service for the daemon with this id.
 func (f *Fake) Client(id string) platform.KV { return &fakeClient{f: f, id: id} }
 
 type fakeClient struct {
@@ -179,7 +180,8 @@
 	}
 }
 
-// Watch implements platform.KV. The wait is by the real clock.
+// Watch implements platform.KV. It waits by the real clock, not by the clock given to
+// NewFake.
 func (c *fakeClient) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]platform.Entry, platform.Revision, error) {
 	slow, reachable := c.f.recordCall(c.id, classWatch, 0)
 	if !reachable || sleep.For(ctx, slow) != nil {
--- a/internal/standin/kv/faults.go
+++ b/internal/standin/kv/faults.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// Counts of calls since the start. Watches and lists count as one call each.
+// Counts holds the numbers of calls since the start. A watch or a list counts as one
+// call.
 type Counts struct {
 	Reads            int64            `json:"reads"`
 	Writes           int64            `json:"writes"`
 	Watches          int64            `json:"watches"`
-	Rejected         int64            `json:"rejected"` // above the rates, too large, or during a fault
-	DroppedResponses int64            `json:"lost"`     // answers lost after their write took effect
-	Bytes            int64            `json:"bytes"`    // of values, in and out
+	Rejected         int64            `json:"rejected"` // rate-limited, too large, or failed by a fault
+	DroppedResponses int64            `json:"lost"`     // responses dropped after their write took effect
+	Bytes            int64            `json:"bytes"`    // bytes of values, received and sent
 	ByClient         map[string]int64 `json:"by_client"`
 }
 
-// FaultRequest sets fault switches (POST /fault); absent fields stay as they are.
+// FaultRequest sets fault switches (POST /fault). Absent fields keep their setting.
 type FaultRequest struct {
 	Down               *bool    `json:"down,omitempty"`
 	SlowMillis         *int64   `json:"slow_ms,omitempty"`
-	DropWriteResponses *int     `json:"lose_writes,omitempty"` // answers of the next writes are lost after they took effect
-	Partition          []string `json:"cut,omitempty"`         // clients that no longer reach the service
-	Restore            []string `json:"restore,omitempty"`     // clients that reach it again
+	DropWriteResponses *int     `json:"lose_writes,omitempty"` // number of next writes that take effect but get no response
+	Partition          []string `json:"cut,omitempty"`         // clients to partition from the service
+	Restore            []string `json:"restore,omitempty"`     // clients whose partition ends
 }
 
-// switches hold the faults in force and the counts.
+// switches holds the active faults and the call counts.
 type switches struct {
 	mu            sync.Mutex
 	down          bool
@@ -46,21 +47,22 @@
 	s.down = down
 }
 
-// SetSlow delays every answer.
+// SetSlow delays every response by d.
 func (s *switches) SetSlow(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow = d
 }
 
-// DropWriteResponses loses the answers of the next n writes after they took effect.
+// DropWriteResponses drops the responses of the next n writes after they took effect.
 func (s *switches) DropWriteResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropResponses = n
 }
 
-// Partition parts one client from the service; Cut(client, false) joins it again.
+// Partition partitions one client from the service, or ends its partition if partitioned
+// is false.
 func (s *switches) Partition(client string, partitioned bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +81,7 @@
 	return out
 }
 
-// Apply sets the switches of a request.
+// Apply sets the switches that are present in a request.
 func (s *switches) Apply(f FaultRequest) {
 	if f.Down != nil {
 		s.SetDown(*f.Down)
@@ -98,7 +100,7 @@
 	}
 }
 
-// callClass of a call, for counts and rates.
+// callClass is the class of a call, for counts and rate limits.
 type callClass int
 
 const (
@@ -107,7 +109,8 @@
 	classWatch
 )
 
-// recordCall counts a call and reports how long to delay it and whether it is reachable.
+// recordCall counts a call and returns how long to delay it and whether its client can
+// reach the service.
 func (s *switches) recordCall(client string, c callClass, bytes int) (slow time.Duration, reachable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +143,8 @@
 	s.counts.Bytes += int64(bytes)
 }
 
-// takeDroppedResponse reports whether the answer of this write is to be lost.
+// takeDroppedResponse reports whether the response to this write must be dropped, and
+// consumes and counts one drop.
 func (s *switches) takeDroppedResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/kv/server.go
+++ b/internal/standin/kv/server.go
@@ -15,30 +15,31 @@
 	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
-// ClientHeader carries the daemon id of the caller, so that one daemon can be cut off.
+// ClientHeader carries the daemon id of the client, so that a single daemon can be
+// partitioned from the service.
 const ClientHeader = "X-Client"
 
-// Paths beside those of kvapi.
+// Paths in addition to those of kvapi.
 const (
 	PathFault  = "/fault"
 	PathCounts = "/debug/counts"
 )
 
 const (
-	maxRequestBytes = 2 * kvapi.MaxValue // base64 and framing
+	maxRequestBytes = 2 * kvapi.MaxValue // allows for base64 and JSON framing
 	maxWatch        = time.Minute
 	expireInterval  = 20 * time.Millisecond
 	shutdownTimeout = time.Second
 )
 
-// Options of Server. Zero rates mean no limit.
+// Options configures a Server. A rate of zero means no limit.
 type Options struct {
 	ReadsPerSecond  float64
 	WritesPerSecond float64
 	Now             func() time.Time // nil: time.Now
 }
 
-// Server is the HTTP side of the stand-in. Its switches set faults while it runs.
+// Server serves the stand-in over HTTP. Its switches inject faults while it runs.
 type Server struct {
 	*switches
 	core   *Core
@@ -47,7 +48,7 @@
 	mux    *http.ServeMux
 }
 
-// NewServer returns a server with an empty store.
+// NewServer returns a Server without entries.
 func NewServer(opts Options) *Server {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -63,12 +64,12 @@
 	return s
 }
 
-// Serve answers on a listener until ctx ends.
+// Serve runs a new Server on a listener until ctx ends.
 func Serve(ctx context.Context, l net.Listener, opts Options) error {
 	return NewServer(opts).Serve(ctx, l)
 }
 
-// Serve answers on a listener until ctx ends.
+// Serve serves requests on a listener until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	srv := &http.Server{Handler: s, ReadHeaderTimeout: shutdownTimeout}
 	failed := make(chan error, 1)
@@ -113,8 +114,9 @@
 	})
 }
 
-// guard counts a call and applies rates and faults. A cut connection is closed
-// without an answer, as a caller of an unreachable service would see it.
+// guard counts a call and applies rate limits and faults. If the service is down or the
+// client is partitioned, guard closes the connection without a response, as if the
+// service were unreachable.
 func (s *Server) guard(c callClass, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		slow, reachable := s.recordCall(r.Header.Get(ClientHeader), c, max(0, int(r.ContentLength)))
@@ -176,7 +178,8 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-// waitForChanges returns the changes after a revision, or none when ctx ends first.
+// waitForChanges waits for changes after a revision and returns them. If ctx ends first,
+// it returns no entries.
 func (c *Core) waitForChanges(ctx context.Context, prefix string, after uint64) kvapi.WatchResponse {
 	for {
 		out, changed := c.Changes(prefix, after)
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,8 +1,8 @@
 // Package service is a stand-in for a plain service, such as one that prints lot
-// labels. It does not deduplicate: each call it accepts is one more execution.
+// labels. It does not deduplicate: each accepted call is a new execution.
 //
-//	POST /v1/services/{name}/...   Answer
-//	GET  /debug/executions         executions by idempotency key
+//	POST /v1/services/{name}/...   Response
+//	GET  /debug/executions         number of executions by idempotency key
 package service
 
 import (
@@ -16,32 +16,32 @@
 	"github.com/bluebellscale/bluebellscale/internal/standin/fault"
 )
 
-// Paths and headers of the interface.
+// Paths and headers of the HTTP interface.
 const (
 	PathServices   = "/v1/services/"
 	PathExecutions = "/debug/executions"
 	HeaderKey      = "Idempotency-Key"
 )
 
-// maxBody is the largest call body in bytes.
+// maxBody is the maximum size of a call's body in bytes.
 const maxBody = 8 << 20
 
-// Response is the result of a call.
+// Response is the response to a call.
 type Response struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
 	Key     string `json:"key"`
-	Serial  uint64 `json:"serial"` // counts executions of this instance
-	Bytes   int    `json:"bytes"`  // length of the call's body
+	Serial  uint64 `json:"serial"` // number of this execution within the instance
+	Bytes   int    `json:"bytes"`  // size of the call's body
 }
 
-// Options of New.
+// Options configures New.
 type Options struct {
-	Delay    time.Duration // time that one execution takes
+	Delay    time.Duration // duration of one execution
 	Switches *fault.Switches
 }
 
-// Service is the stand-in's state. It is an http.Handler.
+// Service holds the state of the stand-in and implements http.Handler.
 type Service struct {
 	mux      *http.ServeMux
 	delay    time.Duration
@@ -52,7 +52,7 @@
 	executions map[string]int
 }
 
-// New returns a service that has executed nothing.
+// New returns a Service without executions.
 func New(o Options) *Service {
 	s := &Service{
 		mux:        http.NewServeMux(),
@@ -72,7 +72,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Executions returns how often each idempotency key was executed.
+// Executions returns the number of executions of each idempotency key.
 func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 		Serial:  s.recordExecution(key),
 		Bytes:   len(body),
 	}
-	// The execution stands from here on, even if its caller goes away.
+	// The execution is recorded at this point, even if the caller disconnects.
 	time.Sleep(s.switches.Scale(s.delay))
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(answer)
--- a/internal/standin/store/handler.go
+++ b/internal/standin/store/handler.go
@@ -16,10 +16,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/storeapi"
 )
 
-// maxBody is the largest object body in bytes.
+// maxBody is the maximum size of an object's body in bytes.
 const maxBody = 16 << 20
 
-// Handler serves storeapi.
+// Handler returns the HTTP handler that serves storeapi.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+storeapi.PathObjects, s.servePut)
@@ -32,14 +32,15 @@
 	return mux
 }
 
-// objectName returns the name in the request's path. Names may hold escaped slashes.
+// objectName returns the object name from the request's path. Names may contain escaped
+// slashes.
 func objectName(r *http.Request) (string, error) {
 	raw := strings.TrimPrefix(r.URL.EscapedPath(), storeapi.PathObjects)
 	return url.PathUnescape(raw)
 }
 
-// servePut stores an object once its body is whole and its digest is right, so that
-// a write cut off half way is never seen.
+// servePut stores an object only after its complete body has arrived and its digest
+// matches, so that a truncated write is never visible.
 func (s *Store) servePut(w http.ResponseWriter, r *http.Request) {
 	name, err := objectName(r)
 	if err != nil || name == "" {
@@ -126,7 +127,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveTier moves objects in order and stops at the first that cannot be moved.
+// serveTier moves objects in order and stops at the first object that cannot be moved.
 func (s *Store) serveTier(w http.ResponseWriter, r *http.Request) {
 	var req storeapi.TierRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -150,7 +151,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// servePin pins objects in order and stops at the first that is not there.
+// servePin pins objects in order and stops at the first object that does not exist.
 func (s *Store) servePin(w http.ResponseWriter, r *http.Request) {
 	var req storeapi.PinRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
--- a/internal/standin/store/link.go
+++ b/internal/standin/store/link.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// link paces transfers first in, first out.
+// link models a link of limited bandwidth that serves transfers in FIFO order.
 type link struct {
 	mu          sync.Mutex
 	bytesPerSec float64
-	busyUntil   time.Time // when the last transfer in the queue ends
+	busyUntil   time.Time // when the last queued transfer ends
 }
 
 func newLink(bytesPerSec float64) *link { return &link{bytesPerSec: bytesPerSec} }
 
-// transfer waits until n bytes have passed; slow divides the link's speed. A transfer
-// whose caller goes away has still taken its place in the queue.
+// transfer blocks until n bytes have been transferred; slow divides the link's speed. A
+// transfer whose context ends keeps its reserved link time.
 func (l *link) transfer(ctx context.Context, n int64, slow float64) error {
 	end := l.reserve(time.Now(), n, slow)
 	wait := time.Until(end)
@@ -46,7 +46,7 @@
 	return l.busyUntil
 }
 
-// queuedBytes returns how many bytes wait at now.
+// queuedBytes returns the number of bytes that are queued at now.
 func (l *link) queuedBytes(now time.Time, slow float64) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/store/link_test.go
+++ b/internal/standin/store/link_test.go
@@ -15,7 +15,7 @@
 		}
 	}
 	if got := l.queuedBytes(now, 1); got != 2500 {
-		t.Fatalf("queued %d", got)
+		t.Fatalf("queued %d bytes", got)
 	}
 	if got := l.reserve(now, 100, 10).Sub(now); got != 3500*time.Millisecond {
 		t.Fatalf("slowed transfer ends after %v", got)
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,5 +1,6 @@
-// Package store is a stand-in for a store VM: named immutable objects in a memory
-// and a disk tier of limited size, behind a limited link. It serves storeapi.
+// Package store is a stand-in for a store VM. It serves storeapi and holds named,
+// immutable objects in a memory tier and a disk tier of limited capacity, behind a link
+// of limited bandwidth.
 package store
 
 import (
@@ -16,7 +17,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/storeapi"
 )
 
-// Errors of Store.
+// Errors of Store. HTTP responses carry their texts.
 var (
 	errAbsent = errors.New("store: no such object")
 	errFreed  = errors.New("store: name was freed")
@@ -25,15 +26,16 @@
 	errPinned = errors.New("store: pinned")
 )
 
-// Options of New.
+// Options configures New.
 type Options struct {
-	MemoryBytes     int64   // room of the memory tier
-	DiskBytes       int64   // room of the disk tier
+	MemoryBytes     int64   // capacity of the memory tier
+	DiskBytes       int64   // capacity of the disk tier
 	LinkBytesPerSec float64 // nominal; 0: unlimited
 	DiskBytesPerSec float64 // nominal; 0: unlimited
-	TimeScale       float64 // real time of a nominal second; 0 counts as 1
-	// Evict lets a full tier free its least recently used unpinned object: memory moves
-	// it to disk, disk frees it. Without it a full tier refuses.
+	TimeScale       float64 // real seconds per nominal second; 0: 1
+	// Evict makes a full tier evict its least recently used unpinned object. The memory
+	// tier moves it to the disk tier, or frees it if the disk tier cannot hold it. The
+	// disk tier frees it. Without Evict, a full tier rejects objects.
 	Evict    bool
 	Switches *fault.Switches
 }
@@ -42,21 +44,21 @@
 	name        string
 	content     []byte
 	digest      string
-	length      int64 // bytes charged
+	length      int64 // bytes charged to the tier and the link
 	tier        storeapi.Tier
-	pinnedUntil time.Time // until then
+	pinnedUntil time.Time
 	lastUsed    time.Time // last read or write
 	element     *list.Element
 }
 
-// tier is one kind of room. Its order is by use, most recent first.
+// tier is a storage tier. Its objects are ordered by use, most recent first.
 type tier struct {
 	capacity int64
 	used     int64
 	order    *list.List
 }
 
-// Store is the stand-in's state.
+// Store holds the state of the stand-in.
 type Store struct {
 	switches *fault.Switches
 	evict    bool
@@ -71,7 +73,7 @@
 	bytesOut int64
 }
 
-// New returns an empty store.
+// New returns an empty Store.
 func New(o Options) *Store {
 	scale := o.TimeScale
 	if scale == 0 {
@@ -95,7 +97,7 @@
 	return s
 }
 
-// put adds an object to the memory tier. A repeat with equal content is harmless.
+// put adds an object to the memory tier. It is idempotent for equal content.
 func (s *Store) put(name string, content []byte, digest string, length int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// get returns an object and, unless it only peeks, counts a use of it.
+// get returns an object and, unless peek is set, marks it as used.
 func (s *Store) get(name string, peek bool) (object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +139,8 @@
 	return *o, nil
 }
 
-// list returns objects by name, the longest unused first.
+// list returns up to limit objects whose name has the prefix and the substring, the
+// longest unused first.
 func (s *Store) list(prefix, contains string, limit int) []storeapi.Listed {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +167,7 @@
 	return nil, errAbsent
 }
 
-// free deletes an object for ever.
+// free deletes an object permanently. Its name cannot be used again.
 func (s *Store) free(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,7 +188,7 @@
 	s.freed[o.name] = struct{}{}
 }
 
-// move brings an object to a tier and returns the bytes moved.
+// move moves an object to a tier and returns the number of bytes moved.
 func (s *Store) move(name string, to storeapi.Tier) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +207,7 @@
 	return o.length, nil
 }
 
-// pin keeps an object from being freed until a time.
+// pin protects an object from being freed before the given time.
 func (s *Store) pin(name string, until time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,7 +267,8 @@
 	t.used -= o.length
 }
 
-// Status reports room and link use; the link's speed is the real one.
+// Status reports the use of the tiers and the link. The reported link speed includes
+// the time scale and the slow factor.
 func (s *Store) Status() storeapi.Status {
 	slow := s.switches.Status().Slow
 	s.mu.Lock()
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,11 +1,12 @@
 // Package vmlist is a stand-in for the platform's VM list and for its weight store.
 //
-//	GET  /v1/vms       []platform.VM as it was a lag ago
+//	GET  /v1/vms       []platform.VM, delayed by the lag
 //	POST /v1/vms       []platform.VM replaces the list
-//	POST /v1/weights   LoadReport -> LoadAnswer
+//	POST /v1/weights   LoadReport -> LoadResponse
 //
-// The weight store only counts: a replica that loads reports so again and again and
-// learns how many load at once. Past the cap each loads slower.
+// The weight store only counts loads: a replica that loads weights reports this
+// repeatedly and receives the number of replicas that load concurrently. Above the cap,
+// each replica loads more slowly.
 package vmlist
 
 import (
@@ -17,32 +18,32 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// Paths of the interface.
+// Paths of the HTTP interface.
 const (
 	PathVMs     = "/v1/vms"
 	PathWeights = "/v1/weights"
 )
 
-// reportTTL is how long a replica counts as loading after its last report.
+// reportTTL is how long after its last report a replica counts as loading.
 const reportTTL = 2 * time.Second
 
-// LoadReport says whether a replica loads weights now.
+// LoadReport reports whether a replica is loading weights.
 type LoadReport struct {
 	Replica string `json:"replica"`
 	Loading bool   `json:"loading"`
 }
 
-// LoadResponse tells how many replicas load at once.
+// LoadResponse is the number of replicas that load weights concurrently.
 type LoadResponse struct {
 	Loading int `json:"loading"`
-	Cap     int `json:"cap"`  // loads at once at full speed
-	Peak    int `json:"peak"` // most loads at once so far
+	Cap     int `json:"cap"`  // concurrent loads at full speed; 0: no limit
+	Peak    int `json:"peak"` // highest number of concurrent loads so far
 }
 
-// Options of New.
+// Options configures New.
 type Options struct {
-	Lag     time.Duration // age of the list that readers get
-	LoadCap int           // loads at once at full speed; 0: no limit
+	Lag     time.Duration // delay before readers see a change of the list
+	LoadCap int           // concurrent loads at full speed; 0: no limit
 }
 
 type snapshot struct {
@@ -50,7 +51,7 @@
 	vms []platform.VM
 }
 
-// List is the stand-in's state. It is an http.Handler.
+// List holds the state of the stand-in and implements http.Handler.
 type List struct {
 	mux     *http.ServeMux
 	loadCap int
@@ -79,7 +80,8 @@
 // ServeHTTP implements http.Handler.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.mux.ServeHTTP(w, r) }
 
-// Set replaces the list; readers see it after the lag. The first list is seen at once.
+// Set replaces the list. Readers see the new list after the lag, or immediately if it
+// is the first one.
 func (l *List) Set(vms []platform.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +95,7 @@
 	l.lag = lag
 }
 
-// VMs returns the list as it was a lag ago.
+// VMs returns the list that was current one lag ago.
 func (l *List) VMs() []platform.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,7 +112,8 @@
 	return l.snapshots[current].vms
 }
 
-// Report notes a replica's load of weights and tells how many load at once.
+// Report records whether a replica is loading weights and returns the number of
+// concurrent loads.
 func (l *List) Report(r LoadReport) LoadResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
