--- a/cmd/standin/ask.go
+++ b/cmd/standin/ask.go
@@ -11,25 +11,25 @@
 	"github.com/urfave/cli/v2"
 )
 
-// requestTimeout bounds one question, whatever the daemon or stand-in does.
+// requestTimeout bounds one request, including the response body.
 const requestTimeout = 30 * time.Second
 
-// askCommand sends one HTTP request, for scripts: to the fault switches of a stand-in,
-// to its counts, or to a daemon as a caller.
+// askCommand sends one HTTP request on behalf of a script: to the fault switches or the
+// counts of a stand-in, or to a daemon as a caller.
 func askCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "ask",
-		Usage:     "send one HTTP request and print the answer's body",
+		Usage:     "send one HTTP request and print the response body",
 		ArgsUsage: "IP:PORT/PATH [BODY]",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "bearer", Usage: "key of the organisation that asks"},
+			&cli.StringFlag{Name: "bearer", Usage: "key of the calling organisation"},
 		},
 		Action: ask,
 	}
 }
 
-// ask posts the body if there is one, else gets. An answer with an error status is
-// printed too.
+// ask sends a POST request if a body is given, and a GET request otherwise. It also prints
+// the body of a response with an error status.
 func ask(c *cli.Context) error {
 	method, body := http.MethodGet, c.Args().Get(1)
 	if body != "" {
@@ -55,7 +55,7 @@
 		return errors.Wrap(err, "ask")
 	}
 	if resp.StatusCode/100 != 2 {
-		return errors.Newf("ask: status %d", resp.StatusCode)
+		return errors.Newf("ask: response status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/cmd/standin/commands.go
+++ b/cmd/standin/commands.go
@@ -32,18 +32,18 @@
 		Flags: commonFlags(
 			&cli.StringFlag{Name: "name", Usage: "replica name in reports to the weight store"},
 			&cli.StringFlag{Name: "model", Required: true},
-			&cli.StringFlag{Name: "version", Required: true, Usage: "weight version loaded at the start"},
+			&cli.StringFlag{Name: "version", Required: true, Usage: "weight version loaded at startup"},
 			&cli.StringFlag{Name: "role"},
-			&cli.Float64Flag{Name: timeScaleFlag, Value: 1, Usage: "real time of a nominal second"},
-			&cli.IntFlag{Name: "max-running", Usage: "requests in the batch"},
-			&cli.IntFlag{Name: "max-queued", Usage: "requests waiting for the batch"},
-			&cli.IntFlag{Name: "blocks", Usage: "room of the prefix cache"},
-			&cli.Int64Flag{Name: "kv-per-token", Usage: "bytes of KV cache a token"},
-			&cli.DurationFlag{Name: "event-lag", Usage: "nominal lag of cache events"},
-			&cli.DurationFlag{Name: "load-lag", Usage: "nominal lag of the load report"},
-			&cli.DurationFlag{Name: "load-time", Usage: "nominal time of a weight load"},
-			&cli.DurationFlag{Name: "keep-streams", Usage: "real time that a finished stream stays readable"},
-			&cli.BoolFlag{Name: "checks-epoch", Usage: "refuse orders with an old epoch"},
+			&cli.Float64Flag{Name: timeScaleFlag, Value: 1, Usage: "real seconds per nominal second"},
+			&cli.IntFlag{Name: "max-running", Usage: "maximum number of requests in the batch"},
+			&cli.IntFlag{Name: "max-queued", Usage: "maximum number of requests waiting for the batch"},
+			&cli.IntFlag{Name: "blocks", Usage: "capacity of the prefix cache in blocks"},
+			&cli.Int64Flag{Name: "kv-per-token", Usage: "bytes of KV cache per token"},
+			&cli.DurationFlag{Name: "event-lag", Usage: "nominal delay of cache events"},
+			&cli.DurationFlag{Name: "load-lag", Usage: "nominal interval at which the load report is renewed"},
+			&cli.DurationFlag{Name: "load-time", Usage: "nominal duration of a weight load"},
+			&cli.DurationFlag{Name: "keep-streams", Usage: "real time for which a finished stream stays readable"},
+			&cli.BoolFlag{Name: "checks-epoch", Usage: "reject orders with an old epoch"},
 			&cli.StringFlag{Name: "weights", Usage: "address of the VM list stand-in, which counts weight loads"},
 		),
 		Action: runEngine,
@@ -81,7 +81,7 @@
 		Name:  "service",
 		Usage: "a plain service instance",
 		Flags: commonFlags(
-			&cli.DurationFlag{Name: "delay", Value: 5 * time.Millisecond, Usage: "time of one execution"},
+			&cli.DurationFlag{Name: "delay", Value: 5 * time.Millisecond, Usage: "duration of one execution"},
 		),
 		Action: func(c *cli.Context) error {
 			switches := newSwitches(c)
@@ -96,12 +96,12 @@
 		Name:  "store",
 		Usage: "a store VM",
 		Flags: commonFlags(
-			&cli.Int64Flag{Name: "memory", Value: defaultMemory, Usage: "bytes of the memory tier"},
-			&cli.Int64Flag{Name: "disk", Value: defaultDisk, Usage: "bytes of the disk tier"},
-			&cli.Float64Flag{Name: "link", Value: defaultLink, Usage: "nominal bytes a second; 0: unlimited"},
-			&cli.Float64Flag{Name: "disk-rate", Value: defaultDiskRate, Usage: "nominal bytes a second; 0: unlimited"},
-			&cli.Float64Flag{Name: timeScaleFlag, Value: 1, Usage: "real time of a nominal second"},
-			&cli.BoolFlag{Name: "evict", Usage: "free the least recently used objects when full"},
+			&cli.Int64Flag{Name: "memory", Value: defaultMemory, Usage: "capacity of the memory tier in bytes"},
+			&cli.Int64Flag{Name: "disk", Value: defaultDisk, Usage: "capacity of the disk tier in bytes"},
+			&cli.Float64Flag{Name: "link", Value: defaultLink, Usage: "nominal bytes per second of the link; 0: unlimited"},
+			&cli.Float64Flag{Name: "disk-rate", Value: defaultDiskRate, Usage: "nominal bytes per second of the disk tier; 0: unlimited"},
+			&cli.Float64Flag{Name: timeScaleFlag, Value: 1, Usage: "real seconds per nominal second"},
+			&cli.BoolFlag{Name: "evict", Usage: "evict the least recently used objects when full"},
 		),
 		Action: func(c *cli.Context) error {
 			switches := newSwitches(c)
@@ -122,10 +122,10 @@
 func vmlistCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "vmlist",
-		Usage: "the VM list, and the weight store's count of loads",
+		Usage: "the VM list and the weight store's load counter",
 		Flags: commonFlags(
-			&cli.DurationFlag{Name: "lag", Usage: "age of the list that readers get"},
-			&cli.IntFlag{Name: "load-cap", Usage: "weight loads at once at full speed; 0: no limit"},
+			&cli.DurationFlag{Name: "lag", Usage: "delay before readers see a change of the list"},
+			&cli.IntFlag{Name: "load-cap", Usage: "concurrent weight loads at full speed; 0: no limit"},
 		),
 		Action: func(c *cli.Context) error {
 			list := vmlist.New(vmlist.Options{Lag: c.Duration("lag"), LoadCap: c.Int("load-cap")})
@@ -134,17 +134,17 @@
 	}
 }
 
-// kvCommand runs the key-value service. It has fault switches of its own at /fault;
-// those on its connections are at another address.
+// kvCommand runs the key-value service. It serves its own fault switches at /fault. The
+// fault switches of its connections are served at a separate address.
 func kvCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "kv",
 		Usage: "the key-value service",
 		Flags: commonFlags(
-			&cli.Float64Flag{Name: "reads", Usage: "reads a second; 0: no limit"},
-			&cli.Float64Flag{Name: "writes", Usage: "writes a second; 0: no limit"},
-			&cli.StringFlag{Name: "fault-listen", Usage: "address of the switches on connections; empty: none"},
-			&cli.StringFlag{Name: "fault-addr-file", Usage: "file that gets that actual address"},
+			&cli.Float64Flag{Name: "reads", Usage: "maximum reads per second; 0: no limit"},
+			&cli.Float64Flag{Name: "writes", Usage: "maximum writes per second; 0: no limit"},
+			&cli.StringFlag{Name: "fault-listen", Usage: "address that serves the fault switches of the connections; empty: none"},
+			&cli.StringFlag{Name: "fault-addr-file", Usage: "file to write the actual fault-listen address to"},
 		),
 		Action: runKV,
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs one stand-in of a platform part for tests and demos. Each
+// Command standin runs a stand-in for one platform component, for tests and demos. Each
 // stand-in serves its fault switches at /fault.
 package main
 
@@ -20,7 +20,7 @@
 func main() {
 	app := &cli.App{
 		Name:  "standin",
-		Usage: "run a stand-in of a platform part",
+		Usage: "run a stand-in for a platform component",
 		Commands: []*cli.Command{
 			engineCommand(),
 			serviceCommand(),
@@ -38,11 +38,11 @@
 	}
 }
 
-// commonFlags are the flags of every stand-in.
+// commonFlags returns the flags of every stand-in, followed by its own flags.
 func commonFlags(own ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "address to listen on"},
-		&cli.StringFlag{Name: "addr-file", Usage: "file that gets the actual address"},
+		&cli.StringFlag{Name: "addr-file", Usage: "file to write the actual address to"},
 		&cli.Int64Flag{Name: "seed", Value: 1, Usage: "seed of the fault switches"},
 	}, own...)
 }
@@ -51,7 +51,7 @@
 	return fault.New(fault.Options{Seed: c.Int64("seed")})
 }
 
-// serve runs a handler until the process is told to stop.
+// serve runs a handler until the process is interrupted or the server stops.
 func serve(c *cli.Context, switches *fault.Switches, handler http.Handler) error {
 	server, err := fault.Serve(c.String("listen"), switches, handler)
 	if err != nil {
@@ -68,15 +68,15 @@
 	return nil
 }
 
-// announce tells the actual address on standard output and in the address file.
+// announce writes the actual address to standard output and to the address file.
 func announce(c *cli.Context, address string) error {
 	fmt.Println(address)
 	return writeAddress(c.String("addr-file"), address)
 }
 
-// writeAddress writes an address to a file, unless path is empty. It does so under
-// another name and renames the file, so that a reader that waits for the file never
-// sees half an address.
+// writeAddress writes an address to a file, unless path is empty. It writes a temporary
+// file and renames it, so that a reader that waits for the file never reads a partial
+// address.
 func writeAddress(path, address string) error {
 	if path == "" {
 		return nil
