--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -101,9 +101,9 @@
 	if r.switches.Status().Blackholed != 1 {
 		t.Fatalf("blackholed %d connections", r.switches.Status().Blackholed)
 	}
-	old, stop := context.WithCancel(ctx)
+	requestCtx, stop := context.WithCancel(ctx)
 	silent := make(chan error, 1)
-	go func() { silent <- send(old, http.MethodPost, "/", "") }()
+	go func() { silent <- send(requestCtx, http.MethodPost, "/", "") }()
 	fresh := r.client(t)
 	pending(t, silent, func() {
 		if err := fresh(ctx, http.MethodPost, "/", ""); err != nil {
--- a/internal/standin/fault/switches.go
+++ b/internal/standin/fault/switches.go
@@ -176,9 +176,9 @@
 }
 
 func (s *Switches) connsToCloseLocked(c Command) []*Conn {
-	cut := c.CloseConns != nil && *c.CloseConns
-	refuse := c.RefuseMillis != nil && *c.RefuseMillis > 0
-	if !cut && !refuse {
+	closeConns := c.CloseConns != nil && *c.CloseConns
+	refuseConns := c.RefuseMillis != nil && *c.RefuseMillis > 0
+	if !closeConns && !refuseConns {
 		return nil
 	}
 	var closing []*Conn
