--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -214,7 +214,7 @@
 	if a.heldPartitions() != 2 || b.heldPartitions() != 2 {
 		t.Fatalf("a holds %d and b %d, want 2 and 2", a.heldPartitions(), b.heldPartitions())
 	}
-	fake.Cut("b", true)
+	fake.Partition("b", true)
 	round(10) // the session expires, then three scans follow
 	gaps := 0
 	for range 25 {
@@ -226,7 +226,7 @@
 	if b.heldPartitions() != 0 || gaps > 0 {
 		t.Errorf("b holds %d; a lacked partitions at %d of 25 scans", b.heldPartitions(), gaps)
 	}
-	fake.Cut("b", false)
+	fake.Partition("b", false)
 	round(60)
 	if a.heldPartitions() != 2 || b.heldPartitions() != 2 {
 		t.Errorf("after b reconnected: a holds %d and b %d, want 2 and 2", a.heldPartitions(), b.heldPartitions())
@@ -285,13 +285,13 @@
 	var wg sync.WaitGroup
 	for i := range 40 {
 		wg.Go(func() {
-			server.LoseWrites(1)
+			server.DropWriteResponses(1)
 			ticket, _, err := a.begin(ctx, newCall(fmt.Sprint(i)))
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			server.LoseWrites(1)
+			server.DropWriteResponses(1)
 			body := make([]byte, 4000)
 			copy(body, fmt.Sprint(i))
 			if err := a.Finish(ctx, ticket, journal.Result{Body: body}); err != nil {
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -62,7 +62,7 @@
 			e := newEnvironment()
 			fleet := e.startFleet(t, size)
 			isolated := fleet[size-1]
-			e.keyValue.Cut(isolated.Self().Id, partition.service)
+			e.keyValue.Partition(isolated.Self().Id, partition.service)
 			e.network.setPartitioned(isolated.Self().PeerAddress, partition.peers)
 			if partition.service && partition.peers {
 				eventually(t, "an expired proof on the partitioned daemon", func() bool { return !isolated.fresh() })
@@ -75,7 +75,7 @@
 				if isolated.fresh() || isolated.loadCap() != 1 {
 					t.Fatal("the partitioned daemon considers its table current")
 				}
-				e.keyValue.Cut(isolated.Self().Id, false)
+				e.keyValue.Partition(isolated.Self().Id, false)
 				e.network.setPartitioned(isolated.Self().PeerAddress, false)
 			}
 			eventually(t, "the edit applied on the partitioned daemon", func() bool { return isolated.loadCap() == 2 && isolated.fresh() })
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -6,19 +6,19 @@
 	"github.com/bluebellscale/bluebellscale/internal/block"
 )
 
-// step is what one pass over the batch does: one piece of one prompt, and a token for
-// each request whose prompt is in place.
+// step is one pass over the batch: it prefills one chunk of one prompt and produces a
+// token for each request whose prompt is complete.
 type step struct {
 	prefill  *stream
-	computed []block.Hash // whole blocks of the piece
-	tokens   int          // of the piece
+	computed []block.Hash // complete blocks of the chunk
+	tokens   int          // prompt tokens of the chunk
 	decode   []*stream
 }
 
 func (p step) empty() bool { return p.prefill == nil && len(p.decode) == 0 }
 
-// nominal returns the time of the step without scale.
-func (p step) nominal() time.Duration {
+// nominalTime returns the unscaled duration of the step.
+func (p step) nominalTime() time.Duration {
 	d := time.Duration(p.tokens) * time.Second / PrefillTokensPerSec
 	if len(p.decode) > 0 {
 		d += DecodeStep
@@ -26,17 +26,17 @@
 	return d
 }
 
-// runBatches is the duty that runs the batch step by step.
+// runBatches executes batch steps until the replica stops.
 func (e *Engine) runBatches() {
 	defer e.work.Done()
-	free := time.Now() // when the last step ended, were timers exact
+	lastStepEnd := time.Now() // end of the last step, assuming exact timers
 	for {
-		if e.switches.WaitThawed(e.ctx) != nil {
+		if e.switches.WaitUnfrozen(e.ctx) != nil {
 			return
 		}
-		next, crash := e.plan()
+		next, crash := e.planStep()
 		if crash != "" {
-			if e.switches.CrashIfMarked(crash) {
+			if e.switches.CrashOnMarker(crash) {
 				return
 			}
 			continue
@@ -45,18 +45,19 @@
 			if !e.waitForWork() {
 				return
 			}
-			free = time.Now()
+			lastStepEnd = time.Now()
 			continue
 		}
-		free = free.Add(e.real(next.nominal()))
-		if !e.pause(e.ctx, time.Until(free)) {
+		lastStepEnd = lastStepEnd.Add(e.scaleTime(next.nominalTime()))
+		if !e.sleep(e.ctx, time.Until(lastStepEnd)) {
 			return
 		}
-		// Small delays of timers are made up for by the next steps; long ones are not.
-		if late := time.Now().Add(-e.real(DecodeStep)); free.Before(late) {
-			free = late
+		// The next steps compensate for short timer delays, but not for delays of more than
+		// one decode step.
+		if limit := time.Now().Add(-e.scaleTime(DecodeStep)); lastStepEnd.Before(limit) {
+			lastStepEnd = limit
 		}
-		e.complete(next)
+		e.completeStep(next)
 	}
 }
 
@@ -69,13 +70,13 @@
 	}
 }
 
-// plan admits requests to the batch and returns the next step; or the prompt of a
-// request that is to crash the replica.
-func (e *Engine) plan() (next step, crash string) {
+// planStep admits requests to the batch and returns the next step. While a crash marker is
+// set, it returns the prompt of each admitted request instead, for the caller to check.
+func (e *Engine) planStep() (next step, crash string) {
 	marked := e.switches.Status().CrashMarker != ""
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for len(e.queue) > 0 && len(e.running) < e.o.MaxRunning {
+	for len(e.queue) > 0 && len(e.running) < e.opts.MaxRunning {
 		s := e.queue[0]
 		e.queue = e.queue[1:]
 		s.started = true
@@ -86,51 +87,53 @@
 	}
 	for _, s := range e.running {
 		if !s.prefilled() {
-			e.reuseLocked(s)
+			e.reuseCachedLocked(s)
 		}
 		switch {
 		case s.prefilled():
 			next.decode = append(next.decode, s)
 		case next.prefill == nil:
 			next.prefill = s
-			next.computed, next.tokens = e.pieceLocked(s)
+			next.computed, next.tokens = e.nextChunkLocked(s)
 		}
 	}
 	return next, ""
 }
 
-// reuseLocked advances over cached blocks. It is asked before every piece, so that
-// blocks imported while earlier ones are computed are not computed again.
-func (e *Engine) reuseLocked(s *stream) {
+// reuseCachedLocked advances a stream over cached blocks. It runs before every chunk, so
+// that blocks that were imported during the computation of earlier ones are not
+// recomputed.
+func (e *Engine) reuseCachedLocked(s *stream) {
 	for {
 		i := s.position / block.TokensPerBlock
 		if i >= len(s.chain) || !e.cache.acquire(s.chain[i]) {
 			return
 		}
-		s.held = append(s.held, s.chain[i])
+		s.heldBlocks = append(s.heldBlocks, s.chain[i])
 		s.position += block.TokensPerBlock
-		s.reused += block.TokensPerBlock
+		s.reusedTokens += block.TokensPerBlock
 	}
 }
 
-// pieceLocked returns the next piece to compute: up to the next cached block, the end
-// of the prompt, or PrefillPiece tokens.
-func (e *Engine) pieceLocked(s *stream) ([]block.Hash, int) {
+// nextChunkLocked returns the complete blocks and the number of tokens of the next chunk
+// to compute. The chunk ends at the next cached block, at the end of the prompt, or after
+// PrefillChunk tokens.
+func (e *Engine) nextChunkLocked(s *stream) ([]block.Hash, int) {
 	first := s.position / block.TokensPerBlock
 	end := first
-	for end < len(s.chain) && (end-first+1)*block.TokensPerBlock <= PrefillPiece && !e.cache.has(s.chain[end]) {
+	for end < len(s.chain) && (end-first+1)*block.TokensPerBlock <= PrefillChunk && !e.cache.has(s.chain[end]) {
 		end++
 	}
 	tokens := (end - first) * block.TokensPerBlock
-	if end == len(s.chain) && s.tokens-s.position <= PrefillPiece {
-		tokens = s.tokens - s.position
+	if end == len(s.chain) && s.promptTokens-s.position <= PrefillChunk {
+		tokens = s.promptTokens - s.position
 	}
 	return s.chain[first:end], tokens
 }
 
-// complete applies a step. A prompt that is in place gives its first token with its
-// last piece.
-func (e *Engine) complete(done step) {
+// completeStep applies the results of a step. The last chunk of a prompt also produces
+// the first output token.
+func (e *Engine) completeStep(done step) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -139,57 +142,58 @@
 		s.position += done.tokens
 		for _, h := range e.insertLocked(done.computed) {
 			e.cache.acquire(h)
-			s.held = append(s.held, h)
+			s.heldBlocks = append(s.heldBlocks, h)
 		}
 		if s.prefilled() {
-			e.emitLocked(s, now)
+			e.emitTokenLocked(s, now)
 		}
 	}
 	for _, s := range done.decode {
 		if !s.done {
-			e.emitLocked(s, now)
+			e.emitTokenLocked(s, now)
 		}
 	}
-	e.dropDoneLocked()
-	e.forgetLocked(now)
+	e.removeDoneLocked()
+	e.expireStreamsLocked(now)
 }
 
-func (e *Engine) emitLocked(s *stream, now time.Time) {
+func (e *Engine) emitTokenLocked(s *stream, now time.Time) {
 	if len(s.frames) == 0 {
-		e.stats.ReusedTokens += int64(s.reused)
+		e.stats.ReusedTokens += int64(s.reusedTokens)
 	}
 	s.emitToken(now)
 }
 
-// reportLoad is the duty that renews the load report, which is why it lags.
-func (e *Engine) reportLoad() {
+// refreshLoadReport renews the load report periodically, so the report lags behind the
+// actual load.
+func (e *Engine) refreshLoadReport() {
 	defer e.work.Done()
-	for e.pause(e.ctx, max(e.real(e.o.LoadLag), time.Millisecond)) {
-		if e.switches.WaitThawed(e.ctx) != nil {
+	for e.sleep(e.ctx, max(e.scaleTime(e.opts.LoadReportLag), time.Millisecond)) {
+		if e.switches.WaitUnfrozen(e.ctx) != nil {
 			return
 		}
-		e.takeLoadReport()
+		e.updateLoadReport()
 	}
 }
 
-func (e *Engine) takeLoadReport() {
+func (e *Engine) updateLoadReport() {
 	leaving := e.switches.Status().Leaving
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.loadAt = time.Now()
-	e.load.Incarnation = e.o.Incarnation
+	e.load.Incarnation = e.opts.Incarnation
 	e.load.Model = e.state.Model
 	e.load.Version = e.state.Version
 	e.load.Running = len(e.running)
 	e.load.Queued = len(e.queue)
 	e.load.PrefillTokens = 0
 	for _, s := range e.running {
-		e.load.PrefillTokens += max(0, s.tokens-s.position)
+		e.load.PrefillTokens += max(0, s.promptTokens-s.position)
 	}
 	for _, s := range e.queue {
-		e.load.PrefillTokens += s.tokens
+		e.load.PrefillTokens += s.promptTokens
 	}
 	e.load.UsedBlocks = e.cache.used()
-	e.load.TotalBlocks = e.o.TotalBlocks
+	e.load.TotalBlocks = e.opts.TotalBlocks
 	e.load.Leaving = leaving
 }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -8,50 +8,50 @@
 	"github.com/bluebellscale/bluebellscale/internal/engineapi"
 )
 
-// codeCancelled is the code of a stream's last frame after a cancel.
+// codeCancelled is the error code in the last frame of a cancelled stream.
 const codeCancelled = "cancelled"
 
-// stream is one request with its frames so far. Engine.mu guards it.
+// stream is a request with the frames produced for it. Engine.mu guards it.
 type stream struct {
-	req     engineapi.CompletionRequest
-	digest  promptDigest
-	arrival uint64
-	chain   []block.Hash
-	tokens  int // of the prompt
+	req          engineapi.CompletionRequest
+	digest       promptDigest
+	arrival      uint64
+	chain        []block.Hash
+	promptTokens int
 
-	started  bool         // has entered the batch
-	position int          // prompt tokens in place
-	reused   int          // of those, not computed here
-	held     []block.Hash // cached blocks in use
+	started      bool         // the request has entered the batch
+	position     int          // number of prompt tokens that are computed or reused
+	reusedTokens int          // number of prompt tokens that were reused from the cache
+	heldBlocks   []block.Hash // cached blocks that the stream references
 
 	frames   []engineapi.Frame
-	changed  chan struct{} // closed at the next change
+	changed  chan struct{} // closed at the next change of the stream
 	done     bool
 	finished time.Time
 }
 
 func newStream(req engineapi.CompletionRequest, arrival uint64) *stream {
 	return &stream{
-		req:     req,
-		digest:  digestPrompt(req.Prompt),
-		arrival: arrival,
-		chain:   block.Chain(req.CacheSalt, []byte(req.Prompt)),
-		tokens:  block.Tokens(len(req.Prompt)),
-		changed: make(chan struct{}),
+		req:          req,
+		digest:       digestPrompt(req.Prompt),
+		arrival:      arrival,
+		chain:        block.Chain(req.CacheSalt, []byte(req.Prompt)),
+		promptTokens: block.Tokens(len(req.Prompt)),
+		changed:      make(chan struct{}),
 	}
 }
 
-// before orders streams by priority, then arrival.
-func (s *stream) before(other *stream) int {
+// compare orders streams by priority, then by arrival.
+func (s *stream) compare(other *stream) int {
 	if s.req.Priority != other.req.Priority {
 		return s.req.Priority - other.req.Priority
 	}
 	return int(int64(s.arrival) - int64(other.arrival))
 }
 
-func (s *stream) prefilled() bool { return s.position >= s.tokens }
+func (s *stream) prefilled() bool { return s.position >= s.promptTokens }
 
-func (s *stream) append(f engineapi.Frame) {
+func (s *stream) appendFrame(f engineapi.Frame) {
 	f.RequestID = s.req.RequestID
 	f.Version = s.req.Version
 	f.Seq = len(s.frames)
@@ -60,15 +60,15 @@
 	s.changed = make(chan struct{})
 }
 
-// emitToken adds the next output token, and the last frame after the last token.
+// emitToken appends the next output token, and the last frame after the last token.
 func (s *stream) emitToken(now time.Time) {
-	s.append(engineapi.Frame{Text: s.digest.token(len(s.frames))})
+	s.appendFrame(engineapi.Frame{Text: s.digest.token(len(s.frames))})
 	if len(s.frames) < s.req.MaxTokens {
 		return
 	}
 	s.finish(now, &engineapi.Usage{
-		PromptTokens: s.tokens,
-		CachedTokens: s.reused,
+		PromptTokens: s.promptTokens,
+		CachedTokens: s.reusedTokens,
 		OutputTokens: s.req.MaxTokens,
 	}, nil)
 }
@@ -76,28 +76,28 @@
 func (s *stream) finish(now time.Time, usage *engineapi.Usage, failure *engineapi.Error) {
 	s.done = true
 	s.finished = now
-	s.append(engineapi.Frame{Done: true, Usage: usage, Error: failure})
+	s.appendFrame(engineapi.Frame{Done: true, Usage: usage, Error: failure})
 }
 
 func insertSorted(list []*stream, s *stream) []*stream {
-	i, _ := slices.BinarySearchFunc(list, s, (*stream).before)
+	i, _ := slices.BinarySearchFunc(list, s, (*stream).compare)
 	return slices.Insert(list, i, s)
 }
 
-// acceptLocked queues a request, or returns the stream that an equal request has. A
-// repeat of a request that failed here runs anew.
+// acceptLocked queues a request, or returns the existing stream of the same request. A
+// retry of a request that failed on this replica runs again.
 func (e *Engine) acceptLocked(req engineapi.CompletionRequest) (*stream, *engineapi.Error) {
 	if old := e.streams[req.RequestID]; old != nil && !old.failed() {
 		if old.req != req {
-			return nil, refusal(engineapi.CodeBadRequest, "request id is in use for another request")
+			return nil, newError(engineapi.CodeBadRequest, "request id is in use for another request")
 		}
 		return old, nil
 	}
 	if req.Model != e.state.Model || req.Version != e.state.Version {
-		return nil, refusal(engineapi.CodeWrongVersion, "loaded is "+string(e.state.Model)+" "+string(e.state.Version))
+		return nil, newError(engineapi.CodeWrongVersion, "loaded is "+string(e.state.Model)+" "+string(e.state.Version))
 	}
-	if len(e.queue) >= e.o.MaxQueued {
-		return nil, refusal(engineapi.CodeBusy, "queue is full")
+	if len(e.queue) >= e.opts.MaxQueued {
+		return nil, newError(engineapi.CodeBusy, "queue is full")
 	}
 	e.arrivals++
 	s := newStream(req, e.arrivals)
@@ -114,7 +114,7 @@
 	return s.done && s.frames[len(s.frames)-1].Error != nil
 }
 
-// cancelLocked ends a stream. What it computed stays in the cache.
+// cancelLocked cancels a stream. The blocks that the stream computed stay cached.
 func (e *Engine) cancelLocked(s *stream) {
 	if s.done {
 		return
@@ -124,50 +124,51 @@
 		Message: "cancelled by its caller",
 		Started: s.started,
 	})
-	e.dropDoneLocked()
+	e.removeDoneLocked()
 }
 
-// dropDoneLocked takes finished streams out of queue and batch.
-func (e *Engine) dropDoneLocked() {
+// removeDoneLocked removes finished streams from the queue and the batch.
+func (e *Engine) removeDoneLocked() {
 	done := func(s *stream) bool { return s.done }
 	for _, s := range e.running {
 		if s.done {
-			e.cache.release(s.held)
-			s.held = nil
+			e.cache.release(s.heldBlocks)
+			s.heldBlocks = nil
 		}
 	}
 	e.running = slices.DeleteFunc(e.running, done)
 	e.queue = slices.DeleteFunc(e.queue, done)
 }
 
-// forgetLocked drops streams that finished long ago.
-func (e *Engine) forgetLocked(now time.Time) {
+// expireStreamsLocked drops streams that finished more than StreamRetention ago.
+func (e *Engine) expireStreamsLocked(now time.Time) {
 	for id, s := range e.streams {
-		if s.done && now.Sub(s.finished) > e.o.KeepStreams {
+		if s.done && now.Sub(s.finished) > e.opts.StreamRetention {
 			delete(e.streams, id)
-			delete(e.swapped, id)
+			delete(e.swappedFrames, id)
 		}
 	}
 }
 
-// swapLocked returns the frame to send in place of f on s's connection: while a swap
-// is ordered, the newest frame of another open stream, which later gets f instead of
-// one of its own. Both keep their own request id, as a mix-up in a real engine would.
-func (e *Engine) swapLocked(s *stream, f engineapi.Frame) engineapi.Frame {
+// swapFrameLocked returns the frame to send instead of f on the connection of s. If a swap
+// is due, this is the newest frame of another running stream, which later sends f instead
+// of its own frame. Both frames retain their request ids, as they would if a real engine
+// confused two streams.
+func (e *Engine) swapFrameLocked(s *stream, f engineapi.Frame) engineapi.Frame {
 	id := s.req.RequestID
-	if owed, ok := e.swapped[id]; ok {
-		delete(e.swapped, id)
+	if owed, ok := e.swappedFrames[id]; ok {
+		delete(e.swappedFrames, id)
 		return owed
 	}
-	other := e.otherOpenLocked(s)
-	if other == nil || !e.switches.TakeSwap() {
+	other := e.otherRunningLocked(s)
+	if other == nil || !e.switches.TakeSwappedFrame() {
 		return f
 	}
-	e.swapped[other.req.RequestID] = f
+	e.swappedFrames[other.req.RequestID] = f
 	return other.frames[len(other.frames)-1]
 }
 
-func (e *Engine) otherOpenLocked(s *stream) *stream {
+func (e *Engine) otherRunningLocked(s *stream) *stream {
 	for _, other := range e.running {
 		if other != s && len(other.frames) > 0 {
 			return other
@@ -176,6 +177,6 @@
 	return nil
 }
 
-func refusal(code, message string) *engineapi.Error {
+func newError(code, message string) *engineapi.Error {
 	return &engineapi.Error{Code: code, Message: message}
 }
--- a/internal/standin/fault/middleware.go
+++ b/internal/standin/fault/middleware.go
@@ -10,25 +10,25 @@
 	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
-// Path is where the switches are read and set.
+// Path is the HTTP path at which the switches are read and set.
 const Path = "/fault"
 
 type connKey struct{}
 
-// ConnContext makes a request's connection known to Middleware; http.Server has a
-// field of this name.
+// ConnContext passes a request's connection to Middleware. It is the value for the
+// http.Server field of the same name.
 func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// Middleware serves Path and lets all other requests meet the faults that are set.
+// Middleware serves Path and applies the configured faults to all other requests.
 func Middleware(s *Switches, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == Path {
 			s.serveControl(w, r)
 			return
 		}
-		s.serveFaulty(w, r, next)
+		s.serveWithFaults(w, r, next)
 	})
 }
 
@@ -36,7 +36,7 @@
 	if conn, ok := r.Context().Value(connKey{}).(*Conn); ok {
 		conn.control.Store(true)
 	}
-	// The connection is exempt from now on, so it must not carry other requests.
+	// The connection is now exempt from the switches and must not carry other requests.
 	w.Header().Set("Connection", "close")
 	status := s.Status()
 	if r.Method == http.MethodPost {
@@ -53,34 +53,34 @@
 	json.NewEncoder(w).Encode(status)
 }
 
-func (s *Switches) serveFaulty(w http.ResponseWriter, r *http.Request, next http.Handler) {
-	if err := s.WaitThawed(r.Context()); err != nil {
+func (s *Switches) serveWithFaults(w http.ResponseWriter, r *http.Request, next http.Handler) {
+	if err := s.WaitUnfrozen(r.Context()); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	status := s.Status()
-	if status.Cut {
+	if status.CloseConns {
 		panic(http.ErrAbortHandler)
 	}
 	if sleep.For(r.Context(), time.Duration(status.DelayMillis)*time.Millisecond) != nil {
 		panic(http.ErrAbortHandler)
 	}
-	// A read takes no effect, so a lost answer is always that of a request that does:
-	// else the daemons' probes would use the switch up.
-	if r.Method != http.MethodGet && s.TakeLostAnswer() {
-		next.ServeHTTP(newDiscard(), r)
+	// Only requests that take effect lose their response. Otherwise the daemons' probes,
+	// which are reads, would use up the switch.
+	if r.Method != http.MethodGet && s.TakeDroppedResponse() {
+		next.ServeHTTP(newDiscardWriter(), r)
 		panic(http.ErrAbortHandler)
 	}
 	next.ServeHTTP(w, r)
 }
 
-// discard is a response that goes nowhere.
-type discard struct {
+// discardWriter is a ResponseWriter that discards the response.
+type discardWriter struct {
 	header http.Header
 }
 
-func newDiscard() *discard { return &discard{header: make(http.Header)} }
+func newDiscardWriter() *discardWriter { return &discardWriter{header: make(http.Header)} }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d *discard) WriteHeader(int)             {}
-func (d *discard) Flush()                      {}
+func (d *discardWriter) Header() http.Header         { return d.header }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) WriteHeader(int)             {}
+func (d *discardWriter) Flush()                      {}
--- a/internal/standin/fault/switches.go
+++ b/internal/standin/fault/switches.go
@@ -1,11 +1,11 @@
-// Package fault holds the fault switches that every stand-in of a platform part
-// shares: a Switches value, the HTTP interface that sets it (/fault), and a Server
-// whose connections and handlers obey it. Stand-ins are for tests only.
+// Package fault provides fault injection for the stand-ins of platform components:
+// a Switches value, the HTTP interface that sets it (/fault), and a Server whose
+// connections and handlers apply it. Stand-ins are for tests only.
 //
 //	GET  /fault   Status
 //	POST /fault   Command -> Status
 //
-// Requests to /fault are answered in spite of all switches but Die and RefuseMillis.
+// Requests to /fault are served regardless of all switches except Die and RefuseMillis.
 package fault
 
 import (
@@ -17,55 +17,56 @@
 	"time"
 )
 
-// exitCode is the status of a stand-in process that died by a switch.
+// exitCode is the exit status of a stand-in process that the Die switch or the crash
+// marker ended.
 const exitCode = 3
 
-// Options of New.
+// Options configures New.
 type Options struct {
-	// Seed drives the switches that work by rate.
+	// Seed seeds the random source of the switches that apply at a rate.
 	Seed int64
-	// Die ends the stand-in at once. Nil ends the process. A stand-in that runs inside
-	// a test sets it to close its Server.
+	// Die terminates the stand-in immediately. If it is nil, the process exits. A
+	// stand-in that runs inside a test sets it to close its Server.
 	Die func()
 }
 
-// Status is the setting of all switches.
+// Status is the current setting of all switches.
 type Status struct {
-	Frozen       bool    `json:"frozen"`
-	Slow         float64 `json:"slow"`           // factor on all simulated times
-	DelayMillis  int64   `json:"delay_ms"`       // before each request is handled
-	Cut          bool    `json:"cut"`            // each request's connection is closed
-	LoseAnswers  int     `json:"lose_answers"`   // next requests that take effect unanswered
-	LoseRate     float64 `json:"lose_rate"`      // share of further requests that do
-	SwapAnswers  int     `json:"swap_answers"`   // next pairs of frames to swap
-	SkipEvents   int     `json:"skip_events"`    // next cache events to leave out
-	SkipRate     float64 `json:"skip_rate"`      // share of further cache events to leave out
-	TearReads    int     `json:"tear_reads"`     // next object reads to answer with torn content
-	CrashMarker  string  `json:"crash_marker"`   // a prompt that contains it ends the stand-in
-	Leaving      bool    `json:"leaving"`        // reported as leaving
-	Full         bool    `json:"full"`           // refuses new objects for lack of room
-	RefuseMillis int64   `json:"refuse_ms"`      // last order to refuse connections, in milliseconds
-	Silenced     int     `json:"silenced_total"` // connections made silent so far
+	Frozen           bool    `json:"frozen"`
+	Slow             float64 `json:"slow"`           // factor applied to all simulated times
+	DelayMillis      int64   `json:"delay_ms"`       // delay before each request is handled
+	CloseConns       bool    `json:"cut"`            // close the connection of each request unanswered
+	DropResponses    int     `json:"lose_answers"`   // number of next requests that take effect but get no response
+	DropResponseRate float64 `json:"lose_rate"`      // share of further requests that get no response
+	SwapFrames       int     `json:"swap_answers"`   // number of next frame pairs to swap
+	SkipEvents       int     `json:"skip_events"`    // number of next cache events to skip
+	SkipEventRate    float64 `json:"skip_rate"`      // share of further cache events to skip
+	TearReads        int     `json:"tear_reads"`     // number of next object reads that return truncated content
+	CrashMarker      string  `json:"crash_marker"`   // a prompt or body that contains it crashes the stand-in
+	Leaving          bool    `json:"leaving"`        // the load report says that the stand-in is leaving
+	Full             bool    `json:"full"`           // refuse new objects for lack of space
+	RefuseMillis     int64   `json:"refuse_ms"`      // duration of the last command to refuse connections
+	Blackholed       int     `json:"silenced_total"` // connections blackholed so far
 }
 
-// Command changes switches; absent fields stay as they are.
+// Command changes switches. Absent fields keep their setting.
 type Command struct {
-	Die          bool     `json:"die,omitempty"`
-	Freeze       *bool    `json:"freeze,omitempty"`
-	Slow         *float64 `json:"slow,omitempty"`
-	DelayMillis  *int64   `json:"delay_ms,omitempty"`
-	Cut          *bool    `json:"cut,omitempty"`
-	LoseAnswers  *int     `json:"lose_answers,omitempty"`
-	LoseRate     *float64 `json:"lose_rate,omitempty"`
-	SwapAnswers  *int     `json:"swap_answers,omitempty"`
-	SkipEvents   *int     `json:"skip_events,omitempty"`
-	SkipRate     *float64 `json:"skip_rate,omitempty"`
-	TearReads    *int     `json:"tear_reads,omitempty"`
-	CrashMarker  *string  `json:"crash_marker,omitempty"`
-	Leaving      *bool    `json:"leaving,omitempty"`
-	Full         *bool    `json:"full,omitempty"`
-	RefuseMillis *int64   `json:"refuse_ms,omitempty"` // close connections and refuse new ones for so long
-	Silent       bool     `json:"silent,omitempty"`    // make all open connections silent for good
+	Die              bool     `json:"die,omitempty"`
+	Freeze           *bool    `json:"freeze,omitempty"`
+	Slow             *float64 `json:"slow,omitempty"`
+	DelayMillis      *int64   `json:"delay_ms,omitempty"`
+	CloseConns       *bool    `json:"cut,omitempty"`
+	DropResponses    *int     `json:"lose_answers,omitempty"`
+	DropResponseRate *float64 `json:"lose_rate,omitempty"`
+	SwapFrames       *int     `json:"swap_answers,omitempty"`
+	SkipEvents       *int     `json:"skip_events,omitempty"`
+	SkipEventRate    *float64 `json:"skip_rate,omitempty"`
+	TearReads        *int     `json:"tear_reads,omitempty"`
+	CrashMarker      *string  `json:"crash_marker,omitempty"`
+	Leaving          *bool    `json:"leaving,omitempty"`
+	Full             *bool    `json:"full,omitempty"`
+	RefuseMillis     *int64   `json:"refuse_ms,omitempty"` // close open connections and refuse new ones for this long
+	Blackhole        bool     `json:"silent,omitempty"`    // blackhole all open connections permanently
 }
 
 // Switches holds the faults of one stand-in. It is safe for concurrent use.
@@ -75,21 +76,21 @@
 	mu          sync.Mutex
 	rng         *rand.Rand
 	status      Status
-	thawed      chan struct{} // closed while not frozen
+	unfrozen    chan struct{} // closed while the stand-in is not frozen
 	refuseUntil time.Time
 	conns       map[*Conn]struct{}
 }
 
-// New returns switches with no fault set.
+// New returns Switches with no fault set.
 func New(o Options) *Switches {
 	thawed := make(chan struct{})
 	close(thawed)
 	s := &Switches{
-		die:    o.Die,
-		rng:    rand.New(rand.NewSource(o.Seed)),
-		status: Status{Slow: 1},
-		thawed: thawed,
-		conns:  make(map[*Conn]struct{}),
+		die:      o.Die,
+		rng:      rand.New(rand.NewSource(o.Seed)),
+		status:   Status{Slow: 1},
+		unfrozen: thawed,
+		conns:    make(map[*Conn]struct{}),
 	}
 	if s.die == nil {
 		s.die = func() { os.Exit(exitCode) }
@@ -97,44 +98,45 @@
 	return s
 }
 
-// SetDie replaces what ends the stand-in; call it before the stand-in serves.
+// SetDie replaces the function that terminates the stand-in. It must be called before
+// the stand-in serves.
 func (s *Switches) SetDie(die func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.die = die
 }
 
-// Status returns the setting of all switches.
+// Status returns the current setting of all switches.
 func (s *Switches) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.status
 }
 
-// Apply obeys a command and returns the new setting.
+// Apply executes a command and returns the new setting.
 func (s *Switches) Apply(c Command) Status {
 	s.mu.Lock()
 	if c.Freeze != nil {
 		s.freezeLocked(*c.Freeze)
 	}
-	set(&s.status.Slow, c.Slow)
-	set(&s.status.DelayMillis, c.DelayMillis)
-	set(&s.status.Cut, c.Cut)
-	set(&s.status.LoseAnswers, c.LoseAnswers)
-	set(&s.status.LoseRate, c.LoseRate)
-	set(&s.status.SwapAnswers, c.SwapAnswers)
-	set(&s.status.SkipEvents, c.SkipEvents)
-	set(&s.status.SkipRate, c.SkipRate)
-	set(&s.status.TearReads, c.TearReads)
-	set(&s.status.CrashMarker, c.CrashMarker)
-	set(&s.status.Leaving, c.Leaving)
-	set(&s.status.Full, c.Full)
-	set(&s.status.RefuseMillis, c.RefuseMillis)
+	setIfPresent(&s.status.Slow, c.Slow)
+	setIfPresent(&s.status.DelayMillis, c.DelayMillis)
+	setIfPresent(&s.status.CloseConns, c.CloseConns)
+	setIfPresent(&s.status.DropResponses, c.DropResponses)
+	setIfPresent(&s.status.DropResponseRate, c.DropResponseRate)
+	setIfPresent(&s.status.SwapFrames, c.SwapFrames)
+	setIfPresent(&s.status.SkipEvents, c.SkipEvents)
+	setIfPresent(&s.status.SkipEventRate, c.SkipEventRate)
+	setIfPresent(&s.status.TearReads, c.TearReads)
+	setIfPresent(&s.status.CrashMarker, c.CrashMarker)
+	setIfPresent(&s.status.Leaving, c.Leaving)
+	setIfPresent(&s.status.Full, c.Full)
+	setIfPresent(&s.status.RefuseMillis, c.RefuseMillis)
 	if c.RefuseMillis != nil {
 		s.refuseUntil = time.Now().Add(time.Duration(*c.RefuseMillis) * time.Millisecond)
 	}
-	if c.Silent {
-		s.silenceLocked()
+	if c.Blackhole {
+		s.blackholeLocked()
 	}
 	closing := s.connsToCloseLocked(c)
 	status, die := s.status, s.die
@@ -149,7 +151,7 @@
 	return status
 }
 
-func set[T any](field *T, value *T) {
+func setIfPresent[T any](field *T, value *T) {
 	if value != nil {
 		*field = *value
 	}
@@ -158,25 +160,25 @@
 func (s *Switches) freezeLocked(freeze bool) {
 	switch {
 	case freeze && !s.status.Frozen:
-		s.thawed = make(chan struct{})
+		s.unfrozen = make(chan struct{})
 	case !freeze && s.status.Frozen:
-		close(s.thawed)
+		close(s.unfrozen)
 	}
 	s.status.Frozen = freeze
 }
 
-func (s *Switches) silenceLocked() {
+func (s *Switches) blackholeLocked() {
 	for conn := range s.conns {
-		if conn.silence() {
-			s.status.Silenced++
+		if conn.blackhole() {
+			s.status.Blackholed++
 		}
 	}
 }
 
 func (s *Switches) connsToCloseLocked(c Command) []*Conn {
-	cut := c.Cut != nil && *c.Cut
-	refuse := c.RefuseMillis != nil && *c.RefuseMillis > 0
-	if !cut && !refuse {
+	closeConns := c.CloseConns != nil && *c.CloseConns
+	refuseConns := c.RefuseMillis != nil && *c.RefuseMillis > 0
+	if !closeConns && !refuseConns {
 		return nil
 	}
 	var closing []*Conn
@@ -188,10 +190,10 @@
 	return closing
 }
 
-// WaitThawed returns once the stand-in is not frozen, or with the context's error.
-func (s *Switches) WaitThawed(ctx context.Context) error {
+// WaitUnfrozen blocks until the stand-in is not frozen, or returns the context's error.
+func (s *Switches) WaitUnfrozen(ctx context.Context) error {
 	s.mu.Lock()
-	thawed := s.thawed
+	thawed := s.unfrozen
 	s.mu.Unlock()
 	select {
 	case <-thawed:
@@ -201,33 +203,35 @@
 	}
 }
 
-// Scale returns d times the slow factor.
+// Scale returns d multiplied by the slow factor.
 func (s *Switches) Scale(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * s.Status().Slow)
 }
 
-// TakeLostAnswer tells whether this request's answer is to be lost, and counts it.
-func (s *Switches) TakeLostAnswer() bool {
+// TakeDroppedResponse reports whether the response to this request must be dropped,
+// and consumes one drop.
+func (s *Switches) TakeDroppedResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.takeLocked(&s.status.LoseAnswers, s.status.LoseRate)
+	return s.takeLocked(&s.status.DropResponses, s.status.DropResponseRate)
 }
 
-// TakeSwap tells whether this frame is to be swapped, and counts it.
-func (s *Switches) TakeSwap() bool {
+// TakeSwappedFrame reports whether this frame must be swapped, and consumes one swap.
+func (s *Switches) TakeSwappedFrame() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.takeLocked(&s.status.SwapAnswers, 0)
+	return s.takeLocked(&s.status.SwapFrames, 0)
 }
 
-// TakeSkippedEvent tells whether this cache event is to be left out, and counts it.
+// TakeSkippedEvent reports whether this cache event must be skipped, and consumes one
+// skip.
 func (s *Switches) TakeSkippedEvent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.takeLocked(&s.status.SkipEvents, s.status.SkipRate)
+	return s.takeLocked(&s.status.SkipEvents, s.status.SkipEventRate)
 }
 
-// TakeTornRead tells whether this object read is to be torn, and counts it.
+// TakeTornRead reports whether this object read must be torn, and consumes one tear.
 func (s *Switches) TakeTornRead() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,9 +246,9 @@
 	return rate > 0 && s.rng.Float64() < rate
 }
 
-// CrashIfMarked ends the stand-in if text contains the crash marker, and tells
+// CrashOnMarker terminates the stand-in if text contains the crash marker, and reports
 // whether it did.
-func (s *Switches) CrashIfMarked(text string) bool {
+func (s *Switches) CrashOnMarker(text string) bool {
 	s.mu.Lock()
 	marker, die := s.status.CrashMarker, s.die
 	s.mu.Unlock()
--- a/internal/standin/kv/faults.go
+++ b/internal/standin/kv/faults.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Counts of calls since the start. Watches and lists count as one call each.
+// Counts holds the numbers of calls since the start. A watch or a list counts as one
+// call.
 type Counts struct {
-	Reads    int64            `json:"reads"`
-	Writes   int64            `json:"writes"`
-	Watches  int64            `json:"watches"`
-	Rejected int64            `json:"rejected"` // above the rates, too large, or during a fault
-	Lost     int64            `json:"lost"`     // answers lost after their write took effect
-	Bytes    int64            `json:"bytes"`    // of values, in and out
-	ByClient map[string]int64 `json:"by_client"`
+	Reads            int64            `json:"reads"`
+	Writes           int64            `json:"writes"`
+	Watches          int64            `json:"watches"`
+	Rejected         int64            `json:"rejected"` // rate-limited, too large, or failed by a fault
+	DroppedResponses int64            `json:"lost"`     // responses dropped after their write took effect
+	Bytes            int64            `json:"bytes"`    // bytes of values, received and sent
+	ByClient         map[string]int64 `json:"by_client"`
 }
 
-// FaultRequest sets fault switches (POST /fault); absent fields stay as they are.
+// FaultRequest sets fault switches (POST /fault). Absent fields keep their setting.
 type FaultRequest struct {
-	Down       *bool    `json:"down,omitempty"`
-	SlowMillis *int64   `json:"slow_ms,omitempty"`
-	LoseWrites *int     `json:"lose_writes,omitempty"` // answers of the next writes are lost after they took effect
-	Cut        []string `json:"cut,omitempty"`         // clients that no longer reach the service
-	Restore    []string `json:"restore,omitempty"`     // clients that reach it again
+	Down               *bool    `json:"down,omitempty"`
+	SlowMillis         *int64   `json:"slow_ms,omitempty"`
+	DropWriteResponses *int     `json:"lose_writes,omitempty"` // number of next writes that take effect but get no response
+	Partition          []string `json:"cut,omitempty"`         // clients to partition from the service
+	Restore            []string `json:"restore,omitempty"`     // clients whose partition ends
 }
 
-// switches hold the faults in force and the counts.
+// switches holds the active faults and the call counts.
 type switches struct {
-	mu     sync.Mutex
-	down   bool
-	slow   time.Duration
-	lose   int
-	cut    map[string]bool
-	counts Counts
+	mu            sync.Mutex
+	down          bool
+	slow          time.Duration
+	dropResponses int
+	partitioned   map[string]bool
+	counts        Counts
 }
 
 func newSwitches() *switches {
-	return &switches{cut: map[string]bool{}, counts: Counts{ByClient: map[string]int64{}}}
+	return &switches{partitioned: map[string]bool{}, counts: Counts{ByClient: map[string]int64{}}}
 }
 
 // SetDown makes every call fail without effect.
@@ -46,25 +47,26 @@
 	s.down = down
 }
 
-// SetSlow delays every answer.
+// SetSlow delays every response by d.
 func (s *switches) SetSlow(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow = d
 }
 
-// LoseWrites loses the answers of the next n writes after they took effect.
-func (s *switches) LoseWrites(n int) {
+// DropWriteResponses drops the responses of the next n writes after they took effect.
+func (s *switches) DropWriteResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.dropResponses = n
 }
 
-// Cut parts one client from the service; Cut(client, false) joins it again.
-func (s *switches) Cut(client string, cut bool) {
+// Partition partitions one client from the service, or ends its partition if partitioned
+// is false.
+func (s *switches) Partition(client string, partitioned bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut[client] = cut
+	s.partitioned[client] = partitioned
 }
 
 // Counts returns a copy of the call counts.
@@ -79,7 +81,7 @@
 	return out
 }
 
-// Apply sets the switches of a request.
+// Apply sets the switches that are present in a request.
 func (s *switches) Apply(f FaultRequest) {
 	if f.Down != nil {
 		s.SetDown(*f.Down)
@@ -87,28 +89,29 @@
 	if f.SlowMillis != nil {
 		s.SetSlow(time.Duration(*f.SlowMillis) * time.Millisecond)
 	}
-	if f.LoseWrites != nil {
-		s.LoseWrites(*f.LoseWrites)
+	if f.DropWriteResponses != nil {
+		s.DropWriteResponses(*f.DropWriteResponses)
 	}
-	for _, c := range f.Cut {
-		s.Cut(c, true)
+	for _, c := range f.Partition {
+		s.Partition(c, true)
 	}
 	for _, c := range f.Restore {
-		s.Cut(c, false)
+		s.Partition(c, false)
 	}
 }
 
-// class of a call, for counts and rates.
-type class int
+// callClass is the class of a call, for counts and rate limits.
+type callClass int
 
 const (
-	classRead class = iota
+	classRead callClass = iota
 	classWrite
 	classWatch
 )
 
-// arrive counts a call and reports how long to delay it and whether it is reachable.
-func (s *switches) arrive(client string, c class, bytes int) (slow time.Duration, reachable bool) {
+// recordCall counts a call and returns how long to delay it and whether its client can
+// reach the service.
+func (s *switches) recordCall(client string, c callClass, bytes int) (slow time.Duration, reachable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.ByClient[client]++
@@ -121,33 +124,34 @@
 	case classWatch:
 		s.counts.Watches++
 	}
-	if s.down || s.cut[client] {
+	if s.down || s.partitioned[client] {
 		s.counts.Rejected++
 		return 0, false
 	}
 	return s.slow, true
 }
 
-func (s *switches) reject() {
+func (s *switches) recordRejected() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Rejected++
 }
 
-func (s *switches) sent(bytes int) {
+func (s *switches) recordBytes(bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Bytes += int64(bytes)
 }
 
-// loseAnswer reports whether the answer of this write is to be lost.
-func (s *switches) loseAnswer() bool {
+// takeDroppedResponse reports whether the response to this write must be dropped, and
+// consumes and counts one drop.
+func (s *switches) takeDroppedResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lose == 0 {
+	if s.dropResponses == 0 {
 		return false
 	}
-	s.lose--
-	s.counts.Lost++
+	s.dropResponses--
+	s.counts.DroppedResponses++
 	return true
 }
--- a/internal/standin/store/handler.go
+++ b/internal/standin/store/handler.go
@@ -16,10 +16,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/storeapi"
 )
 
-// maxBody is the largest object body in bytes.
+// maxBody is the maximum size of an object's body in bytes.
 const maxBody = 16 << 20
 
-// Handler serves storeapi.
+// Handler returns the HTTP handler that serves storeapi.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+storeapi.PathObjects, s.servePut)
@@ -32,14 +32,15 @@
 	return mux
 }
 
-// objectName returns the name in the request's path. Names may hold escaped slashes.
+// objectName returns the object name from the request's path. Names may contain escaped
+// slashes.
 func objectName(r *http.Request) (string, error) {
 	raw := strings.TrimPrefix(r.URL.EscapedPath(), storeapi.PathObjects)
 	return url.PathUnescape(raw)
 }
 
-// servePut stores an object once its body is whole and its digest is right, so that
-// a write cut off half way is never seen.
+// servePut stores an object only after its complete body has arrived and its digest
+// matches, so that a truncated write is never visible.
 func (s *Store) servePut(w http.ResponseWriter, r *http.Request) {
 	name, err := objectName(r)
 	if err != nil || name == "" {
@@ -61,11 +62,11 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := s.link.carry(r.Context(), length, s.switches.Status().Slow); err != nil {
+	if err := s.link.transfer(r.Context(), length, s.switches.Status().Slow); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	if err := s.put(name, content, digest, length); err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -91,16 +92,16 @@
 	}
 	o, err := s.get(name, r.URL.Query().Get("peek") != "")
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	slow := s.switches.Status().Slow
 	if o.tier == storeapi.TierDisk {
-		if err := s.disk.carry(r.Context(), o.length, slow); err != nil {
+		if err := s.disk.transfer(r.Context(), o.length, slow); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
-	if err := s.link.carry(r.Context(), o.length, slow); err != nil {
+	if err := s.link.transfer(r.Context(), o.length, slow); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	content := o.content
@@ -120,13 +121,13 @@
 		return
 	}
 	if err := s.free(name); err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveTier moves objects in order and stops at the first that cannot be moved.
+// serveTier moves objects in order and stops at the first object that cannot be moved.
 func (s *Store) serveTier(w http.ResponseWriter, r *http.Request) {
 	var req storeapi.TierRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -140,17 +141,17 @@
 	for _, name := range req.Names {
 		moved, err := s.move(name, req.Tier)
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
-		if err := s.disk.carry(r.Context(), moved, s.switches.Status().Slow); err != nil {
+		if err := s.disk.transfer(r.Context(), moved, s.switches.Status().Slow); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// servePin pins objects in order and stops at the first that is not there.
+// servePin pins objects in order and stops at the first object that does not exist.
 func (s *Store) servePin(w http.ResponseWriter, r *http.Request) {
 	var req storeapi.PinRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -160,7 +161,7 @@
 	until := time.Now().Add(time.Duration(req.TTLMillis) * time.Millisecond)
 	for _, name := range req.Names {
 		if err := s.pin(name, until); err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 	}
@@ -183,12 +184,12 @@
 	json.NewEncoder(w).Encode(storeapi.ListResponse{Objects: s.list(q.Get("prefix"), q.Get("contains"), limit)})
 }
 
-func refuse(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusInternalServerError
 	switch {
 	case errors.Is(err, errAbsent):
 		status = http.StatusNotFound
-	case errors.Is(err, errGone):
+	case errors.Is(err, errFreed):
 		status = http.StatusGone
 	case errors.Is(err, errExists), errors.Is(err, errPinned):
 		status = http.StatusConflict
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,5 +1,6 @@
-// Package store is a stand-in for a store VM: named immutable objects in a memory
-// and a disk tier of limited size, behind a limited link. It serves storeapi.
+// Package store is a stand-in for a store VM. It serves storeapi and holds named,
+// immutable objects in a memory tier and a disk tier of limited capacity, behind a link
+// of limited bandwidth.
 package store
 
 import (
@@ -16,47 +17,48 @@
 	"github.com/bluebellscale/bluebellscale/internal/storeapi"
 )
 
-// Errors of Store.
+// Errors of Store. HTTP responses carry their texts.
 var (
 	errAbsent = errors.New("store: no such object")
-	errGone   = errors.New("store: name was freed")
+	errFreed  = errors.New("store: name was freed")
 	errExists = errors.New("store: name holds other content")
 	errFull   = errors.New("store: full")
 	errPinned = errors.New("store: pinned")
 )
 
-// Options of New.
+// Options configures New.
 type Options struct {
-	MemoryBytes     int64   // room of the memory tier
-	DiskBytes       int64   // room of the disk tier
+	MemoryBytes     int64   // capacity of the memory tier
+	DiskBytes       int64   // capacity of the disk tier
 	LinkBytesPerSec float64 // nominal; 0: unlimited
 	DiskBytesPerSec float64 // nominal; 0: unlimited
-	TimeScale       float64 // real time of a nominal second; 0 counts as 1
-	// Evict lets a full tier free its least recently used unpinned object: memory moves
-	// it to disk, disk frees it. Without it a full tier refuses.
+	TimeScale       float64 // real seconds per nominal second; 0: 1
+	// Evict makes a full tier evict its least recently used unpinned object. The memory
+	// tier moves it to the disk tier, or frees it if the disk tier cannot hold it. The
+	// disk tier frees it. Without Evict, a full tier rejects objects.
 	Evict    bool
 	Switches *fault.Switches
 }
 
 type object struct {
-	name    string
-	content []byte
-	digest  string
-	length  int64 // bytes charged
-	tier    storeapi.Tier
-	pinned  time.Time // until then
-	used    time.Time // last read or write
-	place   *list.Element
+	name        string
+	content     []byte
+	digest      string
+	length      int64 // bytes charged to the tier and the link
+	tier        storeapi.Tier
+	pinnedUntil time.Time
+	lastUsed    time.Time // last read or write
+	element     *list.Element
 }
 
-// tier is one kind of room. Its order is by use, most recent first.
+// tier is a storage tier. Its objects are ordered by use, most recent first.
 type tier struct {
-	total int64
-	used  int64
-	order *list.List
+	capacity int64
+	used     int64
+	order    *list.List
 }
 
-// Store is the stand-in's state.
+// Store holds the state of the stand-in.
 type Store struct {
 	switches *fault.Switches
 	evict    bool
@@ -65,13 +67,13 @@
 
 	mu       sync.Mutex
 	objects  map[string]*object
-	gone     map[string]struct{}
+	freed    map[string]struct{}
 	tiers    map[storeapi.Tier]*tier
 	bytesIn  int64
 	bytesOut int64
 }
 
-// New returns an empty store.
+// New returns an empty Store.
 func New(o Options) *Store {
 	scale := o.TimeScale
 	if scale == 0 {
@@ -83,10 +85,10 @@
 		link:     newLink(o.LinkBytesPerSec / scale),
 		disk:     newLink(o.DiskBytesPerSec / scale),
 		objects:  make(map[string]*object),
-		gone:     make(map[string]struct{}),
+		freed:    make(map[string]struct{}),
 		tiers: map[storeapi.Tier]*tier{
-			storeapi.TierMemory: {total: o.MemoryBytes, order: list.New()},
-			storeapi.TierDisk:   {total: o.DiskBytes, order: list.New()},
+			storeapi.TierMemory: {capacity: o.MemoryBytes, order: list.New()},
+			storeapi.TierDisk:   {capacity: o.DiskBytes, order: list.New()},
 		},
 	}
 	if s.switches == nil {
@@ -95,12 +97,12 @@
 	return s
 }
 
-// put adds an object to the memory tier. A repeat with equal content is harmless.
+// put adds an object to the memory tier. It is idempotent for equal content.
 func (s *Store) put(name string, content []byte, digest string, length int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.gone[name]; ok {
-		return errGone
+	if _, ok := s.freed[name]; ok {
+		return errFreed
 	}
 	if old, ok := s.objects[name]; ok {
 		if old.digest != digest || old.length != length {
@@ -111,17 +113,17 @@
 	if s.switches.Status().Full {
 		return errFull
 	}
-	if err := s.makeRoomLocked(storeapi.TierMemory, length, time.Now()); err != nil {
+	if err := s.makeSpaceLocked(storeapi.TierMemory, length, time.Now()); err != nil {
 		return err
 	}
-	o := &object{name: name, content: content, digest: digest, length: length, used: time.Now()}
+	o := &object{name: name, content: content, digest: digest, length: length, lastUsed: time.Now()}
 	s.objects[name] = o
-	s.enterLocked(o, storeapi.TierMemory)
+	s.addToTierLocked(o, storeapi.TierMemory)
 	s.bytesIn += length
 	return nil
 }
 
-// get returns an object and, unless it only peeks, counts a use of it.
+// get returns an object and, unless peek is set, marks it as used.
 func (s *Store) get(name string, peek bool) (object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,14 +132,15 @@
 		return object{}, err
 	}
 	if !peek {
-		s.tiers[o.tier].order.MoveToFront(o.place)
-		o.used = time.Now()
+		s.tiers[o.tier].order.MoveToFront(o.element)
+		o.lastUsed = time.Now()
 	}
 	s.bytesOut += o.length
 	return *o, nil
 }
 
-// list returns objects by name, the longest unused first.
+// list returns up to limit objects whose name has the prefix and the substring, the
+// longest unused first.
 func (s *Store) list(prefix, contains string, limit int) []storeapi.ObjectInfo {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +148,7 @@
 	now := time.Now()
 	for name, o := range s.objects {
 		if strings.HasPrefix(name, prefix) && strings.Contains(name, contains) {
-			out = append(out, storeapi.ObjectInfo{Name: name, Tier: o.tier, IdleMillis: now.Sub(o.used).Milliseconds()})
+			out = append(out, storeapi.ObjectInfo{Name: name, Tier: o.tier, IdleMillis: now.Sub(o.lastUsed).Milliseconds()})
 		}
 	}
 	slices.SortFunc(out, func(a, b storeapi.ObjectInfo) int {
@@ -158,13 +161,13 @@
 	if o, ok := s.objects[name]; ok {
 		return o, nil
 	}
-	if _, ok := s.gone[name]; ok {
-		return nil, errGone
+	if _, ok := s.freed[name]; ok {
+		return nil, errFreed
 	}
 	return nil, errAbsent
 }
 
-// free deletes an object for ever.
+// free deletes an object permanently. Its name cannot be used again.
 func (s *Store) free(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	if time.Now().Before(o.pinned) {
+	if time.Now().Before(o.pinnedUntil) {
 		return errPinned
 	}
 	s.freeLocked(o)
@@ -180,12 +183,12 @@
 }
 
 func (s *Store) freeLocked(o *object) {
-	s.leaveLocked(o)
+	s.removeFromTierLocked(o)
 	delete(s.objects, o.name)
-	s.gone[o.name] = struct{}{}
+	s.freed[o.name] = struct{}{}
 }
 
-// move brings an object to a tier and returns the bytes moved.
+// move moves an object to a tier and returns the number of bytes moved.
 func (s *Store) move(name string, to storeapi.Tier) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,15 +199,15 @@
 	if o.tier == to {
 		return 0, nil
 	}
-	if err := s.makeRoomLocked(to, o.length, time.Now()); err != nil {
+	if err := s.makeSpaceLocked(to, o.length, time.Now()); err != nil {
 		return 0, err
 	}
-	s.leaveLocked(o)
-	s.enterLocked(o, to)
+	s.removeFromTierLocked(o)
+	s.addToTierLocked(o, to)
 	return o.length, nil
 }
 
-// pin keeps an object from being freed until a time.
+// pin protects an object from being freed before the given time.
 func (s *Store) pin(name string, until time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,18 +215,18 @@
 	if err != nil {
 		return err
 	}
-	if until.After(o.pinned) {
-		o.pinned = until
+	if until.After(o.pinnedUntil) {
+		o.pinnedUntil = until
 	}
 	return nil
 }
 
-func (s *Store) makeRoomLocked(name storeapi.Tier, length int64, now time.Time) error {
+func (s *Store) makeSpaceLocked(name storeapi.Tier, length int64, now time.Time) error {
 	t := s.tiers[name]
-	if length > t.total {
+	if length > t.capacity {
 		return errFull
 	}
-	for t.used+length > t.total {
+	for t.used+length > t.capacity {
 		if !s.evict {
 			return errFull
 		}
@@ -237,12 +240,12 @@
 func (s *Store) evictOneLocked(name storeapi.Tier, now time.Time) error {
 	for e := s.tiers[name].order.Back(); e != nil; e = e.Prev() {
 		o := e.Value.(*object)
-		if now.Before(o.pinned) {
+		if now.Before(o.pinnedUntil) {
 			continue
 		}
-		if name == storeapi.TierMemory && s.makeRoomLocked(storeapi.TierDisk, o.length, now) == nil {
-			s.leaveLocked(o)
-			s.enterLocked(o, storeapi.TierDisk)
+		if name == storeapi.TierMemory && s.makeSpaceLocked(storeapi.TierDisk, o.length, now) == nil {
+			s.removeFromTierLocked(o)
+			s.addToTierLocked(o, storeapi.TierDisk)
 			return nil
 		}
 		s.freeLocked(o)
@@ -251,20 +254,21 @@
 	return errFull
 }
 
-func (s *Store) enterLocked(o *object, name storeapi.Tier) {
+func (s *Store) addToTierLocked(o *object, name storeapi.Tier) {
 	t := s.tiers[name]
 	o.tier = name
-	o.place = t.order.PushFront(o)
+	o.element = t.order.PushFront(o)
 	t.used += o.length
 }
 
-func (s *Store) leaveLocked(o *object) {
+func (s *Store) removeFromTierLocked(o *object) {
 	t := s.tiers[o.tier]
-	t.order.Remove(o.place)
+	t.order.Remove(o.element)
 	t.used -= o.length
 }
 
-// Status reports room and link use; the link's speed is the real one.
+// Status reports the use of the tiers and the link. The reported link speed includes
+// the time scale and the slow factor.
 func (s *Store) Status() storeapi.Status {
 	slow := s.switches.Status().Slow
 	s.mu.Lock()
@@ -272,11 +276,11 @@
 	memory, disk := s.tiers[storeapi.TierMemory], s.tiers[storeapi.TierDisk]
 	return storeapi.Status{
 		MemoryUsed:      memory.used,
-		MemoryTotal:     memory.total,
+		MemoryTotal:     memory.capacity,
 		DiskUsed:        disk.used,
-		DiskTotal:       disk.total,
+		DiskTotal:       disk.capacity,
 		LinkBytesPerSec: int64(s.link.bytesPerSec / slow),
-		LinkQueueBytes:  s.link.queued(time.Now(), slow),
+		LinkQueueBytes:  s.link.queuedBytes(time.Now(), slow),
 		BytesOut:        s.bytesOut,
 		BytesIn:         s.bytesIn,
 	}
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,11 +1,12 @@
 // Package vmlist is a stand-in for the platform's VM list and for its weight store.
 //
-//	GET  /v1/vms       []platform.VM as it was a lag ago
+//	GET  /v1/vms       []platform.VM, delayed by the lag
 //	POST /v1/vms       []platform.VM replaces the list
-//	POST /v1/weights   LoadReport -> LoadAnswer
+//	POST /v1/weights   LoadReport -> LoadResponse
 //
-// The weight store only counts: a replica that loads reports so again and again and
-// learns how many load at once. Past the cap each loads slower.
+// The weight store only counts loads: a replica that loads weights reports this
+// repeatedly and receives the number of replicas that load concurrently. Above the cap,
+// each replica loads more slowly.
 package vmlist
 
 import (
@@ -17,49 +18,49 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// Paths of the interface.
+// Paths of the HTTP interface.
 const (
 	PathVMs     = "/v1/vms"
 	PathWeights = "/v1/weights"
 )
 
-// reportLife is how long a replica counts as loading after its last report.
-const reportLife = 2 * time.Second
+// reportTTL is how long after its last report a replica counts as loading.
+const reportTTL = 2 * time.Second
 
-// LoadReport says whether a replica loads weights now.
+// LoadReport reports whether a replica is loading weights.
 type LoadReport struct {
 	Replica string `json:"replica"`
 	Loading bool   `json:"loading"`
 }
 
-// LoadAnswer tells how many replicas load at once.
-type LoadAnswer struct {
+// LoadResponse is the number of replicas that load weights concurrently.
+type LoadResponse struct {
 	Loading int `json:"loading"`
-	Cap     int `json:"cap"`  // loads at once at full speed
-	Peak    int `json:"peak"` // most loads at once so far
+	Cap     int `json:"cap"`  // concurrent loads at full speed; 0: no limit
+	Peak    int `json:"peak"` // highest number of concurrent loads so far
 }
 
-// Options of New.
+// Options configures New.
 type Options struct {
-	Lag     time.Duration // age of the list that readers get
-	LoadCap int           // loads at once at full speed; 0: no limit
+	Lag     time.Duration // delay before readers see a change of the list
+	LoadCap int           // concurrent loads at full speed; 0: no limit
 }
 
-type version struct {
+type snapshot struct {
 	at  time.Time
 	vms []platform.VM
 }
 
-// List is the stand-in's state. It is an http.Handler.
+// List holds the state of the stand-in and implements http.Handler.
 type List struct {
 	mux     *http.ServeMux
 	loadCap int
 
-	mu       sync.Mutex
-	lag      time.Duration
-	versions []version // oldest first
-	loading  map[string]time.Time
-	peak     int
+	mu        sync.Mutex
+	lag       time.Duration
+	snapshots []snapshot // oldest first
+	loading   map[string]time.Time
+	peak      int
 }
 
 // New returns an empty list.
@@ -79,11 +80,12 @@
 // ServeHTTP implements http.Handler.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.mux.ServeHTTP(w, r) }
 
-// Set replaces the list; readers see it after the lag. The first list is seen at once.
+// Set replaces the list. Readers see the new list after the lag, or immediately if it
+// is the first one.
 func (l *List) Set(vms []platform.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.versions = append(l.versions, version{at: time.Now(), vms: vms})
+	l.snapshots = append(l.snapshots, snapshot{at: time.Now(), vms: vms})
 }
 
 // SetLag changes the lag.
@@ -93,25 +95,26 @@
 	l.lag = lag
 }
 
-// VMs returns the list as it was a lag ago.
+// VMs returns the list that was current one lag ago.
 func (l *List) VMs() []platform.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.versions) == 0 {
+	if len(l.snapshots) == 0 {
 		return []platform.VM{}
 	}
-	seen := time.Now().Add(-l.lag)
+	visibleUntil := time.Now().Add(-l.lag)
 	current := 0
-	for i, v := range l.versions {
-		if !v.at.After(seen) {
+	for i, v := range l.snapshots {
+		if !v.at.After(visibleUntil) {
 			current = i
 		}
 	}
-	return l.versions[current].vms
+	return l.snapshots[current].vms
 }
 
-// Report notes a replica's load of weights and tells how many load at once.
-func (l *List) Report(r LoadReport) LoadAnswer {
+// Report records whether a replica is loading weights and returns the number of
+// concurrent loads.
+func (l *List) Report(r LoadReport) LoadResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -120,15 +123,15 @@
 		l.loading[r.Replica] = now
 	}
 	for replica, at := range l.loading {
-		if now.Sub(at) > reportLife {
+		if now.Sub(at) > reportTTL {
 			delete(l.loading, replica)
 		}
 	}
 	l.peak = max(l.peak, len(l.loading))
-	return LoadAnswer{Loading: len(l.loading), Cap: l.loadCap, Peak: l.peak}
+	return LoadResponse{Loading: len(l.loading), Cap: l.loadCap, Peak: l.peak}
 }
 
-func (l *List) serveGet(w http.ResponseWriter, _ *http.Request) { reply(w, l.VMs()) }
+func (l *List) serveGet(w http.ResponseWriter, _ *http.Request) { writeJSON(w, l.VMs()) }
 
 func (l *List) serveSet(w http.ResponseWriter, r *http.Request) {
 	var vms []platform.VM
@@ -146,10 +149,10 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	reply(w, l.Report(report))
+	writeJSON(w, l.Report(report))
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -104,7 +104,7 @@
 	service := kv.NewFake(nil)
 	first, second := newTestRegistry(service, "d1"), newTestRegistry(service, "d2")
 	overlapped := false
-	service.SetAfter(func(client string) {
+	service.SetAfterCall(func(client string) {
 		if client == "d1" && !overlapped {
 			overlapped = true // d1 has read the page but not written it yet
 			killTargets(t, second, "a2", "t2")
--- a/internal/table/machine_test.go
+++ b/internal/table/machine_test.go
@@ -116,11 +116,11 @@
 			"see": func(t *rapid.T) { m.readTable(t, pick(t)) },
 			"edit": func(t *rapid.T) {
 				if rapid.IntRange(0, 3).Draw(t, "lose") == 0 {
-					m.kv.LoseWrites(1)
+					m.kv.DropWriteResponses(1)
 				}
 				weight := rapid.SampledFrom([]string{"", "1", "2", "3"}).Draw(t, "weight")
 				m.edit(t, pick(t), rapid.SampledFrom(machineIDs).Draw(t, "id"), weight)
-				m.kv.LoseWrites(0)
+				m.kv.DropWriteResponses(0)
 			},
 			"read":    func(t *rapid.T) { m.update(t, replica(t), nil) },
 			"gossip":  func(t *rapid.T) { m.update(t, replica(t), m.recordDelayed(m.replicas[replica(t)].PagesNewerThan(nil))) },
--- a/internal/table/tableschedule/schedule.go
+++ b/internal/table/tableschedule/schedule.go
@@ -201,12 +201,12 @@
 	case 0:
 		s.outcome.Faults++
 		s.logEvent("response to %s lost", client)
-		return kv.FaultLostAnswer
+		return kv.FaultDroppedResponse
 	case 1:
 		s.outcome.Faults++
 		s.logEvent("response to %s lost, service goes down", client)
 		s.setDown(true)
-		return kv.FaultLostAnswer
+		return kv.FaultDroppedResponse
 	case 2:
 		s.outcome.Faults++
 		return kv.FaultUnavailable
