--- a/cmd/benchpolicy/main.go
+++ b/cmd/benchpolicy/main.go
@@ -11,5 +11,5 @@
 func main() {
 	bench := policysim.Bench{Out: os.Stdout, Seeds: []int64{1, 2, 3}}
 	bench.Run()
-	policysim.Slopes(os.Stdout)
+	policysim.BenchScaling(os.Stdout)
 }
--- a/cmd/schedules/main.go
+++ b/cmd/schedules/main.go
@@ -41,7 +41,7 @@
 		report(r)
 		total.Merge(r)
 	}
-	s := total.Sum
+	s := total.Total
 	fmt.Printf("schedules=%d\ndoubled=%d\nlost=%d\nreverted=%d\n", total.Schedules, s.Doubled, s.Lost, s.Reverted)
 	fmt.Printf("seeds=%d..%d\nseconds=%.1f\n", first, first+uint64(count)-1, time.Since(start).Seconds())
 	if s.Failed() {
@@ -51,10 +51,10 @@
 }
 
 func report(r schedules.Result) {
-	s := r.Sum
+	s := r.Total
 	fmt.Printf("%s: schedules=%d doubled=%d lost=%d reverted=%d calls=%d faults=%d in_doubt=%d in_doubt_not_run=%d\n",
-		r.Name, r.Schedules, s.Doubled, s.Lost, s.Reverted, s.Calls, s.Faults, s.InDoubt, s.Wasted)
-	if len(r.Failed) > 0 {
-		fmt.Printf("%s: failed seeds %v, the first:\n%s\n", r.Name, r.Failed, strings.Join(s.Story, "\n"))
+		r.Name, r.Schedules, s.Doubled, s.Lost, s.Reverted, s.Calls, s.Faults, s.InDoubt, s.InDoubtNotRun)
+	if len(r.FailedSeeds) > 0 {
+		fmt.Printf("%s: failed seeds %v, the first:\n%s\n", r.Name, r.FailedSeeds, strings.Join(s.FailureLog, "\n"))
 	}
 }
--- a/cmd/schedules/table.go
+++ b/cmd/schedules/table.go
@@ -12,11 +12,11 @@
 func (tableScenario) Run(seed uint64) schedules.Outcome {
 	o := tableschedule.Run(seed, tableschedule.Options{})
 	return schedules.Outcome{
-		Reverted: o.Reverted,
-		Lost:     o.Lost,
-		Calls:    o.Edits,
-		Faults:   o.Faults,
-		Story:    o.Story,
+		Reverted:   o.Reverted,
+		Lost:       o.Lost,
+		Calls:      o.Edits,
+		Faults:     o.Faults,
+		FailureLog: o.Story,
 	}
 }
 
--- a/internal/policysim/bench.go
+++ b/internal/policysim/bench.go
@@ -21,15 +21,15 @@
 // tokens that return after 300 s, ten times as long as accelerator memory keeps them.
 func BenchLoad() Load {
 	return Load{
-		Contexts:     1500,
-		Gap:          300 * time.Second,
-		RegularShare: 0.3,
-		RegularError: 3 * time.Second,
-		OtherError:   0.3,
-		MinTokens:    10_000,
-		MaxTokens:    30_000,
-		GrowBlocks:   8,
-		Until:        until,
+		Contexts:        1500,
+		ReturnGap:       300 * time.Second,
+		RegularShare:    0.3,
+		MaxRegularError: 3 * time.Second,
+		MaxOtherError:   0.3,
+		MinTokens:       10_000,
+		MaxTokens:       30_000,
+		MaxGrowthBlocks: 8,
+		Until:           until,
 	}
 }
 
@@ -96,7 +96,7 @@
 	for i, seed := range b.Seeds {
 		b.traces[i] = NewTrace(seed, l)
 	}
-	b.naive = b.each(profiles()[0], mainSpeed, func(c *Config) { c.Off.Restore = true })
+	b.naive = b.each(profiles()[0], mainSpeed, func(c *Config) { c.Disabled.Restore = true })
 }
 
 // each plays one setting with every seed. Runs share nothing, so they go side by side
@@ -147,11 +147,11 @@
 	return append(linkToggles(), []toggle{
 		{"no-reuse", func(c *Config) { c.Placement.Restrictions.NoReuse = true }},
 		{"no-import", func(c *Config) { c.Placement.Restrictions.NoImport = true }},
-		{"no-demotion", func(c *Config) { c.Off.Demotion = true }},
-		{"no-promotion", func(c *Config) { c.Off.Promotion = true }},
-		{"no-prefetch", func(c *Config) { c.Off.Prefetch = true }},
-		{"no-return-time", func(c *Config) { c.Off.ReturnTime = true }},
-		{"no-events", func(c *Config) { c.Off.Events = true }},
+		{"no-demotion", func(c *Config) { c.Disabled.Demotion = true }},
+		{"no-promotion", func(c *Config) { c.Disabled.Promotion = true }},
+		{"no-prefetch", func(c *Config) { c.Disabled.Prefetch = true }},
+		{"no-return-time", func(c *Config) { c.Disabled.ReturnTime = true }},
+		{"no-events", func(c *Config) { c.Disabled.Events = true }},
 	}...)
 }
 
@@ -160,11 +160,11 @@
 	return []toggle{
 		{"all-on", func(*Config) {}},
 		{"no-link-queue", func(c *Config) { c.Placement.Restrictions.NoQueue = true }},
-		{"no-budget", func(c *Config) { c.Off.Budget = true }},
+		{"no-budget", func(c *Config) { c.Disabled.Budget = true }},
 		{"import-always", func(c *Config) {
 			c.Placement.Restrictions = placement.Restrictions{NoReuse: true, NoSplit: true, NoQueue: true}
 			c.Placement.RecomputeWeight = 1
-			c.Off.GiveUp = true
+			c.Disabled.ImportDeadline = true
 		}},
 		{"overlap", func(c *Config) { c.Placement.Overlap = true }},
 		{"serial", func(c *Config) { c.Placement.Overlap = false }},
@@ -203,8 +203,8 @@
 		name := fmt.Sprintf("link/%.0f ", factor)
 		for _, p := range profiles() {
 			b.point(name+"all-on", p, mainSpeed, slow)
-			b.point(name+"no-give-up", p, mainSpeed, func(c *Config) { slow(c); c.Off.GiveUp = true })
-			b.point(name+"no-overdue", p, mainSpeed, func(c *Config) { slow(c); c.Off.Overdue = true })
+			b.point(name+"no-give-up", p, mainSpeed, func(c *Config) { slow(c); c.Disabled.ImportDeadline = true })
+			b.point(name+"no-overdue", p, mainSpeed, func(c *Config) { slow(c); c.Disabled.Overdue = true })
 		}
 	}
 }
@@ -213,7 +213,7 @@
 // seconds, before they are evicted.
 func (b *Bench) conversations() {
 	load := BenchLoad()
-	load.Quick = 15
+	load.QuickContexts = 15
 	b.load(load)
 	for _, p := range profiles() {
 		b.point("quick all-on", p, mainSpeed, func(*Config) {})
@@ -255,7 +255,7 @@
 func describe(r *Result) string {
 	return fmt.Sprintf("returns=%d ttft_p50=%.2fs ttft_p95=%.2fs recomputed=%.3f link_use=%.2f prefetched=%.2f exported=%.2f given_up=%d plans=%v wrong=%d",
 		len(r.TTFT), quantile(r.TTFT, 0.5), p95(r), r.RecomputedShare(), float64(r.LinkBytes)/max(1, r.LinkCapacity),
-		float64(r.Background[0])/max(1, r.LinkCapacity), float64(r.Background[1])/max(1, r.LinkCapacity), r.GivenUp, r.Kinds, r.WrongResidence)
+		float64(r.BackgroundBytes[0])/max(1, r.LinkCapacity), float64(r.BackgroundBytes[1])/max(1, r.LinkCapacity), r.TimedOutImports, r.PlanKinds, r.ResidenceMismatches)
 }
 
 func p95(r *Result) float64 { return quantile(r.TTFT, 0.95) }
--- a/internal/policysim/caller.go
+++ b/internal/policysim/caller.go
@@ -30,7 +30,7 @@
 
 // arrive places a prompt and starts it.
 func (s *sim) arrive(v visit) {
-	if s.config.Off.Restore {
+	if s.config.Disabled.Restore {
 		s.start(v, leastLoaded(s.engines), placement.Plan{})
 		return
 	}
@@ -45,7 +45,7 @@
 		TieBreak:      s.random.Uint64(),
 	}, s.candidates(located), s.copies(located))
 	if v.at >= s.config.MeasureFrom {
-		s.result.Kinds[plan.Kind]++
+		s.result.PlanKinds[plan.Kind]++
 	}
 	s.start(v, s.byTarget[plan.Target], plan)
 }
@@ -84,7 +84,7 @@
 	for _, c := range located.Copies {
 		st := s.byStore[c.Store]
 		state := s.links.State(c.Store, s.clock.time())
-		if s.config.Off.Overdue {
+		if s.config.Disabled.Overdue {
 			state.BytesPerSec = max(state.BytesPerSec, s.links.LearnedRate(c.Store))
 		}
 		p := placement.Copy{Store: c.Store, Blocks: c.Blocks, Link: state}
@@ -146,7 +146,7 @@
 		}
 	}
 	s.clock.after(s.config.Placement.ImportLatency, func() { s.fetch(st, c.visit.ctx, t) })
-	if s.config.Off.GiveUp {
+	if s.config.Disabled.ImportDeadline {
 		return
 	}
 	s.clock.after(plan.ImportDeadline, func() {
@@ -154,7 +154,7 @@
 			return
 		}
 		st.link.cancel(t)
-		s.result.GivenUp++
+		s.result.TimedOutImports++
 		c.cached = had
 		c.prefillEnd = c.engine.prefill((plan.ImportBlocks-had)*block.TokensPerBlock, s.clock.now)
 		settle(placement.TimedOut)
@@ -198,17 +198,17 @@
 	entered := c.engine.insert(v.ctx, v.blocks)
 	if v.at >= s.config.MeasureFrom && v.before > 0 {
 		s.result.TTFT = append(s.result.TTFT, s.clock.now-v.at)
-		s.result.AskedTokens += int64(v.before * block.TokensPerBlock)
+		s.result.EarlierTokens += int64(v.before * block.TokensPerBlock)
 		s.result.Recomputed += int64(max(0, v.before-c.cached) * block.TokensPerBlock)
 	}
-	if s.config.Off.Restore {
+	if s.config.Disabled.Restore {
 		return
 	}
 	now := s.clock.time()
 	chain := v.ctx.chain[:v.blocks]
 	correction := s.dir.OnAnswer(c.engine.id, v.ctx.scope, chain, c.cached*block.TokensPerBlock, now)
 	if correction.Actual < correction.Assumed {
-		s.result.WrongResidence++
+		s.result.ResidenceMismatches++
 	}
 	s.free(correction.Actions)
 	s.residence[c.engine.id].ObserveInsertions(entered, now)
--- a/internal/policysim/keeper.go
+++ b/internal/policysim/keeper.go
@@ -105,7 +105,7 @@
 	now := s.clock.time()
 	kept := s.kept[:0]
 	s.dir.EachStoredContext(func(k contextdir.StoredContext) bool {
-		if s.config.Off.ReturnTime {
+		if s.config.Disabled.ReturnTime {
 			k.Gaps = contextdir.Gaps{}
 		}
 		k.Copies = append([]contextdir.Copy(nil), k.Copies...)
@@ -118,13 +118,13 @@
 		for _, m := range retention.PlanEviction(s.config.Retention, st.room, kept, now) {
 			s.move(st, m)
 		}
-		if s.config.Off.Promotion {
+		if s.config.Disabled.Promotion {
 			continue
 		}
 		st.promotions = retention.PlanPromotions(s.config.Retention, st.room, kept, now)
 		s.promote(st)
 	}
-	if !s.config.Off.Prefetch {
+	if !s.config.Disabled.Prefetch {
 		for _, k := range kept {
 			s.prefetch(k)
 		}
@@ -206,7 +206,7 @@
 
 // enqueue starts a background transfer.
 func (s *sim) enqueue(st *storeVM, b *background) {
-	if s.config.Off.Budget {
+	if s.config.Disabled.Budget {
 		st.link.send(&transfer{bytes: b.bytes, done: func() { b.done(b.bytes) }})
 		return
 	}
@@ -240,7 +240,7 @@
 	st.link.send(&transfer{bytes: granted, done: func() {
 		b.sent += granted
 		if s.clock.now >= s.config.MeasureFrom {
-			s.result.Background[b.class-retention.Prefetch] += granted
+			s.result.BackgroundBytes[b.class-retention.Prefetch] += granted
 		}
 		st.budget.Release(b.class, granted)
 		s.pump(st)
--- a/internal/policysim/sim.go
+++ b/internal/policysim/sim.go
@@ -33,39 +33,39 @@
 	MeasureFrom   time.Duration
 	Placement     placement.Params
 	Retention     retention.Params
-	Off           Off
+	Disabled      Disabled
 }
 
-// Off switches decisions off, to show what each gives.
-type Off struct {
-	Restore    bool // the naive twin: the least loaded target, no store
-	Demotion   bool // a full memory frees instead
-	Promotion  bool
-	Prefetch   bool
-	Budget     bool // background transfers join the link's queue whole, at once
-	ReturnTime bool // evict by last use instead of expected return
-	GiveUp     bool // wait for an import however long it takes
-	Events     bool // ignore cache events
+// Disabled switches decisions off, to show what each gives.
+type Disabled struct {
+	Restore        bool // the naive twin: the least loaded target, no store
+	Demotion       bool // a full memory frees instead
+	Promotion      bool
+	Prefetch       bool
+	Budget         bool // background transfers join the link's queue whole, at once
+	ReturnTime     bool // evict by last use instead of expected return
+	ImportDeadline bool // wait for an import however long it takes
+	Events         bool // ignore cache events
 	// Overdue learns a link's rate only from transfers that ended.
 	Overdue bool
 }
 
 // Result is what the callers of returning contexts saw.
 type Result struct {
-	TTFT           []time.Duration // in order of arrival
-	AskedTokens    int64           // tokens of earlier prompts
-	Recomputed     int64           // of these
-	LinkBytes      int64           // carried by all links while measured
-	LinkCapacity   float64         // bytes that the links could carry while measured
-	Background     [2]int64        // bytes prefetched and exported while measured
-	Unanswered     int             // returns without an answer at the end of the run
-	GivenUp        int
-	Kinds          [4]int // plans by placement.Kind
-	WrongResidence int    // answers with fewer cached blocks than remembered
+	TTFT                []time.Duration // in order of arrival
+	EarlierTokens       int64           // tokens of earlier prompts
+	Recomputed          int64           // of these
+	LinkBytes           int64           // carried by all links while measured
+	LinkCapacity        float64         // bytes that the links could carry while measured
+	BackgroundBytes     [2]int64        // bytes prefetched and exported while measured
+	Unanswered          int             // returns without an answer at the end of the run
+	TimedOutImports     int
+	PlanKinds           [4]int // plans by placement.Kind
+	ResidenceMismatches int    // answers with fewer cached blocks than remembered
 }
 
 // RecomputedShare returns the share of earlier tokens that was computed again.
-func (r *Result) RecomputedShare() float64 { return float64(r.Recomputed) / float64(r.AskedTokens) }
+func (r *Result) RecomputedShare() float64 { return float64(r.Recomputed) / float64(r.EarlierTokens) }
 
 // sim is one run.
 type sim struct {
@@ -94,7 +94,7 @@
 	for _, v := range t.visits {
 		s.clock.at(v.at, func() { s.arrive(v) })
 	}
-	if !c.Off.Restore {
+	if !c.Disabled.Restore {
 		s.clock.at(0, s.tend)
 	}
 	if c.SlowUntil > 0 {
@@ -148,7 +148,7 @@
 	s.engines = append(s.engines, e)
 	s.byTarget[id] = e
 	s.residence[id] = retention.NewResidence(s.config.TargetBlocks)
-	if !s.config.Off.Events {
+	if !s.config.Disabled.Events {
 		e.lastEvent = func(event engineapi.CacheEvent) { s.publish(e, event) }
 	}
 }
@@ -165,7 +165,7 @@
 		MemoryTotal: int64(s.config.StoreMemory * shareBytes),
 		DiskTotal:   int64(s.config.StoreDisk * shareBytes),
 	}
-	if s.config.Off.Demotion {
+	if s.config.Disabled.Demotion {
 		st.room.DiskTotal = 0
 	}
 	s.links.Configure(id, rate)
--- a/internal/policysim/sim_test.go
+++ b/internal/policysim/sim_test.go
@@ -33,11 +33,11 @@
 // without any store; planning with the link's queue never does.
 func TestShortLinksNeverMakeItWorse(t *testing.T) {
 	half := func(c *Config) { c.LinkSpeed = 0.5 }
-	naive := smallRun(7, placement.Atlas(), func(c *Config) { c.Off.Restore = true })
+	naive := smallRun(7, placement.Atlas(), func(c *Config) { c.Disabled.Restore = true })
 	always := smallRun(7, placement.Fonografos(), func(c *Config) {
 		half(c)
 		c.Placement.Restrictions.NoQueue = true
-		c.Off.GiveUp = true
+		c.Disabled.ImportDeadline = true
 	})
 	if p95(&always) < 2*p95(&naive) {
 		t.Fatalf("importing always was expected to grow the queue: p95 %.1f s, naive %.1f s", p95(&always), p95(&naive))
--- a/internal/policysim/slopes.go
+++ b/internal/policysim/slopes.go
@@ -21,9 +21,9 @@
 	slopeRounds = 2000
 )
 
-// Slopes prints the time and allocations of one placement, lookup included, over the
+// BenchScaling prints the time and allocations of one placement, lookup included, over the
 // number of targets and of contexts.
-func Slopes(out io.Writer) {
+func BenchScaling(out io.Writer) {
 	for _, contexts := range []int{1_000, 30_000, 210_000} {
 		dir, chains, bytes := filledDirectory(contexts)
 		for _, targets := range []int{20, 200, 1300} {
--- a/internal/policysim/trace.go
+++ b/internal/policysim/trace.go
@@ -13,16 +13,16 @@
 
 // Load shapes a trace.
 type Load struct {
-	Contexts     int
-	Gap          time.Duration // mean time between two visits of a context
-	RegularShare float64       // share of contexts that return on time
-	RegularError time.Duration // how far a regular return is off, at most
-	OtherError   float64       // how far another return is off, relative to the gap, at most
-	MinTokens    int
-	MaxTokens    int
-	Quick        int // contexts on top that return within seconds
-	GrowBlocks   int // blocks that a prompt grows by between visits, at most
-	Until        time.Duration
+	Contexts        int
+	ReturnGap       time.Duration // mean time between two visits of a context
+	RegularShare    float64       // share of contexts that return on time
+	MaxRegularError time.Duration // how far a regular return is off, at most
+	MaxOtherError   float64       // how far another return is off, relative to the gap, at most
+	MinTokens       int
+	MaxTokens       int
+	QuickContexts   int // contexts on top that return within seconds
+	MaxGrowthBlocks int // blocks that a prompt grows by between visits, at most
+	Until           time.Duration
 }
 
 // visit is one prompt.
@@ -54,7 +54,7 @@
 func NewTrace(seed int64, load Load) *Trace {
 	r := rand.New(rand.NewSource(seed))
 	t := &Trace{load: load}
-	for i := range load.Contexts + load.Quick {
+	for i := range load.Contexts + load.QuickContexts {
 		t.addContext(r, i)
 	}
 	slices.SortStableFunc(t.visits, func(a, b visit) int { return int(a.at - b.at) })
@@ -66,12 +66,12 @@
 	l := t.load
 	tokens := l.MinTokens + r.Intn(l.MaxTokens-l.MinTokens+1)
 	blocks := tokens / block.TokensPerBlock
-	gap := time.Duration(float64(l.Gap) * (0.5 + r.Float64()))
+	gap := time.Duration(float64(l.ReturnGap) * (0.5 + r.Float64()))
 	if i >= l.Contexts {
 		gap = quickGap
 	}
 	regular := r.Float64() < l.RegularShare
-	at := time.Duration(r.Float64() * float64(l.Gap))
+	at := time.Duration(r.Float64() * float64(l.ReturnGap))
 	ctx := &contextTrace{scope: block.Scope{
 		Org:     request.OrgID(fmt.Sprint("org-", i%organisations)),
 		Model:   "model",
@@ -81,10 +81,10 @@
 	for at < l.Until {
 		t.visits = append(t.visits, visit{at: at, ctx: ctx, blocks: blocks, before: before})
 		before = blocks
-		blocks += 1 + r.Intn(l.GrowBlocks)
-		wobble := (2*r.Float64() - 1) * l.OtherError * float64(gap)
+		blocks += 1 + r.Intn(l.MaxGrowthBlocks)
+		wobble := (2*r.Float64() - 1) * l.MaxOtherError * float64(gap)
 		if regular {
-			wobble = (2*r.Float64() - 1) * float64(l.RegularError)
+			wobble = (2*r.Float64() - 1) * float64(l.MaxRegularError)
 		}
 		at += gap + time.Duration(wobble)
 	}
--- a/internal/schedules/judge.go
+++ b/internal/schedules/judge.go
@@ -59,6 +59,6 @@
 		w.outcome.InDoubt++
 	}
 	if k.inDoubt && k.ran == 0 {
-		w.outcome.Wasted++
+		w.outcome.InDoubtNotRun++
 	}
 }
--- a/internal/schedules/schedules.go
+++ b/internal/schedules/schedules.go
@@ -13,12 +13,12 @@
 	Lost     int // callers without their own whole answer once all faults are over
 	Reverted int // accepted facts that were contradicted later
 
-	Calls   int      // work done, so that a schedule that does nothing is seen
-	InDoubt int      // callers told "in doubt", the cost of safety
-	Wasted  int      // of those, calls that did not run
-	Faults  int      // faults injected
-	Story   []string // the last events before the first violation; nil without one
-	Trace   uint64   // hash of all events, equal for equal seeds
+	Calls         int      // work done, so that a schedule that does nothing is seen
+	InDoubt       int      // callers told "in doubt", the cost of safety
+	InDoubtNotRun int      // of those, calls that did not run
+	Faults        int      // faults injected
+	FailureLog    []string // the last events before the first violation; nil without one
+	TraceHash     uint64   // hash of all events, equal for equal seeds
 }
 
 // Failed reports a violation.
@@ -53,10 +53,10 @@
 
 // Result of many schedules of one scenario.
 type Result struct {
-	Name      string
-	Schedules int
-	Sum       Outcome // added up; the story is that of the first failed seed
-	Failed    []uint64
+	Name        string
+	Schedules   int
+	Total       Outcome // added up; the story is that of the first failed seed
+	FailedSeeds []uint64
 }
 
 // Run runs the seeds from first on, several at a time.
@@ -80,16 +80,16 @@
 }
 
 func (r *Result) add(seed uint64, o Outcome) {
-	r.Sum.plus(o)
+	r.Total.plus(o)
 	if o.Failed() {
-		r.Failed = append(r.Failed, seed)
+		r.FailedSeeds = append(r.FailedSeeds, seed)
 	}
 }
 
 // Merge adds the counts of another scenario's result.
 func (r *Result) Merge(other Result) {
 	r.Schedules += other.Schedules
-	r.Sum.plus(other.Sum)
+	r.Total.plus(other.Total)
 }
 
 func (o *Outcome) plus(other Outcome) {
@@ -98,9 +98,9 @@
 	o.Reverted += other.Reverted
 	o.Calls += other.Calls
 	o.InDoubt += other.InDoubt
-	o.Wasted += other.Wasted
+	o.InDoubtNotRun += other.InDoubtNotRun
 	o.Faults += other.Faults
-	if o.Story == nil {
-		o.Story = other.Story
+	if o.FailureLog == nil {
+		o.FailureLog = other.FailureLog
 	}
 }
--- a/internal/schedules/schedules_test.go
+++ b/internal/schedules/schedules_test.go
@@ -64,15 +64,15 @@
 // some cards twice; the journal makes none twice, loses none, and takes none back.
 func TestJournalAgainstCheckThenRun(t *testing.T) {
 	naive := &Registry{scenarios: map[string]Scenario{"naive": JournalScenario{build: newCheckThenRun}}}
-	if r := naive.Run("naive", firstSeed, 10, 2); r.Sum.Doubled == 0 {
+	if r := naive.Run("naive", firstSeed, 10, 2); r.Total.Doubled == 0 {
 		t.Error("check-then-run doubled nothing: the schedules are too weak")
 	}
 	r := NewRegistry().Run("journal", firstSeed, seeds, 2)
 	t.Logf("seeds %d..%d: %d calls, %d faults, %d in doubt, %d of them not run",
-		firstSeed, firstSeed+seeds-1, r.Sum.Calls, r.Sum.Faults, r.Sum.InDoubt, r.Sum.Wasted)
-	if r.Sum.Failed() {
-		t.Errorf("doubled=%d lost=%d reverted=%d, seeds %v", r.Sum.Doubled, r.Sum.Lost, r.Sum.Reverted, r.Failed)
-		for _, line := range r.Sum.Story {
+		firstSeed, firstSeed+seeds-1, r.Total.Calls, r.Total.Faults, r.Total.InDoubt, r.Total.InDoubtNotRun)
+	if r.Total.Failed() {
+		t.Errorf("doubled=%d lost=%d reverted=%d, seeds %v", r.Total.Doubled, r.Total.Lost, r.Total.Reverted, r.FailedSeeds)
+		for _, line := range r.Total.FailureLog {
 			t.Log(line)
 		}
 	}
@@ -93,7 +93,7 @@
 func TestSeedDeterminesRun(t *testing.T) {
 	for seed := uint64(firstSeed); seed < firstSeed+3; seed++ {
 		one, two := JournalScenario{}.Run(seed), JournalScenario{}.Run(seed)
-		if one.Trace != two.Trace {
+		if one.TraceHash != two.TraceHash {
 			t.Errorf("seed %d gave two runs", seed)
 		}
 	}
--- a/internal/schedules/world.go
+++ b/internal/schedules/world.go
@@ -119,7 +119,7 @@
 		w.event()
 	}
 	w.heal()
-	w.outcome.Trace = w.hash.Sum64()
+	w.outcome.TraceHash = w.hash.Sum64()
 	return w.outcome
 }
 
@@ -151,7 +151,7 @@
 func (w *world) note(format string, args ...any) {
 	line := fmt.Sprintf("%8s ", w.clock.now.Sub(time.Unix(1_700_000_000, 0)).Round(time.Millisecond)) + fmt.Sprintf(format, args...)
 	_, _ = w.hash.WriteString(line)
-	if w.outcome.Story == nil {
+	if w.outcome.FailureLog == nil {
 		w.story = append(w.story, line)
 		w.story = w.story[max(0, len(w.story)-storyLength):]
 	}
@@ -164,8 +164,8 @@
 	k.violated = true
 	*count++
 	w.note(k.name+": "+format, args...)
-	if w.outcome.Story == nil {
-		w.outcome.Story = append([]string{}, w.story...)
+	if w.outcome.FailureLog == nil {
+		w.outcome.FailureLog = append([]string{}, w.story...)
 	}
 }
 
