--- a/cmd/schedules/main.go
+++ b/cmd/schedules/main.go
@@ -1,5 +1,5 @@
-// Command schedules runs randomised fault schedules and prints what they found. It
-// exits with 1 if anything was doubled, lost or reverted.
+// Command schedules runs randomised fault schedules and prints their results. It exits with
+// status 1 if an effect was doubled, an answer lost, or an accepted fact reverted.
 package main
 
 import (
@@ -20,8 +20,8 @@
 		Usage: "run randomised fault schedules",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "first seed"},
-			&cli.IntFlag{Name: "count", Value: 3000, Usage: "schedules of each scenario"},
-			&cli.IntFlag{Name: "workers", Value: max(1, runtime.NumCPU()/2), Usage: "schedules at a time"},
+			&cli.IntFlag{Name: "count", Value: 3000, Usage: "number of schedules per scenario"},
+			&cli.IntFlag{Name: "workers", Value: max(1, runtime.NumCPU()/2), Usage: "number of schedules that run concurrently"},
 		},
 		Action: func(c *cli.Context) error {
 			return run(registry(), c.Uint64("seed"), c.Int("count"), c.Int("workers"))
@@ -35,17 +35,17 @@
 
 func run(registry *schedules.Registry, first uint64, count, workers int) error {
 	start := time.Now()
-	var total schedules.Result
+	var combined schedules.Result
 	for _, name := range registry.Names() {
 		r := registry.Run(name, first, count, workers)
 		report(r)
-		total.Merge(r)
+		combined.Merge(r)
 	}
-	s := total.Total
-	fmt.Printf("schedules=%d\ndoubled=%d\nlost=%d\nreverted=%d\n", total.Schedules, s.Doubled, s.Lost, s.Reverted)
+	s := combined.Total
+	fmt.Printf("schedules=%d\ndoubled=%d\nlost=%d\nreverted=%d\n", combined.Schedules, s.Doubled, s.Lost, s.Reverted)
 	fmt.Printf("seeds=%d..%d\nseconds=%.1f\n", first, first+uint64(count)-1, time.Since(start).Seconds())
 	if s.Failed() {
-		return cli.Exit("schedules: something was doubled, lost or reverted", 1)
+		return cli.Exit("schedules: effects were doubled, answers lost, or accepted facts reverted", 1)
 	}
 	return nil
 }
--- a/cmd/schedules/table.go
+++ b/cmd/schedules/table.go
@@ -5,7 +5,8 @@
 	"github.com/bluebellscale/bluebellscale/internal/table/tableschedule"
 )
 
-// tableScenario runs operators, daemons and an unreliable service around the table.
+// tableScenario runs operators and daemons that edit and read the table in an unreliable
+// key-value service.
 type tableScenario struct{}
 
 // Run implements schedules.Scenario.
--- a/internal/schedules/faults.go
+++ b/internal/schedules/faults.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// pauseInCall stops a daemon inside a call of the service, while time passes and the
-// others go on.
+// pauseInCall pauses a daemon inside a call to the key-value service while virtual time
+// passes and the other daemons continue.
 func (w *world) pauseInCall(client string) {
-	if w.calm || w.nesting >= maxNesting || !w.chance(60) {
+	if w.faultsOff || w.nesting >= maxNesting || !w.chance(60) {
 		return
 	}
 	var d *daemon
@@ -23,89 +23,90 @@
 	w.outcome.Faults++
 	d.inCall = true
 	w.nesting++
-	w.note("%s: paused in a call", d.id)
+	w.logEvent("%s: paused in a call", d.id)
 	start := w.clock.now
 	if w.chance(2) {
-		w.takeOver()
+		w.expireLeases()
 	}
 	for range w.rng.IntN(25) {
-		w.event()
+		w.randomEvent()
 	}
 	if w.chance(4) {
 		d.clock.behind += w.clock.now.Sub(start)
 	}
-	w.note("%s: goes on, clock behind by %v", d.id, d.clock.behind)
+	w.logEvent("%s: resumes, clock behind by %v", d.id, d.clock.behind)
 	w.nesting--
 	d.inCall = false
 }
 
-// takeOver lets the leases of a paused daemon lapse and the others do their rounds.
-func (w *world) takeOver() {
-	w.pass(time.Duration(8+w.rng.IntN(20)) * time.Second)
+// expireLeases advances the clock until the leases of a paused daemon expire, and lets the
+// other daemons take over.
+func (w *world) expireLeases() {
+	w.advanceClock(time.Duration(8+w.rng.IntN(20)) * time.Second)
 	for range 2 + w.rng.IntN(3) {
 		for _, d := range w.daemons {
-			w.on(d, func(ctx context.Context) {
-				d.once.Beat(ctx)
-				d.once.Scan(ctx)
-				d.once.Step(ctx)
-				d.once.Step(ctx)
+			w.runOn(d, func(ctx context.Context) {
+				d.journal.Heartbeat(ctx)
+				d.journal.Scan(ctx)
+				d.journal.Step(ctx)
+				d.journal.Step(ctx)
 			})
 			w.send(d, w.keys[w.rng.IntN(len(w.keys))])
 		}
-		w.advanceTry()
+		w.advanceRandomAttempt()
 	}
 }
 
-// fault does one of the faults of a whole process or of the service; n is below 20.
-func (w *world) fault(d *daemon, n int) {
+// injectFault injects a fault of a process or of the key-value service; n in [0, 20) selects it.
+func (w *world) injectFault(d *daemon, n int) {
 	w.outcome.Faults++
 	switch {
 	case n < 5:
 		w.kill(d)
 	case n < 10:
-		w.note("%s: frozen", d.id)
+		w.logEvent("%s: frozen", d.id)
 		d.frozen = true
 	case n < 13:
-		w.note("service down")
+		w.logEvent("service down")
 		w.fake.SetDown(true)
 	case n < 14:
 		d.clock.behind += time.Duration(w.rng.IntN(int(20 * time.Second)))
-		w.note("%s: clock behind by %v", d.id, d.clock.behind)
+		w.logEvent("%s: clock behind by %v", d.id, d.clock.behind)
 	case n < 17:
-		w.note("%s: cut off", d.id)
+		w.logEvent("%s: partitioned from the service", d.id)
 		w.fake.Cut(string(d.id), true)
 	default:
-		w.planned(d)
+		w.stopGracefully(d)
 	}
 }
 
-// mend ends one of the faults that last; n is below 4.
-func (w *world) mend(d *daemon, n int) {
+// clearFault ends a persistent fault or delivers delayed writes; n in [0, 4) selects which.
+func (w *world) clearFault(d *daemon, n int) {
 	switch n {
 	case 0:
-		w.note("%s: woken", d.id)
+		w.logEvent("%s: resumed", d.id)
 		d.frozen = false
 	case 1:
-		w.note("service up")
+		w.logEvent("service up")
 		w.fake.SetDown(false)
 	case 2:
-		w.note("%s: joined", d.id)
+		w.logEvent("%s: reconnected to the service", d.id)
 		w.fake.Cut(string(d.id), false)
 	default:
 		w.fake.Deliver(w.rng.IntN(3))
 	}
 }
 
-// kill ends a process at once. Its tries end with it: a target that runs one of them
-// still does so, and nobody hears the answer.
+// kill terminates a process immediately, and its attempts end with it. A call that the process
+// had dispatched still runs on the target, but its answer is lost.
 func (w *world) kill(d *daemon) {
 	if d.inCall {
 		return
 	}
-	w.note("%s: killed", d.id)
-	for _, t := range w.tries {
-		if t.once == d.once {
-			w.die(t)
+	w.logEvent("%s: killed", d.id)
+	for _, t := range w.attempts {
+		if t.journal == d.journal {
+			w.endAttempt(t)
 		}
 	}
 	w.restart(d)
@@ -114,41 +115,42 @@
 func (w *world) restart(d *daemon) {
 	d.frozen = false
 	d.clock = &daemonClock{world: w.clock}
-	d.once = w.build(w.fake.Client(string(d.id)), d.clock, d.id)
+	d.journal = w.newJournal(w.fake.Client(string(d.id)), d.clock, d.id)
 }
 
-// die ends a try with its process, perhaps after the dispatch left it.
-func (w *world) die(t *try) {
-	if t.state == tryHolding && w.chance(2) {
-		w.run(t)
+// endAttempt ends an attempt whose process was killed. The call may have been dispatched
+// before the kill.
+func (w *world) endAttempt(t *attempt) {
+	if t.state == attemptHasTicket && w.chance(2) {
+		w.runOnTarget(t)
 	}
-	t.state = tryEnded
+	t.state = attemptEnded
 }
 
-// planned stops a process as its operators do; its tries end first.
-func (w *world) planned(d *daemon) {
+// stopGracefully shuts a process down as an operator does, after its attempts have ended.
+func (w *world) stopGracefully(d *daemon) {
 	if d.inCall || d.frozen {
 		return
 	}
-	w.note("%s: planned stop", d.id)
-	for _, t := range w.tries {
-		if t.once == d.once {
-			w.endBeforeStop(t)
+	w.logEvent("%s: graceful shutdown", d.id)
+	for _, t := range w.attempts {
+		if t.journal == d.journal {
+			w.finishBeforeStop(t)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	d.once.Step(ctx)
-	d.once.Step(ctx)
+	d.journal.Step(ctx)
+	d.journal.Step(ctx)
 	cancel()
-	d.once.Shutdown(ctx)
+	d.journal.Shutdown(ctx)
 	w.kill(d)
 }
 
-func (w *world) endBeforeStop(t *try) {
-	if t.state == tryHolding {
-		w.run(t)
+func (w *world) finishBeforeStop(t *attempt) {
+	if t.state == attemptHasTicket {
+		w.runOnTarget(t)
 	}
-	if t.state == tryRan {
-		w.conclude(t)
+	if t.state == attemptRan {
+		w.deliverResult(t)
 	}
 }
--- a/internal/schedules/judge.go
+++ b/internal/schedules/heal.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// heal ends all faults and lets every caller send its key until it has its answer.
+// heal clears all faults, lets callers repeat their keys until each has its final answer or
+// healRounds have passed, and checks the answers.
 func (w *world) heal() {
-	w.calm = true
-	w.note("all faults end")
+	w.faultsOff = true
+	w.logEvent("all faults cleared")
 	w.fake.SetDown(false)
 	for _, d := range w.daemons {
 		d.frozen = false
@@ -20,7 +21,7 @@
 		w.healRound()
 	}
 	for _, k := range w.keys {
-		w.judge(k)
+		w.checkFinal(k)
 	}
 }
 
@@ -36,29 +37,29 @@
 func (w *world) healRound() {
 	ctx := context.Background()
 	for _, d := range w.daemons {
-		d.once.Beat(ctx)
-		d.once.Scan(ctx)
-		d.once.Step(ctx)
-		d.once.Step(ctx)
+		d.journal.Heartbeat(ctx)
+		d.journal.Scan(ctx)
+		d.journal.Step(ctx)
+		d.journal.Step(ctx)
 		for _, k := range w.keys {
 			w.send(d, k)
 		}
 	}
-	for _, t := range w.tries {
+	for _, t := range w.attempts {
 		w.advance(t)
 	}
 	w.pollSaves()
-	w.pass(time.Second)
+	w.advanceClock(time.Second)
 }
 
-func (w *world) judge(k *key) {
+func (w *world) checkFinal(k *key) {
 	if !k.final {
-		w.violation(&w.outcome.Lost, k, "no final answer")
+		w.recordViolation(&w.outcome.Lost, k, "no final answer")
 	}
 	if k.inDoubt {
 		w.outcome.InDoubt++
 	}
-	if k.inDoubt && k.ran == 0 {
+	if k.inDoubt && k.runs == 0 {
 		w.outcome.InDoubtNotRun++
 	}
 }
--- a/internal/schedules/outage_test.go
+++ b/internal/schedules/outage_test.go
@@ -10,64 +10,64 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// goesOn is a holder that runs keys from memory while the service is down, when no
-// other daemon can take over. With doubtUnknown a new holder tells all keys that it
-// does not know "in doubt", since the former one may have run them.
-type goesOn struct {
-	once
-	held         bool // held partitions when it last reached the service
-	began        map[string]*journal.Result
-	doubtUnknown bool
+// memoryHolder is a holder that records keys only in memory while the key-value service is
+// down, when no other daemon can take over. With doubtUnknown, a new holder answers "in
+// doubt" for every unknown key, since the previous holder may have run it.
+type memoryHolder struct {
+	journalAPI
+	heldPartitions bool // at the last contact with the service
+	results        map[string]*journal.Result
+	doubtUnknown   bool
 }
 
-func (g *goesOn) Start(key string) (starting, *journal.Result, error) {
-	if r, ok := g.began[key]; ok {
+func (g *memoryHolder) Start(key string) (pendingStart, *journal.Result, error) {
+	if r, ok := g.results[key]; ok {
 		return nil, r, nil
 	}
 	if g.doubtUnknown {
 		return nil, nil, journal.ErrInDoubt
 	}
-	s, r, err := g.once.Start(key)
-	if err == nil || !g.held {
+	s, r, err := g.journalAPI.Start(key)
+	if err == nil || !g.heldPartitions {
 		return s, r, err
 	}
-	g.began[key] = &journal.Result{Body: []byte(key)}
+	g.results[key] = &journal.Result{Body: []byte(key)}
 	return naiveTicket(key), nil, nil
 }
 
-// outageCost is what callers pay for an hour without the service.
+// outageCost counts the effects on callers of an hour without the key-value service.
 type outageCost struct {
-	refused   int // calls told "not run" during the outage
-	doubled   int // calls that ran twice
-	inDoubt   int // calls of the outage told "in doubt" afterwards
-	newDoubts int // calls first sent after the outage told "in doubt"
+	refused    int // calls answered "not run" during the outage
+	doubled    int // calls that ran twice
+	inDoubt    int // calls of the outage answered "in doubt" afterwards
+	newInDoubt int // calls first sent after the outage and answered "in doubt"
 }
 
-const outageCalls = 360 // one every ten seconds
+const outageCalls = 360 // one every ten seconds for an hour
 
-// hourWithout lets a caller send a key every ten seconds to the holder while the
-// service is down; every tenth answer gets lost. At the end the holder dies, another
-// daemon takes over, and callers without an answer repeat. As many new calls follow.
-func hourWithout(t *testing.T, wrap func(o once, takesOver bool) once) outageCost {
+// runOutage sends a key to the holder every ten seconds while the key-value service is
+// down; every tenth answer is lost. Then the holder dies, another daemon takes over, callers
+// without an answer repeat their keys, and outageCalls new keys follow.
+func runOutage(t *testing.T, wrap func(o journalAPI, takesOver bool) journalAPI) outageCost {
 	w := newWorld(firstSeed, nil)
-	w.calm = true
-	ready := func(o once) {
+	w.faultsOff = true
+	acquirePartitions := func(j journalAPI) {
 		for range 2 {
-			o.Beat(context.Background())
-			o.Scan(context.Background())
-			o.Step(context.Background())
-			o.Step(context.Background())
+			j.Heartbeat(context.Background())
+			j.Scan(context.Background())
+			j.Step(context.Background())
+			j.Step(context.Background())
 		}
 	}
-	first, second := w.daemons[0].once, w.daemons[1].once
-	ready(first)
+	first, second := w.daemons[0].journal, w.daemons[1].journal
+	acquirePartitions(first)
 	holder := wrap(first, false)
 	w.fake.SetDown(true)
 	ran := map[string]int{}
 	var cost outageCost
 	var unanswered []string
 	for i := range outageCalls {
-		w.pass(10 * time.Second)
+		w.advanceClock(10 * time.Second)
 		first.Step(context.Background())
 		key := fmt.Sprint("outage", i)
 		switch sendOnce(holder, key, ran) {
@@ -81,16 +81,16 @@
 		}
 	}
 	w.fake.SetDown(false)
-	ready(second)
-	taker := wrap(second, true)
+	acquirePartitions(second)
+	successor := wrap(second, true)
 	for _, key := range unanswered {
-		if sendOnce(taker, key, ran) == request.InDoubt {
+		if sendOnce(successor, key, ran) == request.InDoubt {
 			cost.inDoubt++
 		}
 	}
 	for i := range outageCalls {
-		if sendOnce(taker, fmt.Sprint("later", i), ran) == request.InDoubt {
-			cost.newDoubts++
+		if sendOnce(successor, fmt.Sprint("later", i), ran) == request.InDoubt {
+			cost.newInDoubt++
 		}
 	}
 	for _, n := range ran {
@@ -101,9 +101,9 @@
 	return cost
 }
 
-// sendOnce sends a key and runs it if a ticket comes.
-func sendOnce(o once, key string, ran map[string]int) request.RunOutcome {
-	s, result, err := o.Start(key)
+// sendOnce sends a key and runs the call if the journal grants a ticket.
+func sendOnce(j journalAPI, key string, ran map[string]int) request.RunOutcome {
+	s, result, err := j.Start(key)
 	if result != nil {
 		return request.DidRun
 	}
@@ -113,7 +113,7 @@
 	if err != nil {
 		return request.NotRun
 	}
-	o.Step(context.Background())
+	j.Step(context.Background())
 	ticket, ok, _ := s.Poll()
 	if !ok || ticket == nil {
 		s.Cancel()
@@ -123,26 +123,26 @@
 	return request.DidRun
 }
 
-// Story: the service is away for an hour, and the holder of a partition dies at its
-// end. Refusing costs every call of the hour and nothing else. A holder that went on
-// in memory refuses nothing, but what it ran is lost with it: either the repeats run
-// again, or its successor must doubt every key that it does not know, also new ones,
-// for as long as keys are kept.
+// Scenario: the key-value service is unavailable for an hour, and the holder of a partition
+// dies at its end. Refusing costs only the calls of that hour. A holder that continues from
+// memory refuses no call, but its records are lost when it dies: either repeated calls run
+// again, or its successor must answer "in doubt" for every unknown key, including new keys,
+// for the retention time of keys.
 func TestOutageOfAnHour(t *testing.T) {
-	refuse := hourWithout(t, func(o once, _ bool) once { return o })
-	if want := (outageCost{refused: outageCalls}); refuse != want {
-		t.Errorf("refuse: %+v, want %+v", refuse, want)
+	refusing := runOutage(t, func(j journalAPI, _ bool) journalAPI { return j })
+	if want := (outageCost{refused: outageCalls}); refusing != want {
+		t.Errorf("refusing: %+v, want %+v", refusing, want)
 	}
-	goOn := hourWithout(t, func(o once, takesOver bool) once {
-		return &goesOn{once: o, held: !takesOver, began: map[string]*journal.Result{}}
+	inMemory := runOutage(t, func(j journalAPI, takesOver bool) journalAPI {
+		return &memoryHolder{journalAPI: j, heldPartitions: !takesOver, results: map[string]*journal.Result{}}
 	})
-	if want := (outageCost{doubled: outageCalls / 10}); goOn != want {
-		t.Errorf("go on in memory: %+v, want %+v", goOn, want)
+	if want := (outageCost{doubled: outageCalls / 10}); inMemory != want {
+		t.Errorf("continuing from memory: %+v, want %+v", inMemory, want)
 	}
-	doubt := hourWithout(t, func(o once, takesOver bool) once {
-		return &goesOn{once: o, held: !takesOver, doubtUnknown: takesOver, began: map[string]*journal.Result{}}
+	doubting := runOutage(t, func(j journalAPI, takesOver bool) journalAPI {
+		return &memoryHolder{journalAPI: j, heldPartitions: !takesOver, doubtUnknown: takesOver, results: map[string]*journal.Result{}}
 	})
-	if want := (outageCost{inDoubt: outageCalls / 10, newDoubts: outageCalls}); doubt != want {
-		t.Errorf("go on, successor doubts: %+v, want %+v", doubt, want)
+	if want := (outageCost{inDoubt: outageCalls / 10, newInDoubt: outageCalls}); doubting != want {
+		t.Errorf("continuing from memory, successor answers in doubt: %+v, want %+v", doubting, want)
 	}
 }
--- a/internal/schedules/schedules.go
+++ b/internal/schedules/schedules.go
@@ -1,5 +1,6 @@
-// Package schedules runs randomised fault schedules over the parts that hold shared
-// state, in virtual time and in one goroutine: a seed fully determines a run.
+// Package schedules runs randomised fault schedules over the components that hold shared
+// state. A schedule runs in virtual time and in one goroutine, hence its seed fully
+// determines it.
 package schedules
 
 import (
@@ -7,21 +8,21 @@
 	"sync"
 )
 
-// Outcome of one schedule. The first three must be zero.
+// Outcome is the result of one schedule. Doubled, Lost and Reverted must be zero.
 type Outcome struct {
 	Doubled  int // effects produced more than once
-	Lost     int // callers without their own whole answer once all faults are over
+	Lost     int // callers without their own complete answer after all faults have ended
 	Reverted int // accepted facts that were contradicted later
 
-	Calls         int      // work done, so that a schedule that does nothing is seen
-	InDoubt       int      // callers told "in doubt", the cost of safety
-	InDoubtNotRun int      // of those, calls that did not run
+	Calls         int      // calls sent; reveals a schedule that does no work
+	InDoubt       int      // callers whose final answer is "in doubt", the cost of safety
+	InDoubtNotRun int      // calls of InDoubt that did not run
 	Faults        int      // faults injected
-	FailureLog    []string // the last events before the first violation; nil without one
+	FailureLog    []string // the last events up to the first violation; nil without a violation
 	TraceHash     uint64   // hash of all events, equal for equal seeds
 }
 
-// Failed reports a violation.
+// Failed reports whether the schedule violated a guarantee.
 func (o Outcome) Failed() bool { return o.Doubled+o.Lost+o.Reverted > 0 }
 
 // Scenario is one kind of schedule.
@@ -51,15 +52,15 @@
 // Names returns the names in the order of their registration.
 func (r *Registry) Names() []string { return slices.Clone(r.names) }
 
-// Result of many schedules of one scenario.
+// Result summarises many schedules of one scenario.
 type Result struct {
 	Name        string
 	Schedules   int
-	Total       Outcome // added up; the story is that of the first failed seed
+	Total       Outcome // sums of all outcomes; FailureLog is that of the first failed seed
 	FailedSeeds []uint64
 }
 
-// Run runs the seeds from first on, several at a time.
+// Run runs count seeds, starting at first, on the given number of workers.
 func (r *Registry) Run(name string, first uint64, count, workers int) Result {
 	scenario := r.scenarios[name]
 	outcomes := make([]Outcome, count)
@@ -80,19 +81,19 @@
 }
 
 func (r *Result) add(seed uint64, o Outcome) {
-	r.Total.plus(o)
+	r.Total.add(o)
 	if o.Failed() {
 		r.FailedSeeds = append(r.FailedSeeds, seed)
 	}
 }
 
-// Merge adds the counts of another scenario's result.
+// Merge adds the counts of the result of another scenario.
 func (r *Result) Merge(other Result) {
 	r.Schedules += other.Schedules
-	r.Total.plus(other.Total)
+	r.Total.add(other.Total)
 }
 
-func (o *Outcome) plus(other Outcome) {
+func (o *Outcome) add(other Outcome) {
 	o.Doubled += other.Doubled
 	o.Lost += other.Lost
 	o.Reverted += other.Reverted
--- a/internal/schedules/schedules_test.go
+++ b/internal/schedules/schedules_test.go
@@ -14,24 +14,24 @@
 	seeds     = 60
 )
 
-// checkThenRun is what a daemon without a journal would do: it looks for a result of
-// the key, runs the call if there is none, and writes the result afterwards.
+// checkThenRun is a daemon without a journal: it reads the stored result of the key, runs
+// the call if there is no result, and writes the result afterwards.
 type checkThenRun struct {
 	kv platform.KV
 }
 
-func newCheckThenRun(kv platform.KV, _ *daemonClock, _ request.DaemonID) once {
+func newCheckThenRun(kv platform.KV, _ *daemonClock, _ request.DaemonID) journalAPI {
 	return &checkThenRun{kv: kv}
 }
 
-func (n *checkThenRun) Beat(context.Context)       {}
-func (n *checkThenRun) Scan(context.Context)       {}
-func (n *checkThenRun) Step(context.Context)       {}
-func (n *checkThenRun) Abort(context.Context, any) {}
-func (n *checkThenRun) Doubt(context.Context, any) {}
-func (n *checkThenRun) Shutdown(context.Context)   {}
+func (n *checkThenRun) Heartbeat(context.Context)        {}
+func (n *checkThenRun) Scan(context.Context)             {}
+func (n *checkThenRun) Step(context.Context)             {}
+func (n *checkThenRun) Abort(context.Context, any)       {}
+func (n *checkThenRun) MarkInDoubt(context.Context, any) {}
+func (n *checkThenRun) Shutdown(context.Context)         {}
 
-func (n *checkThenRun) Start(key string) (starting, *journal.Result, error) {
+func (n *checkThenRun) Start(key string) (pendingStart, *journal.Result, error) {
 	e, err := n.kv.Get(context.Background(), key)
 	switch err {
 	case nil:
@@ -42,12 +42,12 @@
 	return nil, nil, journal.ErrUnavailable
 }
 
-func (n *checkThenRun) Finish(ticket any, r journal.Result) saving {
+func (n *checkThenRun) Finish(ticket any, r journal.Result) pendingSave {
 	_, err := n.kv.CompareAndSwap(context.Background(), string(ticket.(naiveTicket)), 0, r.Body, "")
 	if err != nil {
 		return nil
 	}
-	return saved{}
+	return completedSave{}
 }
 
 type naiveTicket string
@@ -55,17 +55,18 @@
 func (t naiveTicket) Poll() (any, bool, error) { return t, true, nil }
 func (t naiveTicket) Cancel()                  {}
 
-type saved struct{}
+type completedSave struct{}
 
-func (saved) Poll() (bool, error) { return true, nil }
+func (completedSave) Poll() (bool, error) { return true, nil }
 
-// Story: batch cards are asked for while daemons are killed, frozen and cut off and
-// the service loses answers. A daemon that checks for a result and then runs makes
-// some cards twice; the journal makes none twice, loses none, and takes none back.
+// Scenario: callers request batch cards while daemons are killed, frozen and partitioned from
+// the key-value service, and the service drops responses. A daemon that checks for a result
+// and then runs the call produces some cards twice. With the journal no card is produced
+// twice, no answer is lost, and no accepted result is reverted.
 func TestJournalAgainstCheckThenRun(t *testing.T) {
-	naive := &Registry{scenarios: map[string]Scenario{"naive": JournalScenario{build: newCheckThenRun}}}
+	naive := &Registry{scenarios: map[string]Scenario{"naive": JournalScenario{newJournal: newCheckThenRun}}}
 	if r := naive.Run("naive", firstSeed, 10, 2); r.Total.Doubled == 0 {
-		t.Error("check-then-run doubled nothing: the schedules are too weak")
+		t.Error("check-then-run doubled no call: the schedules are too weak")
 	}
 	r := NewRegistry().Run("journal", firstSeed, seeds, 2)
 	t.Logf("seeds %d..%d: %d calls, %d faults, %d in doubt, %d of them not run",
@@ -78,10 +79,10 @@
 	}
 }
 
-// Seeds that once showed a fault.
-func TestSeedsThatFailed(t *testing.T) {
+// TestRegressionSeeds runs seeds that revealed faults which have since been fixed.
+func TestRegressionSeeds(t *testing.T) {
 	for seed, fault := range map[uint64]string{
-		1001716: "a repair of one daemon's claim made another's release miss; the partition stayed without holder",
+		1001716: "the repair of one daemon's claim made another daemon's release miss, and the partition was left without a holder",
 	} {
 		if o := (JournalScenario{}).Run(seed); o.Failed() {
 			t.Errorf("seed %d (%s): doubled=%d lost=%d reverted=%d", seed, fault, o.Doubled, o.Lost, o.Reverted)
@@ -89,12 +90,12 @@
 	}
 }
 
-// A seed must determine a run, or a failure could not be looked into.
+// A failure can only be reproduced if the seed determines the run.
 func TestSeedDeterminesRun(t *testing.T) {
 	for seed := uint64(firstSeed); seed < firstSeed+3; seed++ {
 		one, two := JournalScenario{}.Run(seed), JournalScenario{}.Run(seed)
 		if one.TraceHash != two.TraceHash {
-			t.Errorf("seed %d gave two runs", seed)
+			t.Errorf("seed %d: two runs differ", seed)
 		}
 	}
 }
--- a/internal/schedules/world.go
+++ b/internal/schedules/world.go
@@ -14,124 +14,125 @@
 )
 
 const (
-	organisation = request.OrgID("atlas")
-	daemons      = 3
-	partitions   = 2
-	keys         = 60
-	events       = 1000
-	healRounds   = 60
-	maxNesting   = 2
-	storyLength  = 60
+	organisation      = request.OrgID("atlas")
+	daemons           = 3
+	partitions        = 2
+	keys              = 60
+	events            = 1000
+	healRounds        = 60
+	maxNesting        = 2
+	recentEventsLimit = 60
 )
 
-// clock is the virtual time.
+// clock is the virtual clock of a schedule.
 type clock struct{ now time.Time }
 
 // Now returns the virtual time.
 func (c *clock) Now() time.Time { return c.now }
 
-// daemonClock is the virtual time as one process sees it. It falls behind while its
-// VM is suspended; then the process believes its leases to be valid when they are not.
+// daemonClock is the clock of one process. It falls behind while its VM is suspended; the
+// process then treats expired leases as valid.
 type daemonClock struct {
 	world  *clock
 	behind time.Duration
 }
 
-// Now returns the process's time.
+// Now returns the time of the process.
 func (c *daemonClock) Now() time.Time { return c.world.now.Add(-c.behind) }
 
-// daemon is one process; a kill replaces it under the same id.
+// daemon is one daemon process. A kill replaces the process under the same id.
 type daemon struct {
-	id     request.DaemonID
-	once   once
-	clock  *daemonClock
-	frozen bool // stopped by the schedule until woken
-	inCall bool // paused inside a call of the service
+	id      request.DaemonID
+	journal journalAPI
+	clock   *daemonClock
+	frozen  bool // stopped until the schedule resumes it
+	inCall  bool // paused inside a call to the key-value service
 }
 
-// tryState is where one try of a caller stands.
-type tryState int
+// attemptState is the state of an attempt.
+type attemptState int
 
 const (
-	tryStarting tryState = iota // waits for its ticket
-	tryHolding                  // has the ticket, not yet dispatched
-	tryRan                      // the target ran it; the answer is on its way
-	tryEnded
+	attemptStarting  attemptState = iota // waiting for its ticket
+	attemptHasTicket                     // has the ticket and is not yet dispatched
+	attemptRan                           // ran on the target; its answer is in transit
+	attemptEnded
 )
 
-// try is one sending of a key, on one daemon process.
-type try struct {
-	key    *key
-	daemon *daemon
-	once   once // the process; stale after a kill
-	state  tryState
-	start  starting
-	ticket any
-	result journal.Result
+// attempt is one request of a caller for its key, handled by one daemon process.
+type attempt struct {
+	key     *key
+	daemon  *daemon
+	journal journalAPI // of the process that took the key; stale after a kill
+	state   attemptState
+	start   pendingStart
+	ticket  any
+	result  journal.Result
 }
 
-// key is what one caller wants done once.
+// key is an idempotency key: its caller wants the call to run at most once.
 type key struct {
 	name     string
-	ran      int              // by the target
-	results  []journal.Result // of each run
-	durable  *journal.Result  // a Finish that was confirmed
+	runs     int              // on the target
+	results  []journal.Result // one per run
+	durable  *journal.Result  // the result whose Finish was confirmed
 	final    bool             // the caller has its final answer
-	inDoubt  bool             // that answer was "in doubt"
+	inDoubt  bool             // the latest answer was "in doubt"
 	violated bool
 }
 
-// save is a confirmed or waiting Finish.
-type save struct {
-	try    *try
-	saving saving
+// attemptSave is a Finish that is not yet known to be durable.
+type attemptSave struct {
+	attempt *attempt
+	pending pendingSave
 }
 
-// world is one schedule.
+// world is the state of one schedule.
 type world struct {
-	rng     *rand.Rand
-	clock   *clock
-	fake    *kv.Fake
-	build   newOnce
-	daemons []*daemon
-	keys    []*key
-	tries   []*try
-	saves   []save
-	nesting int
-	calm    bool // no more faults
-	hash    *xxhash.Digest
-	story   []string
-	outcome Outcome
-}
-
-// JournalScenario runs journals and leases of several daemons over one service.
-// Daemons are killed, frozen at any point, also inside a call, cut off and stopped as
-// planned; writes are lost, delayed, or lose their answers; the service goes down.
-// Then all faults end, and every caller must get its final answer.
+	rng          *rand.Rand
+	clock        *clock
+	fake         *kv.Fake
+	newJournal   journalFactory
+	daemons      []*daemon
+	keys         []*key
+	attempts     []*attempt
+	saves        []attemptSave
+	nesting      int
+	faultsOff    bool // no more faults are injected
+	hash         *xxhash.Digest
+	recentEvents []string
+	outcome      Outcome
+}
+
+// JournalScenario runs the journals and leases of several daemons over one key-value service.
+// Daemons are killed, frozen at any point (including inside a call), partitioned from the
+// service and shut down gracefully. Writes fail, are delayed, or lose their responses, and
+// the service becomes unavailable. Then all faults end, and every caller must receive its
+// final answer.
 type JournalScenario struct {
-	build newOnce // nil: the real journal
+	newJournal journalFactory // nil selects the real journal
 }
 
 // Run implements Scenario.
 func (s JournalScenario) Run(seed uint64) Outcome {
-	w := newWorld(seed, s.build)
+	w := newWorld(seed, s.newJournal)
 	for range events {
-		w.event()
+		w.randomEvent()
 	}
 	w.heal()
 	w.outcome.TraceHash = w.hash.Sum64()
 	return w.outcome
 }
 
-func newWorld(seed uint64, build newOnce) *world {
+func newWorld(seed uint64, build journalFactory) *world {
 	if build == nil {
-		build = newRealOnce
+		build = newRealJournal
 	}
 	w := &world{
-		rng:   rand.New(rand.NewPCG(seed, 1)),
-		clock: &clock{now: time.Unix(1_700_000_000, 0)},
-		build: build,
-		hash:  xxhash.New(),
+		rng:        rand.New(rand.NewPCG(seed, 1)),
+		clock:      &clock{now: time.Unix(1_700_000_000, 0)},
+		newJournal: build,
+		hash:       xxhash.New(),
 	}
 	w.fake = kv.NewFake(w.clock.Now)
 	w.fake.SetHook(w.onCall)
@@ -147,35 +148,36 @@
 	return w
 }
 
-// note adds an event to the trace and to the story.
-func (w *world) note(format string, args ...any) {
+// logEvent adds an event to the trace hash and, until the first violation, to the recent
+// events.
+func (w *world) logEvent(format string, args ...any) {
 	line := fmt.Sprintf("%8s ", w.clock.now.Sub(time.Unix(1_700_000_000, 0)).Round(time.Millisecond)) + fmt.Sprintf(format, args...)
 	_, _ = w.hash.WriteString(line)
 	if w.outcome.FailureLog == nil {
-		w.story = append(w.story, line)
-		w.story = w.story[max(0, len(w.story)-storyLength):]
+		w.recentEvents = append(w.recentEvents, line)
+		w.recentEvents = w.recentEvents[max(0, len(w.recentEvents)-recentEventsLimit):]
 	}
 }
 
-func (w *world) violation(count *int, k *key, format string, args ...any) {
+func (w *world) recordViolation(count *int, k *key, format string, args ...any) {
 	if k.violated {
 		return
 	}
 	k.violated = true
 	*count++
-	w.note(k.name+": "+format, args...)
+	w.logEvent(k.name+": "+format, args...)
 	if w.outcome.FailureLog == nil {
-		w.outcome.FailureLog = append([]string{}, w.story...)
+		w.outcome.FailureLog = append([]string{}, w.recentEvents...)
 	}
 }
 
-// chance is true in one of n cases.
+// chance returns true with probability 1/n.
 func (w *world) chance(n int) bool { return w.rng.IntN(n) == 0 }
 
-// onCall chooses the fault of a call of the service.
+// onCall chooses the fault of a call to the key-value service.
 func (w *world) onCall(client string, write bool, key string) kv.Fault {
 	w.pauseInCall(client)
-	if w.calm || !w.chance(40) {
+	if w.faultsOff || !w.chance(40) {
 		return kv.FaultNone
 	}
 	w.outcome.Faults++
@@ -183,57 +185,58 @@
 	if write {
 		fault = []kv.Fault{kv.FaultUnavailable, kv.FaultLostAnswer, kv.FaultDelayed}[w.rng.IntN(3)]
 	}
-	w.note("%s: fault %d on %s", client, fault, key)
+	w.logEvent("%s: fault %d on %s", client, fault, key)
 	return fault
 }
 
-// event does one random thing.
-func (w *world) event() {
+// randomEvent performs one random action of a daemon, a caller or the environment.
+func (w *world) randomEvent() {
 	d := w.daemons[w.rng.IntN(len(w.daemons))]
 	switch n := w.rng.IntN(1000); {
 	case n < 100:
-		w.pass(time.Duration(w.rng.IntN(int(time.Second))))
+		w.advanceClock(time.Duration(w.rng.IntN(int(time.Second))))
 	case n < 105:
-		w.pass(time.Duration(w.rng.IntN(int(15 * time.Second))))
+		w.advanceClock(time.Duration(w.rng.IntN(int(15 * time.Second))))
 	case n < 200:
-		w.on(d, func(ctx context.Context) { d.once.Beat(ctx) })
+		w.runOn(d, func(ctx context.Context) { d.journal.Heartbeat(ctx) })
 	case n < 260:
-		w.on(d, func(ctx context.Context) { d.once.Scan(ctx) })
+		w.runOn(d, func(ctx context.Context) { d.journal.Scan(ctx) })
 	case n < 460:
-		w.on(d, func(ctx context.Context) { d.once.Step(ctx) })
+		w.runOn(d, func(ctx context.Context) { d.journal.Step(ctx) })
 	case n < 600:
-		w.sendAround(w.keys[w.rng.IntN(len(w.keys))])
+		w.sendToHolder(w.keys[w.rng.IntN(len(w.keys))])
 	case n < 920:
-		w.advanceTry()
+		w.advanceRandomAttempt()
 	case n < 940:
 		w.pollSaves()
 	case n < 965:
-		w.fault(d, w.rng.IntN(20))
+		w.injectFault(d, w.rng.IntN(20))
 	default:
-		w.mend(d, w.rng.IntN(4))
+		w.clearFault(d, w.rng.IntN(4))
 	}
 }
 
-// sendAround lets a caller try one daemon after the other while none holds its key.
-func (w *world) sendAround(k *key) {
+// sendToHolder sends a key to one daemon after another until a daemon starts an attempt or the
+// caller has its final answer.
+func (w *world) sendToHolder(k *key) {
 	first := w.rng.IntN(len(w.daemons))
 	for i := range w.daemons {
-		tries := len(w.tries)
+		before := len(w.attempts)
 		w.send(w.daemons[(first+i)%len(w.daemons)], k)
-		if k.final || len(w.tries) > tries {
+		if k.final || len(w.attempts) > before {
 			return
 		}
 	}
 }
 
-// pass lets time go by.
-func (w *world) pass(d time.Duration) {
+// advanceClock advances the virtual time and expires leases.
+func (w *world) advanceClock(d time.Duration) {
 	w.clock.now = w.clock.now.Add(d)
 	w.fake.Expire()
 }
 
-// on runs work of a daemon that is neither frozen nor inside a call.
-func (w *world) on(d *daemon, work func(ctx context.Context)) {
+// runOn runs work on a daemon unless the daemon is frozen or inside a call.
+func (w *world) runOn(d *daemon, work func(ctx context.Context)) {
 	if !d.frozen && !d.inCall {
 		work(context.Background())
 	}
