--- a/cmd/benchpolicy/main.go
+++ b/cmd/benchpolicy/main.go
@@ -1,5 +1,5 @@
-// Command benchpolicy prints what the placement and retention policies give, against
-// naive placement on the same trace and with each decision switched off.
+// Command benchpolicy compares the placement and retention policies with naive placement on the
+// same trace, and prints the effect of disabling each decision.
 package main
 
 import (
--- a/internal/policysim/bench.go
+++ b/internal/policysim/bench.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	mainSpeed   = 1.25 // links, relative to the bytes that returns ask for
-	measureFrom = 900 * time.Second
-	until       = 1400 * time.Second
+	defaultLinkSpeed = 1.25 // link bandwidth, relative to the bytes of the returning prompts
+	measureFrom      = 900 * time.Second
+	traceEnd         = 1400 * time.Second
 )
 
-// BenchLoad returns the trace's shape: five prompts a second, contexts of about 20,000
-// tokens that return after 300 s, ten times as long as accelerator memory keeps them.
+// BenchLoad returns the load of the benchmark: five prompts per second, with contexts of about
+// 20,000 tokens that return after 300 s, which is ten times as long as accelerator memory
+// retains them.
 func BenchLoad() Load {
 	return Load{
 		Contexts:        1500,
@@ -29,11 +30,11 @@
 		MinTokens:       10_000,
 		MaxTokens:       30_000,
 		MaxGrowthBlocks: 8,
-		Until:           until,
+		Until:           traceEnd,
 	}
 }
 
-// BenchConfig returns the fleet of the bench.
+// BenchConfig returns the fleet and policy parameters of the benchmark.
 func BenchConfig(seed int64, profile placement.Params) Config {
 	return Config{
 		Seed:          seed,
@@ -42,7 +43,7 @@
 		PrefillRate:   8000,
 		BytesPerToken: 128 << 10,
 		TargetBlocks:  2400,
-		LinkSpeed:     mainSpeed,
+		LinkSpeed:     defaultLinkSpeed,
 		DiskSpeed:     0.5,
 		StoreMemory:   0.7,
 		StoreDisk:     0.7,
@@ -54,17 +55,17 @@
 	}
 }
 
-// Bench prints all figures of the placement and retention policies.
+// Bench runs the benchmark of the placement and retention policies and prints its results.
 type Bench struct {
 	Out    io.Writer
 	Seeds  []int64
-	traces []*Trace // by seed
-	naive  []Result // by seed
+	traces []*Trace // indexed like Seeds
+	naive  []Result // indexed like Seeds
 	points []chan string
 	slots  chan struct{}
 }
 
-// workers is how many runs are played side by side.
+// workers is the number of runs that execute concurrently.
 const workers = 4
 
 type profile struct {
@@ -76,32 +77,32 @@
 	return []profile{{"atlas", placement.Atlas()}, {"fonografos", placement.Fonografos()}}
 }
 
-// Run plays all parts of the bench.
+// Run runs all parts of the benchmark.
 func (b *Bench) Run() {
 	b.slots = make(chan struct{}, workers)
-	b.load(BenchLoad())
-	b.goals()
-	b.switches(mainSpeed, toggles())
-	b.switches(0.5, linkToggles())
-	b.sweep()
+	b.prepareTraces(BenchLoad())
+	b.compareToNaive()
+	b.runToggles(defaultLinkSpeed, toggles())
+	b.runToggles(0.5, linkToggles())
+	b.sweepLinkSpeeds()
 	b.slowLink()
 	b.print()
-	b.conversations()
+	b.quickReturns()
 	b.print()
 }
 
-// load makes the traces and plays them with the naive twin.
-func (b *Bench) load(l Load) {
+// prepareTraces generates the traces and runs them with naive placement.
+func (b *Bench) prepareTraces(l Load) {
 	b.traces = make([]*Trace, len(b.Seeds))
 	for i, seed := range b.Seeds {
 		b.traces[i] = NewTrace(seed, l)
 	}
-	b.naive = b.each(profiles()[0], mainSpeed, func(c *Config) { c.Disabled.Restore = true })
+	b.naive = b.runSeeds(profiles()[0], defaultLinkSpeed, func(c *Config) { c.Disabled.Restore = true })
 }
 
-// each plays one setting with every seed. Runs share nothing, so they go side by side
-// and their results do not depend on it.
-func (b *Bench) each(p profile, speed float64, apply func(*Config)) []Result {
+// runSeeds runs one configuration with every seed. Runs share no state, hence their results
+// do not depend on concurrency.
+func (b *Bench) runSeeds(p profile, speed float64, apply func(*Config)) []Result {
 	results := make([]Result, len(b.Seeds))
 	var wait sync.WaitGroup
 	for i, seed := range b.Seeds {
@@ -118,10 +119,10 @@
 	return results
 }
 
-// goals prints the ratios against naive for each seed and the median.
-func (b *Bench) goals() {
-	atlas := b.each(profiles()[0], mainSpeed, func(*Config) {})
-	fonografos := b.each(profiles()[1], mainSpeed, func(*Config) {})
+// compareToNaive prints the ratios to naive placement for each seed, and their medians.
+func (b *Bench) compareToNaive() {
+	atlas := b.runSeeds(profiles()[0], defaultLinkSpeed, func(*Config) {})
+	fonografos := b.runSeeds(profiles()[1], defaultLinkSpeed, func(*Config) {})
 	var ttft, recompute []float64
 	for i, seed := range b.Seeds {
 		n, a, f := &b.naive[i], &atlas[i], &fonografos[i]
@@ -137,7 +138,7 @@
 	fmt.Fprintf(b.Out, "median fonografos_recompute_ratio=%.3f\n", median(recompute))
 }
 
-// toggle is one decision switched off.
+// toggle is a named change of the configuration, mostly one that disables a decision.
 type toggle struct {
 	name  string
 	apply func(*Config)
@@ -155,7 +156,7 @@
 	}...)
 }
 
-// linkToggles are those that matter when links are short.
+// linkToggles returns the toggles that matter when link bandwidth is scarce.
 func linkToggles() []toggle {
 	return []toggle{
 		{"all-on", func(*Config) {}},
@@ -172,29 +173,30 @@
 	}
 }
 
-// switches prints what each decision gives.
-func (b *Bench) switches(speed float64, off []toggle) {
+// runToggles prints the results with each toggle applied.
+func (b *Bench) runToggles(speed float64, off []toggle) {
 	for _, p := range profiles() {
 		for _, t := range off {
-			b.point(t.name, p, speed, t.apply)
+			b.addPoint(t.name, p, speed, t.apply)
 		}
 	}
 }
 
-// sweep prints both profiles over link speeds, with the bound that the links allow, for
-// prompts that are sent after their import and for those that are sent during it.
-func (b *Bench) sweep() {
+// sweepLinkSpeeds prints the results of both profiles over link speeds, with the lower bound of
+// the recomputed share that each speed allows. It runs each once with prompts sent after their
+// import and once with prompts sent during their import.
+func (b *Bench) sweepLinkSpeeds() {
 	for _, speed := range []float64{0.25, 0.5, 1, 2} {
 		for _, p := range profiles() {
 			bound := fmt.Sprintf("bound=%.2f", max(0, 1-speed))
-			b.point("sweep "+bound, p, speed, func(*Config) {})
-			b.point("overlap "+bound, p, speed, func(c *Config) { c.Placement.Overlap = true })
+			b.addPoint("sweep "+bound, p, speed, func(*Config) {})
+			b.addPoint("overlap "+bound, p, speed, func(c *Config) { c.Placement.Overlap = true })
 		}
 	}
 }
 
-// slowLink prints what callers see when one store's link carries a tenth, or next to
-// nothing, for a while.
+// slowLink prints the results when the link of one store is slower by a factor of 10 or 10,000
+// for 200 s.
 func (b *Bench) slowLink() {
 	for _, factor := range []float64{10, 10000} {
 		slow := func(c *Config) {
@@ -202,33 +204,33 @@
 		}
 		name := fmt.Sprintf("link/%.0f ", factor)
 		for _, p := range profiles() {
-			b.point(name+"all-on", p, mainSpeed, slow)
-			b.point(name+"no-give-up", p, mainSpeed, func(c *Config) { slow(c); c.Disabled.ImportDeadline = true })
-			b.point(name+"no-overdue", p, mainSpeed, func(c *Config) { slow(c); c.Disabled.Overdue = true })
+			b.addPoint(name+"all-on", p, defaultLinkSpeed, slow)
+			b.addPoint(name+"no-give-up", p, defaultLinkSpeed, func(c *Config) { slow(c); c.Disabled.ImportDeadline = true })
+			b.addPoint(name+"no-overdue", p, defaultLinkSpeed, func(c *Config) { slow(c); c.Disabled.Overdue = true })
 		}
 	}
 }
 
-// conversations prints the decisions that matter when some contexts return within
-// seconds, before they are evicted.
-func (b *Bench) conversations() {
+// quickReturns prints the effect of reuse when some contexts return within seconds, before
+// they are evicted.
+func (b *Bench) quickReturns() {
 	load := BenchLoad()
 	load.QuickContexts = 15
-	b.load(load)
+	b.prepareTraces(load)
 	for _, p := range profiles() {
-		b.point("quick all-on", p, mainSpeed, func(*Config) {})
-		b.point("quick no-reuse", p, mainSpeed, func(c *Config) { c.Placement.Restrictions.NoReuse = true })
+		b.addPoint("quick all-on", p, defaultLinkSpeed, func(*Config) {})
+		b.addPoint("quick no-reuse", p, defaultLinkSpeed, func(c *Config) { c.Placement.Restrictions.NoReuse = true })
 	}
 }
 
-// point plays one setting and hands its line to print.
-func (b *Bench) point(name string, p profile, speed float64, apply func(*Config)) {
+// addPoint starts the runs of one configuration and queues their line for print.
+func (b *Bench) addPoint(name string, p profile, speed float64, apply func(*Config)) {
 	line := make(chan string, 1)
 	b.points = append(b.points, line)
-	go func() { line <- b.summary(name, p, speed, b.each(p, speed, apply)) }()
+	go func() { line <- b.summary(name, p, speed, b.runSeeds(p, speed, apply)) }()
 }
 
-// print writes the lines of all points in the order in which they were asked for.
+// print writes the lines of all points in the order of the addPoint calls.
 func (b *Bench) print() {
 	for _, line := range b.points {
 		fmt.Fprint(b.Out, <-line)
@@ -236,7 +238,7 @@
 	b.points = nil
 }
 
-// summary returns the medians and the worst seed of one setting.
+// summary formats the medians and the worst seed of one configuration.
 func (b *Bench) summary(name string, p profile, speed float64, results []Result) string {
 	var ratios, shares, p50s, p95s, use []float64
 	unanswered := 0
@@ -260,7 +262,7 @@
 
 func p95(r *Result) float64 { return quantile(r.TTFT, 0.95) }
 
-// quantile returns seconds.
+// quantile returns the q-quantile of values in seconds.
 func quantile(values []time.Duration, q float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/policysim/caller.go
+++ b/internal/policysim/caller.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// promptTail is the tokens of a prompt after its last whole block.
-	promptTail = 32
-	// diskPieces is how many pieces a copy on disk is sent in; while one is on the link
-	// the next is read.
-	diskPieces = 8
+	// promptTailTokens is the number of prompt tokens after the last complete block.
+	promptTailTokens = 32
+	// diskChunks is the number of chunks in which a copy on disk is sent. The disk reads the
+	// next chunk while the link sends the previous one.
+	diskChunks = 8
 )
 
-// call is one prompt on its way.
+// call is a prompt in progress.
 type call struct {
-	visit      visit
-	engine     *engine
-	cached     int // leading blocks that need no prefill
-	prefillEnd time.Duration
-	importing  bool
-	tail       int // tokens to queue after the import, if the target can't overlap
+	visit          visit
+	engine         *engine
+	cached         int // leading blocks that need no prefill
+	prefillEnd     time.Duration
+	importing      bool
+	deferredTokens int // tokens to queue after the import if the target can't overlap prefill with imports
 }
 
-// arrive places a prompt and starts it.
+// arrive places a prompt on a target and starts its call.
 func (s *sim) arrive(v visit) {
 	if s.config.Disabled.Restore {
 		s.start(v, leastLoaded(s.engines), placement.Plan{})
 		return
 	}
-	s.stopPrefetch(v.ctx)
+	s.cancelPrefetch(v.ctx)
 	now := s.clock.time()
 	chain := v.ctx.chain[:v.blocks]
 	located := s.dir.Lookup(v.ctx.scope, chain)
-	s.free(s.dir.OnUse(v.ctx.scope, chain, now))
+	s.freeManifests(s.dir.OnUse(v.ctx.scope, chain, now))
 	plan := placement.Choose(s.config.Placement, placement.Request{
-		Tokens:        v.blocks*block.TokensPerBlock + promptTail,
+		Tokens:        v.blocks*block.TokensPerBlock + promptTailTokens,
 		BytesPerToken: s.config.BytesPerToken,
 		TieBreak:      s.random.Uint64(),
 	}, s.candidates(located), s.copies(located))
@@ -50,11 +50,12 @@
 	s.start(v, s.byTarget[plan.Target], plan)
 }
 
-// leastLoaded returns the target that is done first; of idle ones, the longest idle.
+// leastLoaded returns the target whose queue empties first, or the one that has been idle
+// longest.
 func leastLoaded(engines []*engine) *engine {
 	best := engines[0]
 	for _, e := range engines[1:] {
-		if e.freeAt < best.freeAt {
+		if e.idleAt < best.idleAt {
 			best = e
 		}
 	}
@@ -66,8 +67,8 @@
 	for i, e := range s.engines {
 		candidates[i] = placement.Candidate{
 			ID:                  e.id,
-			QueuedPrefillTokens: e.queued(s.clock.now),
-			PrefillRate:         s.costs.PrefillRate(e.id),
+			QueuedPrefillTokens: e.queuedTokens(s.clock.now),
+			PrefillRate:         s.prefillRates.PrefillRate(e.id),
 		}
 		for _, r := range located.Resident {
 			if r.Target == e.id {
@@ -90,14 +91,15 @@
 		p := placement.Copy{Store: c.Store, Blocks: c.Blocks, Link: state}
 		if c.Tier == storeapi.TierDisk {
 			p.TierBytesPerSec = st.disk.rate
-			p.Link.QueuedBytes += st.disk.queued()
+			p.Link.QueuedBytes += st.disk.queuedBytes()
 		}
 		copies = append(copies, p)
 	}
 	return copies
 }
 
-// start queues the prefill and, at the same time, the import.
+// start queues the prefill and starts the import that the plan contains. Without overlap, the
+// prefill is queued when the import ends.
 func (s *sim) start(v visit, e *engine, plan placement.Plan) {
 	c := &call{visit: v, engine: e}
 	c.cached = min(e.resident(v.ctx), v.blocks)
@@ -105,11 +107,11 @@
 	if plan.ImportBlocks > c.cached && plan.ReuseBlocks <= c.cached {
 		s.startImport(c, plan)
 	}
-	tokens := (v.blocks-c.cached)*block.TokensPerBlock + promptTail
-	s.costs.ObservePrefill(e.id, tokens, time.Duration(float64(tokens)/e.rate*float64(time.Second)))
+	tokens := (v.blocks-c.cached)*block.TokensPerBlock + promptTailTokens
+	s.prefillRates.ObservePrefill(e.id, tokens, time.Duration(float64(tokens)/e.rate*float64(time.Second)))
 	if c.importing && !s.config.Placement.Overlap {
-		c.tail = tokens
-		e.promised += tokens
+		c.deferredTokens = tokens
+		e.deferredTokens += tokens
 		return
 	}
 	c.prefillEnd = e.prefill(tokens, s.clock.now)
@@ -118,10 +120,10 @@
 	}
 }
 
-// startImport brings blocks from a store. The caller counts on them until the plan's
-// deadline; what has not come by then is prefilled.
+// startImport imports blocks from a store. An import that has not ended by the plan's deadline
+// is cancelled, and its blocks are prefilled instead.
 func (s *sim) startImport(c *call, plan placement.Plan) {
-	had := c.cached
+	cachedBefore := c.cached
 	c.cached = plan.ImportBlocks
 	c.importing = true
 	bytes := int64(plan.ImportBlocks-plan.ReuseBlocks) * s.blockBytes()
@@ -133,10 +135,10 @@
 		c.importing = false
 		s.links.Finish(plan.Store, id, bytes, outcome, s.clock.time())
 		st.budget.Release(retention.Caller, bytes)
-		s.pump(st)
-		if c.tail > 0 {
-			c.engine.promised -= c.tail
-			c.prefillEnd = max(c.prefillEnd, c.engine.prefill(c.tail, s.clock.now))
+		s.sendAllowedChunks(st)
+		if c.deferredTokens > 0 {
+			c.engine.deferredTokens -= c.deferredTokens
+			c.prefillEnd = max(c.prefillEnd, c.engine.prefill(c.deferredTokens, s.clock.now))
 		}
 		s.clock.at(c.prefillEnd, func() { s.answer(c) })
 	}
@@ -155,25 +157,25 @@
 		}
 		st.link.cancel(t)
 		s.result.TimedOutImports++
-		c.cached = had
-		c.prefillEnd = c.engine.prefill((plan.ImportBlocks-had)*block.TokensPerBlock, s.clock.now)
+		c.cached = cachedBefore
+		c.prefillEnd = c.engine.prefill((plan.ImportBlocks-cachedBefore)*block.TokensPerBlock, s.clock.now)
 		settle(placement.TimedOut)
 	})
 }
 
-// fetch sends a transfer over the link, after the disk if the copy lies there.
+// fetch sends a transfer over the link. If the copy is on disk, the disk reads it first.
 func (s *sim) fetch(st *storeVM, ctx *contextTrace, t *transfer) {
 	if s.tier(st, ctx) == storeapi.TierMemory {
 		st.link.send(t)
 		return
 	}
 	arrived := 0
-	for range diskPieces {
-		read := &transfer{bytes: t.bytes / diskPieces}
+	for range diskChunks {
+		read := &transfer{bytes: t.bytes / diskChunks}
 		read.done = func() {
 			st.link.send(&transfer{bytes: read.bytes, cancelled: t.cancelled, done: func() {
 				arrived++
-				if arrived == diskPieces {
+				if arrived == diskChunks {
 					t.done()
 				}
 			}})
@@ -182,7 +184,7 @@
 	}
 }
 
-// tier returns where a context's copy lies.
+// tier returns the tier that holds a context's copy.
 func (s *sim) tier(st *storeVM, ctx *contextTrace) storeapi.Tier {
 	for _, c := range s.dir.Lookup(ctx.scope, ctx.chain).Copies {
 		if c.Store == st.id {
@@ -192,7 +194,7 @@
 	return storeapi.TierMemory
 }
 
-// answer ends a call: its blocks are in the target's cache now.
+// answer ends a call and enters its blocks into the target's cache.
 func (s *sim) answer(c *call) {
 	v := c.visit
 	entered := c.engine.insert(v.ctx, v.blocks)
@@ -210,7 +212,7 @@
 	if correction.Actual < correction.Assumed {
 		s.result.ResidenceMismatches++
 	}
-	s.free(correction.Actions)
+	s.freeManifests(correction.Actions)
 	s.residence[c.engine.id].ObserveInsertions(entered, now)
 	s.export(c, chain)
 }
--- a/internal/policysim/clock.go
+++ b/internal/policysim/clock.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// clock runs events in order of time, and of creation at equal times.
+// clock is a virtual clock. It runs events in order of time, and in order of creation at equal
+// times.
 type clock struct {
 	now    time.Duration
 	events eventHeap
@@ -18,7 +19,7 @@
 	run   func()
 }
 
-// at schedules f; times in the past run next.
+// at schedules f for time t, or for the current time if t is in the past.
 func (c *clock) at(t time.Duration, f func()) {
 	c.count++
 	heap.Push(&c.events, event{at: max(t, c.now), order: c.count, run: f})
@@ -26,7 +27,7 @@
 
 func (c *clock) after(d time.Duration, f func()) { c.at(c.now+d, f) }
 
-// run handles events up to a time.
+// run executes the events up to and including the given time.
 func (c *clock) run(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		e := heap.Pop(&c.events).(event)
@@ -35,7 +36,7 @@
 	}
 }
 
-// time returns the present as the policies take it.
+// time returns the current virtual time in the form that the policies use.
 func (c *clock) time() time.Time { return time.Unix(1_000_000, 0).Add(c.now) }
 
 type eventHeap []event
--- a/internal/policysim/doc.go
+++ b/internal/policysim/doc.go
@@ -1,9 +1,9 @@
-// Package policysim is a small discrete-event model of targets, store VMs and links
-// that drives the real contextdir, placement and retention packages with a trace of
-// contexts that come back after a gap. It exists for the policy bench.
+// Package policysim is a discrete-event simulation of targets, store VMs and links. It drives
+// the real contextdir, placement and retention packages with a trace of contexts that return
+// after a gap. The policy benchmark uses it.
 //
-// What is modelled: targets prefill first come first served at a fixed rate and keep
-// prompts in a least-recently-used cache; their cache events arrive late and some are
-// lost; a store VM has memory, a disk and one link, which carries transfers in order
-// and knows no classes. Not modelled: decoding, the key-value service, failures.
+// Targets prefill in first-come, first-served order at a fixed rate and cache prompts with
+// least-recently-used eviction. Their cache events are delayed, and some are lost. A store VM
+// has memory, a disk and one link, which serves transfers in order and without priority
+// classes. The simulation omits decoding, the key-value service and failures.
 package policysim
--- a/internal/policysim/engine.go
+++ b/internal/policysim/engine.go
@@ -9,18 +9,18 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// engine is a target: a prefill queue and a prefix cache.
+// engine simulates a target: a prefill queue and a prefix cache.
 type engine struct {
-	id        request.TargetID
-	rate      float64 // tokens a second
-	freeAt    time.Duration
-	promised  int // tokens of prompts that join the queue when their import ends
-	capacity  int // blocks
-	used      int
-	recent    *list.List // of *cached, the most recently used first
-	cache     map[*contextTrace]*list.Element
-	seq       uint64
-	lastEvent func(engineapi.CacheEvent)
+	id             request.TargetID
+	rate           float64 // tokens per second
+	idleAt         time.Duration
+	deferredTokens int // tokens of prompts that join the queue when their import ends
+	capacity       int // blocks
+	used           int
+	lru            *list.List // of *cached, the most recently used first
+	cache          map[*contextTrace]*list.Element
+	seq            uint64
+	onEvent        func(engineapi.CacheEvent)
 }
 
 type cached struct {
@@ -29,21 +29,21 @@
 }
 
 func newEngine(id request.TargetID, rate float64, capacity int) *engine {
-	return &engine{id: id, rate: rate, capacity: capacity, recent: list.New(), cache: map[*contextTrace]*list.Element{}}
+	return &engine{id: id, rate: rate, capacity: capacity, lru: list.New(), cache: map[*contextTrace]*list.Element{}}
 }
 
-// queued returns the tokens waiting to be prefilled.
-func (e *engine) queued(now time.Duration) int {
-	return int(max(0, (e.freeAt-now).Seconds())*e.rate) + e.promised
+// queuedTokens returns the number of tokens that wait for prefill.
+func (e *engine) queuedTokens(now time.Duration) int {
+	return int(max(0, (e.idleAt-now).Seconds())*e.rate) + e.deferredTokens
 }
 
-// prefill queues tokens and returns when they are done.
+// prefill queues tokens and returns the time at which their prefill ends.
 func (e *engine) prefill(tokens int, now time.Duration) time.Duration {
-	e.freeAt = max(e.freeAt, now) + time.Duration(float64(tokens)/e.rate*float64(time.Second))
-	return e.freeAt
+	e.idleAt = max(e.idleAt, now) + time.Duration(float64(tokens)/e.rate*float64(time.Second))
+	return e.idleAt
 }
 
-// resident returns the leading blocks in the cache.
+// resident returns the number of leading blocks of a context in the cache.
 func (e *engine) resident(ctx *contextTrace) int {
 	if element, ok := e.cache[ctx]; ok {
 		return element.Value.(*cached).blocks
@@ -51,52 +51,52 @@
 	return 0
 }
 
-// touch marks a context as just used.
+// touch marks a context as the most recently used.
 func (e *engine) touch(ctx *contextTrace) {
 	if element, ok := e.cache[ctx]; ok {
-		e.recent.MoveToFront(element)
+		e.lru.MoveToFront(element)
 	}
 }
 
-// insert puts leading blocks into the cache and evicts what was used longest ago. It
-// returns how many blocks are new.
+// insert adds leading blocks of a context to the cache, evicts the least recently used contexts
+// beyond the capacity, and returns the number of new blocks.
 func (e *engine) insert(ctx *contextTrace, blocks int) int {
-	had := e.resident(ctx)
-	if blocks <= had {
+	residentBefore := e.resident(ctx)
+	if blocks <= residentBefore {
 		e.touch(ctx)
 		return 0
 	}
-	if had == 0 {
-		e.cache[ctx] = e.recent.PushFront(&cached{ctx: ctx})
+	if residentBefore == 0 {
+		e.cache[ctx] = e.lru.PushFront(&cached{ctx: ctx})
 	}
 	e.touch(ctx)
 	e.cache[ctx].Value.(*cached).blocks = blocks
-	e.used += blocks - had
-	e.report(engineapi.BlocksStored, ctx.chain[had:blocks])
+	e.used += blocks - residentBefore
+	e.emitEvent(engineapi.BlocksStored, ctx.chain[residentBefore:blocks])
 	for e.used > e.capacity {
 		e.evict()
 	}
-	return blocks - had
+	return blocks - residentBefore
 }
 
 func (e *engine) evict() {
-	oldest := e.recent.Back()
-	c := e.recent.Remove(oldest).(*cached)
+	oldest := e.lru.Back()
+	c := e.lru.Remove(oldest).(*cached)
 	delete(e.cache, c.ctx)
 	e.used -= c.blocks
-	e.report(engineapi.BlocksRemoved, c.ctx.chain[:c.blocks])
+	e.emitEvent(engineapi.BlocksRemoved, c.ctx.chain[:c.blocks])
 }
 
-func (e *engine) report(kind engineapi.EventKind, blocks []block.Hash) {
+func (e *engine) emitEvent(kind engineapi.EventKind, blocks []block.Hash) {
 	e.seq++
-	if e.lastEvent != nil {
-		e.lastEvent(engineapi.CacheEvent{Seq: e.seq, Kind: kind, Blocks: blocks})
+	if e.onEvent != nil {
+		e.onEvent(engineapi.CacheEvent{Seq: e.seq, Kind: kind, Blocks: blocks})
 	}
 }
 
 func (e *engine) snapshot() engineapi.Snapshot {
 	s := engineapi.Snapshot{Incarnation: 1, Seq: e.seq}
-	for element := e.recent.Back(); element != nil; element = element.Prev() {
+	for element := e.lru.Back(); element != nil; element = element.Prev() {
 		c := element.Value.(*cached)
 		s.Blocks = append(s.Blocks, c.ctx.chain[:c.blocks]...)
 	}
--- a/internal/policysim/maintenance.go
+++ b/internal/policysim/maintenance.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// tendEvery is how often room, promotions and prefetches are looked at.
-	tendEvery = 4 * time.Second
-	// budgetRetry is how soon a refused background transfer asks again.
-	budgetRetry = 20 * time.Millisecond
+	// maintenanceInterval is the interval between checks for evictions, promotions and prefetches.
+	maintenanceInterval = 4 * time.Second
+	// budgetRetryInterval is the delay before a refused background transfer retries.
+	budgetRetryInterval = 20 * time.Millisecond
 )
 
-// export writes a context's new blocks to a store, if retention wants it.
+// export writes a context's new blocks to a store if the retention policy orders it.
 func (s *sim) export(c *call, chain []block.Hash) {
 	ctx := c.visit.ctx
 	if s.exporting[ctx] {
@@ -27,7 +27,7 @@
 	order, ok := retention.Export(s.config.Retention, retention.AnsweredContext{
 		Blocks: len(chain),
 		Copies: located.Copies,
-	}, s.rooms(), s.blockBytes())
+	}, s.storeUsages(), s.blockBytes())
 	if !ok {
 		return
 	}
@@ -36,154 +36,155 @@
 	s.enqueue(st, &background{
 		class: retention.Exporting,
 		bytes: int64(order.To-order.From) * s.blockBytes(),
-		alive: func() bool { return c.engine.resident(ctx) >= order.To },
-		done:  func(carried int64) { s.commit(st, ctx, order, carried) },
+		valid: func() bool { return c.engine.resident(ctx) >= order.To },
+		done:  func(transferred int64) { s.commit(st, ctx, order, transferred) },
 	})
 }
 
-// commit records the manifest of what was written.
-func (s *sim) commit(st *storeVM, ctx *contextTrace, order retention.ExportOrder, carried int64) {
+// commit records the manifest of the blocks that an export wrote.
+func (s *sim) commit(st *storeVM, ctx *contextTrace, order retention.ExportOrder, transferred int64) {
 	delete(s.exporting, ctx)
-	blocks := order.From + int(carried/s.blockBytes())
+	blocks := order.From + int(transferred/s.blockBytes())
 	if blocks == order.From {
 		return
 	}
 	tier := storeapi.TierMemory
 	if order.Extends != "" {
-		if s.owners[order.Extends] == nil {
-			return // freed meanwhile; the new blocks alone are of no use
+		if s.contextByManifest[order.Extends] == nil {
+			return // the extended manifest was freed; the new blocks are useless without it
 		}
 		tier = s.tier(st, ctx)
 	}
-	s.names++
-	name := fmt.Sprint("manifest-", s.names)
-	s.owners[name] = ctx
-	st.use(tier, carried)
+	s.manifestCount++
+	name := fmt.Sprint("manifest-", s.manifestCount)
+	s.contextByManifest[name] = ctx
+	st.addUsage(tier, transferred)
 	replaced := s.dir.OnManifestCommitted(ctx.scope, ctx.chain[:order.To], contextdir.Copy{
-		Manifest: name, Generation: uint64(s.names), Store: st.id, Tier: tier,
+		Manifest: name, Generation: uint64(s.manifestCount), Store: st.id, Tier: tier,
 		Blocks: blocks, Bytes: int64(blocks) * s.blockBytes(),
 	})
 	for _, a := range replaced {
-		delete(s.owners, a.Copy.Manifest)
+		delete(s.contextByManifest, a.Copy.Manifest)
 		if a.Copy.Manifest != order.Extends {
-			st.use(a.Copy.Tier, -a.Copy.Bytes)
+			st.addUsage(a.Copy.Tier, -a.Copy.Bytes)
 		}
 	}
 }
 
-// use adds bytes to a tier.
-func (st *storeVM) use(tier storeapi.Tier, bytes int64) {
+// addUsage adds bytes to the used space of a tier.
+func (st *storeVM) addUsage(tier storeapi.Tier, bytes int64) {
 	if tier == storeapi.TierDisk {
-		st.room.DiskUsed += bytes
+		st.usage.DiskUsed += bytes
 		return
 	}
-	st.room.MemoryUsed += bytes
+	st.usage.MemoryUsed += bytes
 }
 
-// free deletes what the directory no longer wants.
-func (s *sim) free(actions []contextdir.Action) {
+// freeManifests deletes the manifests that the directory orders to free.
+func (s *sim) freeManifests(actions []contextdir.Action) {
 	for _, a := range actions {
 		if a.Kind == contextdir.FreeManifest {
-			s.byStore[a.Copy.Store].use(a.Copy.Tier, -a.Copy.Bytes)
-			delete(s.owners, a.Copy.Manifest)
+			s.byStore[a.Copy.Store].addUsage(a.Copy.Tier, -a.Copy.Bytes)
+			delete(s.contextByManifest, a.Copy.Manifest)
 		}
 	}
 }
 
-func (s *sim) rooms() []retention.StoreUsage {
-	rooms := make([]retention.StoreUsage, len(s.stores))
+func (s *sim) storeUsages() []retention.StoreUsage {
+	usages := make([]retention.StoreUsage, len(s.stores))
 	for i, st := range s.stores {
-		rooms[i] = st.room
-		rooms[i].LinkQueue = time.Duration(float64(st.link.queued()) / st.link.rate * float64(time.Second))
+		usages[i] = st.usage
+		usages[i].LinkQueue = time.Duration(float64(st.link.queuedBytes()) / st.link.rate * float64(time.Second))
 	}
-	return rooms
+	return usages
 }
 
-// tend moves copies between tiers and starts prefetches.
-func (s *sim) tend() {
-	s.clock.after(tendEvery, s.tend)
+// maintainStores evicts and promotes copies and starts prefetches, at each
+// maintenanceInterval.
+func (s *sim) maintainStores() {
+	s.clock.after(maintenanceInterval, s.maintainStores)
 	now := s.clock.time()
-	kept := s.kept[:0]
+	stored := s.storedContexts[:0]
 	s.dir.EachStoredContext(func(k contextdir.StoredContext) bool {
 		if s.config.Disabled.ReturnTime {
 			k.Gaps = contextdir.Gaps{}
 		}
 		k.Copies = append([]contextdir.Copy(nil), k.Copies...)
-		kept = append(kept, k)
+		stored = append(stored, k)
 		return true
 	})
-	s.kept = kept
+	s.storedContexts = stored
 	for _, st := range s.stores {
-		s.links.OnQueueReport(st.id, st.link.queued(), now)
-		for _, m := range retention.PlanEviction(s.config.Retention, st.room, kept, now) {
-			s.move(st, m)
+		s.links.OnQueueReport(st.id, st.link.queuedBytes(), now)
+		for _, m := range retention.PlanEviction(s.config.Retention, st.usage, stored, now) {
+			s.applyMove(st, m)
 		}
 		if s.config.Disabled.Promotion {
 			continue
 		}
-		st.promotions = retention.PlanPromotions(s.config.Retention, st.room, kept, now)
-		s.promote(st)
+		st.promotions = retention.PlanPromotions(s.config.Retention, st.usage, stored, now)
+		s.promoteNext(st)
 	}
 	if !s.config.Disabled.Prefetch {
-		for _, k := range kept {
+		for _, k := range stored {
 			s.prefetch(k)
 		}
 	}
 }
 
-func (s *sim) move(st *storeVM, m retention.Move) {
-	if s.owners[m.Copy.Manifest] == nil {
+func (s *sim) applyMove(st *storeVM, m retention.Move) {
+	if s.contextByManifest[m.Copy.Manifest] == nil {
 		return
 	}
-	st.use(m.Copy.Tier, -m.Copy.Bytes)
+	st.addUsage(m.Copy.Tier, -m.Copy.Bytes)
 	if m.Kind == retention.Free {
 		s.dir.OnManifestFreed(m.Copy.Manifest)
-		delete(s.owners, m.Copy.Manifest)
+		delete(s.contextByManifest, m.Copy.Manifest)
 		return
 	}
-	st.use(storeapi.TierDisk, m.Copy.Bytes)
+	st.addUsage(storeapi.TierDisk, m.Copy.Bytes)
 	s.dir.OnManifestMoved(m.Copy.Manifest, storeapi.TierDisk)
 }
 
-// promote reads the next copy from disk, if nothing else is being read.
-func (s *sim) promote(st *storeVM) {
+// promoteNext reads the next copy to promote from disk if the disk is idle.
+func (s *sim) promoteNext(st *storeVM) {
 	if st.disk.busy || len(st.promotions) == 0 {
 		return
 	}
 	c := st.promotions[0].Copy
 	st.promotions = st.promotions[1:]
 	st.disk.send(&transfer{bytes: c.Bytes, done: func() {
-		if s.owners[c.Manifest] != nil {
-			st.use(storeapi.TierDisk, -c.Bytes)
-			st.use(storeapi.TierMemory, c.Bytes)
+		if s.contextByManifest[c.Manifest] != nil {
+			st.addUsage(storeapi.TierDisk, -c.Bytes)
+			st.addUsage(storeapi.TierMemory, c.Bytes)
 			s.dir.OnManifestMoved(c.Manifest, storeapi.TierMemory)
 		}
-		s.promote(st)
+		s.promoteNext(st)
 	}})
 }
 
-// prefetch imports a context that is expected soon into the least loaded target. It
-// does so once for each return: what was evicted before the caller came is not worth
-// the link a second time.
+// prefetch imports a context that is expected to return soon into the least loaded target. It
+// does so once per return: a context that was evicted before its caller returned is not worth
+// the link bandwidth a second time.
 func (s *sim) prefetch(k contextdir.StoredContext) {
 	now := s.clock.time()
-	ctx := s.owners[k.Copies[0].Manifest]
-	if ctx == nil || k.Resident || s.fetched[ctx].Equal(k.LastUse) || k.Copies[0].Tier == storeapi.TierDisk {
+	ctx := s.contextByManifest[k.Copies[0].Manifest]
+	if ctx == nil || k.Resident || s.prefetchedAfter[ctx].Equal(k.LastUse) || k.Copies[0].Tier == storeapi.TierDisk {
 		return
 	}
 	e := leastLoaded(s.engines)
 	if !retention.ShouldPrefetch(s.config.Retention, k, s.residence[e.id].Estimate(now), now) {
 		return
 	}
-	s.fetched[ctx] = k.LastUse
+	s.prefetchedAfter[ctx] = k.LastUse
 	st := s.byStore[k.Copies[0].Store]
 	s.enqueue(st, &background{
 		class: retention.Prefetch,
 		ctx:   ctx,
 		bytes: int64(k.Copies[0].Blocks) * s.blockBytes(),
-		alive: func() bool { return true },
-		done: func(carried int64) {
-			if blocks := int(carried / s.blockBytes()); blocks > 0 {
+		valid: func() bool { return true },
+		done: func(transferred int64) {
+			if blocks := int(transferred / s.blockBytes()); blocks > 0 {
 				s.residence[e.id].ObserveInsertions(e.insert(ctx, blocks), s.clock.time())
 				s.dir.OnImport(e.id, ctx.scope, ctx.chain, blocks)
 			}
@@ -191,8 +192,9 @@
 	})
 }
 
-// stopPrefetch ends a prefetch whose caller has come; what has arrived stays.
-func (s *sim) stopPrefetch(ctx *contextTrace) {
+// cancelPrefetch ends the prefetch of a context whose caller has returned. Blocks that have
+// arrived stay cached.
+func (s *sim) cancelPrefetch(ctx *contextTrace) {
 	for _, st := range s.stores {
 		for i, b := range st.waiting[0] {
 			if b.ctx == ctx {
@@ -204,7 +206,7 @@
 	}
 }
 
-// enqueue starts a background transfer.
+// enqueue queues a background transfer, or sends it immediately if the budget is disabled.
 func (s *sim) enqueue(st *storeVM, b *background) {
 	if s.config.Disabled.Budget {
 		st.link.send(&transfer{bytes: b.bytes, done: func() { b.done(b.bytes) }})
@@ -212,15 +214,15 @@
 	}
 	class := b.class - retention.Prefetch
 	st.waiting[class] = append(st.waiting[class], b)
-	s.pump(st)
+	s.sendAllowedChunks(st)
 }
 
-// pump sends the next chunk that the budget allows.
-func (s *sim) pump(st *storeVM) {
+// sendAllowedChunks sends the next chunk of each class if the budget allows it.
+func (s *sim) sendAllowedChunks(st *storeVM) {
 	for class := range st.waiting {
 		for len(st.waiting[class]) > 0 {
 			b := st.waiting[class][0]
-			if b.sent == b.bytes || !b.alive() {
+			if b.sent == b.bytes || !b.valid() {
 				st.waiting[class] = st.waiting[class][1:]
 				b.done(b.sent)
 				continue
@@ -234,7 +236,7 @@
 func (s *sim) sendChunk(st *storeVM, b *background) {
 	granted := st.budget.Acquire(b.class, b.bytes-b.sent, s.blockBytes(), s.clock.time())
 	if granted == 0 {
-		s.pumpLater(st)
+		s.scheduleBudgetRetry(st)
 		return
 	}
 	st.link.send(&transfer{bytes: granted, done: func() {
@@ -243,18 +245,19 @@
 			s.result.BackgroundBytes[b.class-retention.Prefetch] += granted
 		}
 		st.budget.Release(b.class, granted)
-		s.pump(st)
+		s.sendAllowedChunks(st)
 	}})
 }
 
-// pumpLater asks the budget again, also if no transfer ends meanwhile.
-func (s *sim) pumpLater(st *storeVM) {
-	if st.retrying {
+// scheduleBudgetRetry schedules another budget request, which is made even if no transfer ends
+// before it.
+func (s *sim) scheduleBudgetRetry(st *storeVM) {
+	if st.retryScheduled {
 		return
 	}
-	st.retrying = true
-	s.clock.after(budgetRetry, func() {
-		st.retrying = false
-		s.pump(st)
+	st.retryScheduled = true
+	s.clock.after(budgetRetryInterval, func() {
+		st.retryScheduled = false
+		s.sendAllowedChunks(st)
 	})
 }
--- a/internal/policysim/scaling.go
+++ b/internal/policysim/scaling.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	slopeChain  = 312 // blocks of a context: 20,000 tokens
-	slopeProbes = 500
-	slopeRounds = 2000
+	scalingChainBlocks = 312 // blocks per context, about 20,000 tokens
+	scalingProbes      = 500
+	scalingRounds      = 2000
 )
 
-// BenchScaling prints the time and allocations of one placement, lookup included, over the
-// number of targets and of contexts.
+// BenchScaling prints the time and allocations of one placement, including its lookup, for
+// several numbers of targets and of contexts.
 func BenchScaling(out io.Writer) {
 	for _, contexts := range []int{1_000, 30_000, 210_000} {
 		dir, chains, bytes := filledDirectory(contexts)
@@ -35,32 +35,32 @@
 	}
 }
 
-var slopeScope = block.Scope{Org: "org", Model: "model", Version: "v1"}
+var scalingScope = block.Scope{Org: "org", Model: "model", Version: "v1"}
 
-// filledDirectory returns a directory, the chains of some returning prompts and the
-// bytes that each context takes.
+// filledDirectory returns a directory, the chains of some returning prompts, and the heap bytes
+// per context.
 func filledDirectory(contexts int) (*contextdir.Directory, [][]block.Hash, float64) {
 	r := rand.New(rand.NewSource(1))
 	before := heapBytes()
 	dir := contextdir.New(contextdir.Params{MaxContexts: contexts})
-	chains := make([][]block.Hash, 0, slopeProbes)
+	chains := make([][]block.Hash, 0, scalingProbes)
 	now := time.Unix(1_000_000, 0)
 	for i := range contexts {
 		chain := randomChain(r)
-		dir.OnAnswer("t0", slopeScope, chain, 0, now)
-		dir.OnManifestCommitted(slopeScope, chain, contextdir.Copy{
-			Manifest: fmt.Sprintf("m-%064x-%d", i, i), Store: "s0", Tier: storeapi.TierMemory, Blocks: slopeChain,
+		dir.OnAnswer("t0", scalingScope, chain, 0, now)
+		dir.OnManifestCommitted(scalingScope, chain, contextdir.Copy{
+			Manifest: fmt.Sprintf("m-%064x-%d", i, i), Store: "s0", Tier: storeapi.TierMemory, Blocks: scalingChainBlocks,
 		})
-		if i%(contexts/slopeProbes) == 0 {
+		if i%(contexts/scalingProbes) == 0 {
 			chains = append(chains, chain)
 		}
 	}
-	kept := float64(len(chains) * slopeChain * len(block.Hash{}))
-	return dir, chains, (float64(heapBytes()) - float64(before) - kept) / float64(contexts)
+	chainBytes := float64(len(chains) * scalingChainBlocks * len(block.Hash{}))
+	return dir, chains, (float64(heapBytes()) - float64(before) - chainBytes) / float64(contexts)
 }
 
 func randomChain(r *rand.Rand) []block.Hash {
-	chain := make([]block.Hash, slopeChain)
+	chain := make([]block.Hash, scalingChainBlocks)
 	for i := range chain {
 		binary.LittleEndian.PutUint64(chain[i][:], r.Uint64())
 		binary.LittleEndian.PutUint64(chain[i][8:], r.Uint64())
@@ -74,19 +74,19 @@
 		candidates[i] = placement.Candidate{ID: request.TargetID(fmt.Sprint("t", i)), QueuedPrefillTokens: i * 7919 % 30000}
 	}
 	copies := make([]placement.Copy, 1)
-	r := placement.Request{Tokens: slopeChain * block.TokensPerBlock, BytesPerToken: 128 << 10}
+	r := placement.Request{Tokens: scalingChainBlocks * block.TokensPerBlock, BytesPerToken: 128 << 10}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	begin := time.Now()
-	for i := range slopeRounds {
-		located := dir.Lookup(slopeScope, chains[i%len(chains)])
+	for i := range scalingRounds {
+		located := dir.Lookup(scalingScope, chains[i%len(chains)])
 		candidates[0].ResidentBlocks = located.Resident[0].Blocks / 2
 		copies[0] = placement.Copy{Store: "s0", Blocks: located.Copies[0].Blocks, Link: placement.LinkState{BytesPerSec: 3e9}}
 		placement.Choose(placement.Atlas(), r, candidates, copies)
 	}
 	elapsed := time.Since(begin)
 	runtime.ReadMemStats(&after)
-	return elapsed / slopeRounds, float64(after.Mallocs-before.Mallocs) / slopeRounds
+	return elapsed / scalingRounds, float64(after.Mallocs-before.Mallocs) / scalingRounds
 }
 
 func heapBytes() uint64 {
--- a/internal/policysim/sim_test.go
+++ b/internal/policysim/sim_test.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/policy/placement"
 )
 
-// smallRun plays a shorter trace on the bench's fleet.
+// smallRun runs a shorter trace on the fleet of the benchmark.
 func smallRun(seed int64, profile placement.Params, change func(*Config)) Result {
 	load := BenchLoad()
 	load.Until = 1050 * time.Second
@@ -19,8 +19,8 @@
 
 func unchanged(*Config) {}
 
-// A seed fully determines a run.
-func TestRunsRepeat(t *testing.T) {
+// TestRunIsDeterministic checks that a seed fully determines a run.
+func TestRunIsDeterministic(t *testing.T) {
 	first := smallRun(7, placement.Atlas(), unchanged)
 	second := smallRun(7, placement.Atlas(), unchanged)
 	if !reflect.DeepEqual(first, second) {
@@ -28,28 +28,28 @@
 	}
 }
 
-// Callers come back after eviction, and the links carry half of what they ask for.
-// Importing always, whatever waits for the link, makes everyone wait longer than
-// without any store; planning with the link's queue never does.
-func TestShortLinksNeverMakeItWorse(t *testing.T) {
-	half := func(c *Config) { c.LinkSpeed = 0.5 }
+// Scenario: contexts return after their eviction, and the links have half of the bandwidth that
+// importing them takes. Importing always, regardless of the link's queue, makes callers wait
+// longer than without a store. Placement that accounts for the link's queue must not.
+func TestScarceLinkBandwidthNeverSlowerThanNaive(t *testing.T) {
+	halveLinkSpeed := func(c *Config) { c.LinkSpeed = 0.5 }
 	naive := smallRun(7, placement.Atlas(), func(c *Config) { c.Disabled.Restore = true })
 	always := smallRun(7, placement.Fonografos(), func(c *Config) {
-		half(c)
+		halveLinkSpeed(c)
 		c.Placement.Restrictions.NoQueue = true
 		c.Disabled.ImportDeadline = true
 	})
 	if p95(&always) < 2*p95(&naive) {
-		t.Fatalf("importing always was expected to grow the queue: p95 %.1f s, naive %.1f s", p95(&always), p95(&naive))
+		t.Fatalf("importing always: p95 %.1f s, naive %.1f s; want at least twice naive, from the growing link queue", p95(&always), p95(&naive))
 	}
 	for _, p := range profiles() {
-		ours := smallRun(7, p.params, half)
+		ours := smallRun(7, p.params, halveLinkSpeed)
 		if p95(&ours) > p95(&naive) {
-			t.Errorf("%s: p95 %.2f s, naive %.2f s", p.name, p95(&ours), p95(&naive))
+			t.Errorf("%s: p95 %.2f s is above naive %.2f s", p.name, p95(&ours), p95(&naive))
 		}
 		const bound = 0.5
 		if ours.RecomputedShare() > 1.2*bound {
-			t.Errorf("%s: recomputed share above 1.2 of the bound %.2f: %s", p.name, bound, describe(&ours))
+			t.Errorf("%s: recomputed share exceeds 1.2 times the bound %.2f: %s", p.name, bound, describe(&ours))
 		}
 	}
 }
--- a/internal/policysim/store.go
+++ b/internal/policysim/store.go
@@ -7,39 +7,39 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// transfer is work for a channel.
+// transfer is a number of bytes to send over a channel.
 type transfer struct {
 	bytes     int64
 	cancelled bool
 	done      func()
 }
 
-// channel is a link or a disk: it carries transfers in order.
+// channel is a link or a disk. It serves transfers in order.
 type channel struct {
-	clock   *clock
-	rate    float64 // bytes a second
-	queue   []*transfer
-	busy    bool
-	carried int64
+	clock       *clock
+	rate        float64 // bytes per second
+	queue       []*transfer
+	busy        bool
+	transferred int64
 }
 
 func (c *channel) send(t *transfer) {
 	c.queue = append(c.queue, t)
 	if !c.busy {
-		c.next()
+		c.startNext()
 	}
 }
 
-// cancel takes a transfer off; the reader has closed its connection.
+// cancel cancels a transfer whose reader has closed its connection.
 func (c *channel) cancel(t *transfer) {
 	t.cancelled = true
 	if len(c.queue) > 0 && c.queue[0] == t {
-		c.next()
+		c.startNext()
 	}
 }
 
-// next starts the first transfer that still counts.
-func (c *channel) next() {
+// startNext starts the first transfer that is not cancelled.
+func (c *channel) startNext() {
 	c.busy = false
 	for len(c.queue) > 0 && c.queue[0].cancelled {
 		c.queue = c.queue[1:]
@@ -53,15 +53,15 @@
 		if t.cancelled {
 			return
 		}
-		c.carried += t.bytes
+		c.transferred += t.bytes
 		c.queue = c.queue[1:]
-		c.next()
+		c.startNext()
 		t.done()
 	})
 }
 
-// queued returns the bytes waiting.
-func (c *channel) queued() int64 {
+// queuedBytes returns the bytes of the transfers in the queue.
+func (c *channel) queuedBytes() int64 {
 	var sum int64
 	for _, t := range c.queue {
 		if !t.cancelled {
@@ -71,24 +71,24 @@
 	return sum
 }
 
-// storeVM is a store VM with its link and disk.
+// storeVM simulates a store VM with its link and disk.
 type storeVM struct {
-	id         request.StoreID
-	link       channel
-	disk       channel
-	room       retention.StoreUsage
-	budget     *retention.Budget
-	waiting    [2][]*background // prefetches, exports
-	retrying   bool             // the budget will be asked again
-	promotions []retention.Move // still to do
+	id             request.StoreID
+	link           channel
+	disk           channel
+	usage          retention.StoreUsage
+	budget         *retention.Budget
+	waiting        [2][]*background // prefetches, exports
+	retryScheduled bool             // a retry of a refused chunk is scheduled
+	promotions     []retention.Move // pending
 }
 
-// background is a transfer in chunks that gives way to callers.
+// background is a transfer in chunks, with lower priority than the transfers of callers.
 type background struct {
 	class retention.Class
 	ctx   *contextTrace // set for prefetches
 	bytes int64
-	alive func() bool // asked before each chunk
-	done  func(carried int64)
+	valid func() bool // checked before each chunk; false ends the transfer
+	done  func(transferred int64)
 	sent  int64
 }
--- a/internal/policysim/trace.go
+++ b/internal/policysim/trace.go
@@ -11,17 +11,17 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Load shapes a trace.
+// Load configures the prompts of a trace.
 type Load struct {
 	Contexts        int
 	ReturnGap       time.Duration // mean time between two visits of a context
-	RegularShare    float64       // share of contexts that return on time
-	MaxRegularError time.Duration // how far a regular return is off, at most
-	MaxOtherError   float64       // how far another return is off, relative to the gap, at most
+	RegularShare    float64       // share of contexts that return at regular intervals
+	MaxRegularError time.Duration // maximum deviation of a regular return
+	MaxOtherError   float64       // maximum deviation of other returns, relative to the gap
 	MinTokens       int
 	MaxTokens       int
-	QuickContexts   int // contexts on top that return within seconds
-	MaxGrowthBlocks int // blocks that a prompt grows by between visits, at most
+	QuickContexts   int // additional contexts that return within seconds
+	MaxGrowthBlocks int // maximum growth of a prompt between two visits
 	Until           time.Duration
 }
 
@@ -29,17 +29,17 @@
 type visit struct {
 	at     time.Duration
 	ctx    *contextTrace
-	blocks int // of this prompt
-	before int // of this context's prompt before; zero: first visit
+	blocks int // blocks of this prompt
+	before int // blocks of the context's previous prompt, or 0 for its first visit
 }
 
-// contextTrace is one context with the chain of its longest prompt.
+// contextTrace is a context and the chain of its longest prompt.
 type contextTrace struct {
 	scope block.Scope
 	chain []block.Hash
 }
 
-// Trace is all prompts of a run in order of time.
+// Trace holds all prompts of a run, in order of time.
 type Trace struct {
 	visits []visit
 	load   Load
@@ -50,7 +50,7 @@
 	quickGap      = 10 * time.Second
 )
 
-// NewTrace returns the trace of a seed.
+// NewTrace generates the trace of a load. The seed determines it.
 func NewTrace(seed int64, load Load) *Trace {
 	r := rand.New(rand.NewSource(seed))
 	t := &Trace{load: load}
@@ -61,7 +61,7 @@
 	return t
 }
 
-// addContext adds all visits of one context; first visits are spread over one gap.
+// addContext adds all visits of one context. First visits are spread over one gap.
 func (t *Trace) addContext(r *rand.Rand, i int) {
 	l := t.load
 	tokens := l.MinTokens + r.Intn(l.MaxTokens-l.MinTokens+1)
@@ -82,17 +82,17 @@
 		t.visits = append(t.visits, visit{at: at, ctx: ctx, blocks: blocks, before: before})
 		before = blocks
 		blocks += 1 + r.Intn(l.MaxGrowthBlocks)
-		wobble := (2*r.Float64() - 1) * l.MaxOtherError * float64(gap)
+		jitter := (2*r.Float64() - 1) * l.MaxOtherError * float64(gap)
 		if regular {
-			wobble = (2*r.Float64() - 1) * float64(l.MaxRegularError)
+			jitter = (2*r.Float64() - 1) * float64(l.MaxRegularError)
 		}
-		at += gap + time.Duration(wobble)
+		at += gap + time.Duration(jitter)
 	}
-	ctx.chain = chainOf(i, before)
+	ctx.chain = uniqueChain(i, before)
 }
 
-// chainOf returns a chain that no other context shares.
-func chainOf(id, blocks int) []block.Hash {
+// uniqueChain returns a chain that shares no block with the chain of another id.
+func uniqueChain(id, blocks int) []block.Hash {
 	chain := make([]block.Hash, blocks)
 	for i := range chain {
 		binary.LittleEndian.PutUint64(chain[i][:], uint64(id)+1)
@@ -101,8 +101,8 @@
 	return chain
 }
 
-// returns counts the returns from a time on.
-func (t *Trace) returns(from time.Duration) int {
+// countReturns returns the number of returning prompts at or after the given time.
+func (t *Trace) countReturns(from time.Duration) int {
 	n := 0
 	for _, v := range t.visits {
 		if v.at >= from && v.before > 0 {
@@ -112,8 +112,9 @@
 	return n
 }
 
-// askedPerSecond returns the tokens of earlier prompts that returns ask for, a second.
-func (t *Trace) askedPerSecond(from time.Duration) float64 {
+// returningTokensPerSecond returns how many tokens of previous prompts return per second, from
+// the given time to the end of the trace.
+func (t *Trace) returningTokensPerSecond(from time.Duration) float64 {
 	asked := 0
 	for _, v := range t.visits {
 		if v.at >= from {
