--- a/internal/proofs/proofs_test.go
+++ b/internal/proofs/proofs_test.go
@@ -1,5 +1,5 @@
-// Package proofs checks docs/PROOFS.md against the tree: the page may name only tests
-// and cases that exist, and must say "not proved" where it names none.
+// Package proofs checks docs/PROOFS.md against the source tree: the page may name only tests
+// and cases that exist, and must say "not proved" in rows that name none.
 package proofs
 
 import (
@@ -12,26 +12,27 @@
 )
 
 const (
-	root     = "../.."
-	promises = 9 // of "What must always hold"
+	root       = "../.."
+	guarantees = 9 // number of guarantees under "What must always hold"
 )
 
 var (
-	// goTest is a test by package directory and function.
+	// goTest matches a Go test, named by package directory and function.
 	goTest = regexp.MustCompile("`((?:internal|cmd)/[a-z0-9/]+|platform)\\.((?:Test|Fuzz|Benchmark)[A-Za-z0-9]+)`")
-	// faultCase is a case of make faults.
+	// faultCase matches a case of make faults.
 	faultCase = regexp.MustCompile("`faults/([a-z_]+)`")
-	// target is a goal of the Makefile.
-	target = regexp.MustCompile("`make ([a-z-]+)`")
-	// trials are the letters of trials that a row cites, and heading the one of a trial.
-	trials  = regexp.MustCompile(`trial ([A-Z](?:, [A-Z])*)`)
-	heading = regexp.MustCompile(`(?m)^\| ([A-Z]) \|`)
+	// makeTarget matches a target of the Makefile.
+	makeTarget = regexp.MustCompile("`make ([a-z-]+)`")
+	// trialCitation matches the letters of the trials that a row cites. trialHeading matches the
+	// letter in the row of a trial.
+	trialCitation = regexp.MustCompile(`trial ([A-Z](?:, [A-Z])*)`)
+	trialHeading  = regexp.MustCompile(`(?m)^\| ([A-Z]) \|`)
 )
 
-// TestNamedTestsExist: a test is renamed or removed and the page goes on claiming that
-// it shows a promise.
+// TestNamedTestsExist guards against a test that is renamed or removed while the page still
+// cites it as the proof of a guarantee.
 func TestNamedTestsExist(t *testing.T) {
-	page := read(t, "docs/PROOFS.md")
+	page := readFile(t, "docs/PROOFS.md")
 	for _, m := range goTest.FindAllStringSubmatch(page, -1) {
 		if !hasFunc(t, m[1], m[2]) {
 			t.Errorf("%s has no %s", m[1], m[2])
@@ -43,40 +44,41 @@
 			t.Errorf("scripts/cases has no case %s", m[1])
 		}
 	}
-	makefile := read(t, "Makefile")
-	for _, m := range target.FindAllStringSubmatch(page, -1) {
+	makefile := readFile(t, "Makefile")
+	for _, m := range makeTarget.FindAllStringSubmatch(page, -1) {
 		if !strings.Contains(makefile, "\n"+m[1]+":") {
 			t.Errorf("Makefile has no target %s", m[1])
 		}
 	}
-	for _, m := range trials.FindAllStringSubmatch(page, -1) {
+	for _, m := range trialCitation.FindAllStringSubmatch(page, -1) {
 		for _, letter := range strings.Split(m[1], ", ") {
 			if !strings.Contains(page, "\n| "+letter+" |") {
-				t.Errorf("trial %s is not described", letter)
+				t.Errorf("trial %s has no row that describes it", letter)
 			}
 		}
 	}
 }
 
-// TestPageIsWhole: a promise without a row, a row that names nothing and does not say so,
-// or a case that the run leaves out would go unnoticed.
-func TestPageIsWhole(t *testing.T) {
-	page := read(t, "docs/PROOFS.md")
+// TestPageIsComplete guards against a guarantee without a row, a row that names no test and
+// does not say "not proved", and a case that is missing from the page or from
+// scripts/faults.sh.
+func TestPageIsComplete(t *testing.T) {
+	page := readFile(t, "docs/PROOFS.md")
 	seen := map[string]bool{}
-	for _, cells := range rows(page) {
+	for _, cells := range tableRows(page) {
 		seen[cells[0]] = true
 		row := strings.Join(cells, " ")
-		named := goTest.MatchString(row) || faultCase.MatchString(row) || target.MatchString(row)
-		if !named && !strings.Contains(row, "not proved") && !heading.MatchString("| "+cells[0]+" |") {
-			t.Errorf("row names no test and does not say that nothing is proved: %s", row)
+		named := goTest.MatchString(row) || faultCase.MatchString(row) || makeTarget.MatchString(row)
+		if !named && !strings.Contains(row, "not proved") && !trialHeading.MatchString("| "+cells[0]+" |") {
+			t.Errorf("row names no test and does not say \"not proved\": %s", row)
 		}
 	}
-	for i := range promises {
+	for i := range guarantees {
 		if n := string(rune('1' + i)); !seen[n] {
-			t.Errorf("promise %s has no row", n)
+			t.Errorf("guarantee %s has no row", n)
 		}
 	}
-	run := read(t, "scripts/faults.sh")
+	run := readFile(t, "scripts/faults.sh")
 	for _, name := range definedCases(t) {
 		if !strings.Contains(page, "`faults/"+name+"`") {
 			t.Errorf("case %s is not on the page", name)
@@ -87,8 +89,8 @@
 	}
 }
 
-// rows returns the cells of the page's table rows without their heads.
-func rows(page string) [][]string {
+// tableRows returns the cells of the page's table rows, without the header rows.
+func tableRows(page string) [][]string {
 	var out [][]string
 	lines := strings.Split(page, "\n")
 	for i, line := range lines {
@@ -123,7 +125,7 @@
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(root, "scripts/cases/*.sh"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no cases: %v", err)
+		t.Fatalf("scripts/cases has no cases: %v", err)
 	}
 	var out []string
 	for _, file := range files {
@@ -138,7 +140,7 @@
 	return out
 }
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join(root, path))
 	if err != nil {
