--- a/cmd/benchpolicy/main.go
+++ b/cmd/benchpolicy/main.go
@@ -1,5 +1,5 @@
-// Command benchpolicy prints what the placement and retention policies give, against
-// naive placement on the same trace and with each decision switched off.
+// Command benchpolicy compares the placement and retention policies with naive placement on the
+// same trace, and prints the effect of disabling each decision.
 package main
 
 import (
@@ -11,5 +11,5 @@
 func main() {
 	bench := policysim.Bench{Out: os.Stdout, Seeds: []int64{1, 2, 3}}
 	bench.Run()
-	policysim.Slopes(os.Stdout)
+	policysim.BenchScaling(os.Stdout)
 }
--- a/cmd/schedules/table.go
+++ b/cmd/schedules/table.go
@@ -5,18 +5,19 @@
 	"github.com/bluebellscale/bluebellscale/internal/table/tableschedule"
 )
 
-// tableScenario runs operators, daemons and an unreliable service around the table.
+// tableScenario runs operators and daemons that edit and read the table in an unreliable
+// key-value service.
 type tableScenario struct{}
 
 // Run implements schedules.Scenario.
 func (tableScenario) Run(seed uint64) schedules.Outcome {
 	o := tableschedule.Run(seed, tableschedule.Options{})
 	return schedules.Outcome{
-		Reverted: o.Reverted,
-		Lost:     o.Lost,
-		Calls:    o.Edits,
-		Faults:   o.Faults,
-		Story:    o.Events,
+		Reverted:   o.Reverted,
+		Lost:       o.Lost,
+		Calls:      o.Edits,
+		Faults:     o.Faults,
+		FailureLog: o.Events,
 	}
 }
 
--- a/internal/policysim/trace.go
+++ b/internal/policysim/trace.go
@@ -11,35 +11,35 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Load shapes a trace.
+// Load configures the prompts of a trace.
 type Load struct {
-	Contexts     int
-	Gap          time.Duration // mean time between two visits of a context
-	RegularShare float64       // share of contexts that return on time
-	RegularError time.Duration // how far a regular return is off, at most
-	OtherError   float64       // how far another return is off, relative to the gap, at most
-	MinTokens    int
-	MaxTokens    int
-	Quick        int // contexts on top that return within seconds
-	GrowBlocks   int // blocks that a prompt grows by between visits, at most
-	Until        time.Duration
+	Contexts        int
+	ReturnGap       time.Duration // mean time between two visits of a context
+	RegularShare    float64       // share of contexts that return at regular intervals
+	MaxRegularError time.Duration // maximum deviation of a regular return
+	MaxOtherError   float64       // maximum deviation of other returns, relative to the gap
+	MinTokens       int
+	MaxTokens       int
+	QuickContexts   int // additional contexts that return within seconds
+	MaxGrowthBlocks int // maximum growth of a prompt between two visits
+	Until           time.Duration
 }
 
 // visit is one prompt.
 type visit struct {
 	at     time.Duration
 	ctx    *contextTrace
-	blocks int // of this prompt
-	before int // of this context's prompt before; zero: first visit
+	blocks int // blocks of this prompt
+	before int // blocks of the context's previous prompt, or 0 for its first visit
 }
 
-// contextTrace is one context with the chain of its longest prompt.
+// contextTrace is a context and the chain of its longest prompt.
 type contextTrace struct {
 	scope block.Scope
 	chain []block.Hash
 }
 
-// Trace is all prompts of a run in order of time.
+// Trace holds all prompts of a run, in order of time.
 type Trace struct {
 	visits []visit
 	load   Load
@@ -50,28 +50,28 @@
 	quickGap      = 10 * time.Second
 )
 
-// NewTrace returns the trace of a seed.
+// NewTrace generates the trace of a load. The seed determines it.
 func NewTrace(seed int64, load Load) *Trace {
 	r := rand.New(rand.NewSource(seed))
 	t := &Trace{load: load}
-	for i := range load.Contexts + load.Quick {
+	for i := range load.Contexts + load.QuickContexts {
 		t.addContext(r, i)
 	}
 	slices.SortStableFunc(t.visits, func(a, b visit) int { return int(a.at - b.at) })
 	return t
 }
 
-// addContext adds all visits of one context; first visits are spread over one gap.
+// addContext adds all visits of one context. First visits are spread over one gap.
 func (t *Trace) addContext(r *rand.Rand, i int) {
 	l := t.load
 	tokens := l.MinTokens + r.Intn(l.MaxTokens-l.MinTokens+1)
 	blocks := tokens / block.TokensPerBlock
-	gap := time.Duration(float64(l.Gap) * (0.5 + r.Float64()))
+	gap := time.Duration(float64(l.ReturnGap) * (0.5 + r.Float64()))
 	if i >= l.Contexts {
 		gap = quickGap
 	}
 	regular := r.Float64() < l.RegularShare
-	at := time.Duration(r.Float64() * float64(l.Gap))
+	at := time.Duration(r.Float64() * float64(l.ReturnGap))
 	ctx := &contextTrace{scope: block.Scope{
 		Org:     request.OrgID(fmt.Sprint("org-", i%organisations)),
 		Model:   "model",
@@ -81,18 +81,18 @@
 	for at < l.Until {
 		t.visits = append(t.visits, visit{at: at, ctx: ctx, blocks: blocks, before: before})
 		before = blocks
-		blocks += 1 + r.Intn(l.GrowBlocks)
-		wobble := (2*r.Float64() - 1) * l.OtherError * float64(gap)
+		blocks += 1 + r.Intn(l.MaxGrowthBlocks)
+		jitter := (2*r.Float64() - 1) * l.MaxOtherError * float64(gap)
 		if regular {
-			wobble = (2*r.Float64() - 1) * float64(l.RegularError)
+			jitter = (2*r.Float64() - 1) * float64(l.MaxRegularError)
 		}
-		at += gap + time.Duration(wobble)
+		at += gap + time.Duration(jitter)
 	}
-	ctx.chain = chainOf(i, before)
+	ctx.chain = uniqueChain(i, before)
 }
 
-// chainOf returns a chain that no other context shares.
-func chainOf(id, blocks int) []block.Hash {
+// uniqueChain returns a chain that shares no block with the chain of another id.
+func uniqueChain(id, blocks int) []block.Hash {
 	chain := make([]block.Hash, blocks)
 	for i := range chain {
 		binary.LittleEndian.PutUint64(chain[i][:], uint64(id)+1)
@@ -101,8 +101,8 @@
 	return chain
 }
 
-// returns counts the returns from a time on.
-func (t *Trace) returns(from time.Duration) int {
+// countReturns returns the number of returning prompts at or after the given time.
+func (t *Trace) countReturns(from time.Duration) int {
 	n := 0
 	for _, v := range t.visits {
 		if v.at >= from && v.before > 0 {
@@ -112,8 +112,9 @@
 	return n
 }
 
-// askedPerSecond returns the tokens of earlier prompts that returns ask for, a second.
-func (t *Trace) askedPerSecond(from time.Duration) float64 {
+// returningTokensPerSecond returns how many tokens of previous prompts return per second, from
+// the given time to the end of the trace.
+func (t *Trace) returningTokensPerSecond(from time.Duration) float64 {
 	asked := 0
 	for _, v := range t.visits {
 		if v.at >= from {
