--- a/scripts/caselib.sh
+++ b/scripts/caselib.sh
@@ -74,7 +74,7 @@
 	check "places at targets are given back" "$(places_taken)" -eq 0
 }
 
-# places_taken prints how many requests the stewards take to be at their targets.
+# places_taken prints how many requests the coordinators count at their targets.
 places_taken() {
 	local name
 	for name in d1 d2 d3; do
--- a/scripts/cases/targets.sh
+++ b/scripts/cases/targets.sh
@@ -51,7 +51,7 @@
 	RECOVERED=$took
 }
 
-# known_leaving TARGET tells whether the target's steward marks it as leaving.
+# known_leaving TARGET tells whether the target's coordinator marks it as leaving.
 known_leaving() {
 	local name
 	for name in d1 d2 d3; do
