--- a/cmd/benchcontrol/main.go
+++ b/cmd/benchcontrol/main.go
@@ -35,9 +35,9 @@
 func run(c *cli.Context) error {
 	parts := c.Args().Slice()
 	if len(parts) == 0 {
-		parts = controlbench.Parts()
+		parts = controlbench.Names()
 	}
-	bench := controlbench.Bench{Bin: c.String("bin"), Out: os.Stdout}
+	bench := controlbench.Bench{BinDir: c.String("bin"), Out: os.Stdout}
 	for _, part := range parts {
 		if err := bench.Run(c.Context, part); err != nil {
 			return err
--- a/cmd/loadgen/endings.go
+++ b/cmd/loadgen/endings.go
@@ -28,13 +28,13 @@
 	return &endings{file: file}, nil
 }
 
-func (e *endings) write(end loadgen.Ending) {
+func (e *endings) write(end loadgen.RequestEnd) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.file == nil {
 		return
 	}
-	_, err := fmt.Fprintln(e.file, end.At.UnixMilli(), end.Took.Milliseconds(), end.Tries, end.Outcome)
+	_, err := fmt.Fprintln(e.file, end.At.UnixMilli(), end.Duration.Milliseconds(), end.Attempts, end.Outcome)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "loadgen: endings file:", err)
 	}
--- a/internal/controlbench/bench.go
+++ b/internal/controlbench/bench.go
@@ -17,12 +17,12 @@
 
 // Bench runs the measurements.
 type Bench struct {
-	Bin string    // directory of the programs
-	Out io.Writer // gets the lines
+	BinDir string    // directory of the programs
+	Out    io.Writer // gets the lines
 }
 
-// Parts are the names of the measurements, in their order.
-func Parts() []string { return []string{"fleet", "inforce", "targets", "table", "looks", "relay"} }
+// Names are the names of the measurements, in their order.
+func Names() []string { return []string{"fleet", "inforce", "targets", "table", "looks", "relay"} }
 
 // Run runs one part.
 func (b Bench) Run(ctx context.Context, part string) error {
@@ -35,7 +35,7 @@
 		"relay":   b.relay,
 	}[part]
 	if !ok {
-		return errors.Newf("no part %q; allowed: %v", part, Parts())
+		return errors.Newf("no part %q; allowed: %v", part, Names())
 	}
 	return errors.Wrap(run(ctx), part)
 }
--- a/internal/controlbench/fleet.go
+++ b/internal/controlbench/fleet.go
@@ -25,7 +25,7 @@
 }
 
 func (b Bench) fleetOf(ctx context.Context, n int) error {
-	c, err := newCluster(ctx, b.Bin)
+	c, err := newCluster(ctx, b.BinDir)
 	if err != nil {
 		return err
 	}
--- a/internal/controlbench/inforce.go
+++ b/internal/controlbench/inforce.go
@@ -33,7 +33,7 @@
 }
 
 func (b Bench) inForceOf(ctx context.Context, n int) error {
-	c, err := newCluster(ctx, b.Bin)
+	c, err := newCluster(ctx, b.BinDir)
 	if err != nil {
 		return err
 	}
--- a/internal/controlbench/looks.go
+++ b/internal/controlbench/looks.go
@@ -22,7 +22,7 @@
 }
 
 func (b Bench) looksOf(ctx context.Context, engines int) error {
-	c, err := newCluster(ctx, b.Bin)
+	c, err := newCluster(ctx, b.BinDir)
 	if err != nil {
 		return err
 	}
--- a/internal/controlbench/relay.go
+++ b/internal/controlbench/relay.go
@@ -39,7 +39,7 @@
 }
 
 func (b Bench) relayOf(ctx context.Context, streams int) error {
-	c, err := newCluster(ctx, b.Bin)
+	c, err := newCluster(ctx, b.BinDir)
 	if err != nil {
 		return err
 	}
--- a/internal/controlbench/table.go
+++ b/internal/controlbench/table.go
@@ -27,7 +27,7 @@
 }
 
 func (b Bench) tableOf(ctx context.Context, organisations int) error {
-	c, err := newCluster(ctx, b.Bin)
+	c, err := newCluster(ctx, b.BinDir)
 	if err != nil {
 		return err
 	}
--- a/internal/controlbench/targets.go
+++ b/internal/controlbench/targets.go
@@ -21,7 +21,7 @@
 }
 
 func (b Bench) targetsOf(ctx context.Context, n int, loading bool) error {
-	c, err := newCluster(ctx, b.Bin)
+	c, err := newCluster(ctx, b.BinDir)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/cluster_test.go
+++ b/internal/daemon/cluster_test.go
@@ -256,7 +256,7 @@
 		Model: "verdict", Seed: 1,
 		Contexts: 6, Turns: 4, ContextTokens: 2000, TurnTokens: 32, MaxTokens: 16, Gap: 50 * time.Millisecond,
 		Service: "cards", Calls: 20, Callers: 2, CallGap: 10 * time.Millisecond, CallBody: 16,
-		Patience: patience, SilentAfter: 10 * time.Second, MaxBackoff: 200 * time.Millisecond,
+		RequestTimeout: patience, IdleTimeout: 10 * time.Second, MaxBackoff: 200 * time.Millisecond,
 	}
 	if change != nil {
 		change(&settings)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -22,7 +22,7 @@
 func TestServesPromptsAndCalls(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	report := c.load(nil)
-	if report.InDoubt > 0 || report.GivenUp > 0 {
+	if report.InDoubt > 0 || report.NotRun > 0 {
 		t.Fatalf("without any fault: %+v", report)
 	}
 }
@@ -161,7 +161,7 @@
 			}
 		}
 	})
-	if report.Cut > 0 || report.InDoubt > 0 {
+	if report.FailedAttempts > 0 || report.InDoubt > 0 {
 		t.Fatalf("the stop was seen by callers: %+v", report)
 	}
 	if err := <-c.daemons[1].done; err != nil {
--- a/internal/loadgen/config.go
+++ b/internal/loadgen/config.go
@@ -43,42 +43,42 @@
 	CallGap  time.Duration
 	CallBody int // bytes
 
-	Patience    time.Duration // until a request without a final answer counts as lost
-	SilentAfter time.Duration // without a byte on an open connection: given up, tried elsewhere
-	MaxBackoff  time.Duration // longest wait before a retry, whatever Retry-After says; 0: none
+	RequestTimeout time.Duration // until a request without a final answer counts as lost
+	IdleTimeout    time.Duration // without a byte on an open connection: given up, tried elsewhere
+	MaxBackoff     time.Duration // longest wait before a retry, whatever Retry-After says; 0: none
 
 	Logger hclog.Logger
 	// OnSettled, if set, is told after each request how many have their final outcome.
 	OnSettled func(settled int)
 	// OnEnd, if set, is told of each request when it has its final outcome. It is called
 	// from many goroutines.
-	OnEnd func(Ending)
+	OnEnd func(RequestEnd)
 }
 
-// Ending is how and when one request ended.
-type Ending struct {
-	At      time.Time
-	Took    time.Duration // from the first try on
-	Tries   int
-	Outcome string
+// RequestEnd is how and when one request ended.
+type RequestEnd struct {
+	At       time.Time
+	Duration time.Duration // from the first try on
+	Attempts int
+	Outcome  string
 }
 
 // Defaults of Config.
 const (
-	DefaultPatience    = time.Minute
-	DefaultSilentAfter = 10 * time.Second
-	DefaultBackoff     = 100 * time.Millisecond // where an answer names no time
+	DefaultRequestTimeout = time.Minute
+	DefaultIdleTimeout    = 10 * time.Second
+	DefaultBackoff        = 100 * time.Millisecond // where an answer names no time
 )
 
 func (c Config) withDefaults() Config {
 	if c.RunID == "" {
 		c.RunID = time.Now().UTC().Format("20060102T150405.000000000")
 	}
-	if c.Patience == 0 {
-		c.Patience = DefaultPatience
+	if c.RequestTimeout == 0 {
+		c.RequestTimeout = DefaultRequestTimeout
 	}
-	if c.SilentAfter == 0 {
-		c.SilentAfter = DefaultSilentAfter
+	if c.IdleTimeout == 0 {
+		c.IdleTimeout = DefaultIdleTimeout
 	}
 	if c.Logger == nil {
 		c.Logger = hclog.NewNullLogger()
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -149,7 +149,7 @@
 			return r.Failed() && r.Lost == orgCount*contexts*turns
 		}},
 		{"forgets results", &daemon{forgets: true}, func(r loadgen.Report) bool {
-			return r.Failed() && r.Doubled == orgCount*callCount
+			return r.Failed() && r.DuplicateExecutions == orgCount*callCount
 		}},
 		{"says not run of what ran", &daemon{liesNotRun: true}, func(r loadgen.Report) bool {
 			return r.Failed() && r.FalseNotRun == orgCount*callCount
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -35,19 +35,19 @@
 
 // Report is what a run showed.
 type Report struct {
-	Requests    int
-	Answered    int
-	Lost        int // Wrong + Unanswered + NotExecuted
-	Wrong       int
-	Unanswered  int
-	NotExecuted int // calls that were answered but never executed
-	InDoubt     int
-	GivenUp     int
-	NotKept     int
-	Doubled     int // keys executed more than once
-	FalseNotRun int // keys last refused as "not run" that were executed
-	Refused     int // refusals on the way, each followed by a retry or by giving up
-	Cut         int // tries that ended without an answer and were made again
+	Requests            int
+	Answered            int
+	Lost                int // Wrong + Unanswered + NotExecuted
+	Wrong               int
+	Unanswered          int
+	NotExecuted         int // calls that were answered but never executed
+	InDoubt             int
+	NotRun              int
+	ResultNotKept       int
+	DuplicateExecutions int // keys executed more than once
+	FalseNotRun         int // keys last refused as "not run" that were executed
+	Refused             int // refusals on the way, each followed by a retry or by giving up
+	FailedAttempts      int // tries that ended without an answer and were made again
 
 	TTFTP50, TTFTP95             time.Duration // of all completions
 	ReturnTTFTP50, ReturnTTFTP95 time.Duration // of those on a returning context
@@ -65,7 +65,7 @@
 
 // Failed tells whether the run shows a broken promise, or nothing at all.
 func (r Report) Failed() bool {
-	return r.Lost > 0 || r.Doubled > 0 || r.FalseNotRun > 0 || r.Answered == 0
+	return r.Lost > 0 || r.DuplicateExecutions > 0 || r.FalseNotRun > 0 || r.Answered == 0
 }
 
 // Print writes the report as lines of name=value.
@@ -81,12 +81,12 @@
 		{"unanswered", r.Unanswered},
 		{"not_executed", r.NotExecuted},
 		{"in_doubt", r.InDoubt},
-		{"given_up", r.GivenUp},
-		{"result_not_kept", r.NotKept},
-		{"doubled", r.Doubled},
+		{"given_up", r.NotRun},
+		{"result_not_kept", r.ResultNotKept},
+		{"doubled", r.DuplicateExecutions},
 		{"false_not_run", r.FalseNotRun},
 		{"refused", r.Refused},
-		{"cut", r.Cut},
+		{"cut", r.FailedAttempts},
 		{"ttft_p50_ms", milliseconds(r.TTFTP50)},
 		{"ttft_p95_ms", milliseconds(r.TTFTP95)},
 		{"return_ttft_p50_ms", milliseconds(r.ReturnTTFTP50)},
@@ -182,27 +182,27 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := Report{
-		Requests:      t.settled,
-		Answered:      t.counts[outcomeAnswered],
-		Wrong:         t.counts[outcomeWrong],
-		Unanswered:    t.counts[outcomeUnanswered],
-		InDoubt:       t.counts[outcomeInDoubt],
-		GivenUp:       t.counts[outcomeGivenUp],
-		NotKept:       t.counts[outcomeNotKept],
-		Refused:       t.refused,
-		Cut:           t.cut,
-		TTFTP50:       time.Duration(t.ttft.ValueAtQuantile(50)),
-		TTFTP95:       time.Duration(t.ttft.ValueAtQuantile(95)),
-		ReturnTTFTP50: time.Duration(t.returns.ValueAtQuantile(50)),
-		ReturnTTFTP95: time.Duration(t.returns.ValueAtQuantile(95)),
-		PromptTokens:  t.prompt,
-		CachedTokens:  t.cached,
+		Requests:       t.settled,
+		Answered:       t.counts[outcomeAnswered],
+		Wrong:          t.counts[outcomeWrong],
+		Unanswered:     t.counts[outcomeUnanswered],
+		InDoubt:        t.counts[outcomeInDoubt],
+		NotRun:         t.counts[outcomeGivenUp],
+		ResultNotKept:  t.counts[outcomeNotKept],
+		Refused:        t.refused,
+		FailedAttempts: t.cut,
+		TTFTP50:        time.Duration(t.ttft.ValueAtQuantile(50)),
+		TTFTP95:        time.Duration(t.ttft.ValueAtQuantile(95)),
+		ReturnTTFTP50:  time.Duration(t.returns.ValueAtQuantile(50)),
+		ReturnTTFTP95:  time.Duration(t.returns.ValueAtQuantile(95)),
+		PromptTokens:   t.prompt,
+		CachedTokens:   t.cached,
 	}
 	for key, o := range t.outcomes {
 		n := executions[key]
 		switch {
 		case n > 1:
-			r.Doubled++
+			r.DuplicateExecutions++
 		case n == 1 && o == outcomeGivenUp:
 			r.FalseNotRun++
 		case n == 0 && (o == outcomeAnswered || o == outcomeNotKept):
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -53,7 +53,7 @@
 		c:      c,
 		log:    c.Logger.Named("loadgen"),
 		router: newRouter(c.Daemons, transport),
-		caller: &caller{client: &http.Client{Transport: transport}, silentAfter: c.SilentAfter},
+		caller: &caller{client: &http.Client{Transport: transport}, silentAfter: c.IdleTimeout},
 		tally:  newTally(c.OnSettled),
 	}
 	start := time.Now()
@@ -197,7 +197,7 @@
 		return
 	}
 	now := time.Now()
-	d.c.OnEnd(Ending{At: now, Took: now.Sub(start), Tries: tries, Outcome: o.String()})
+	d.c.OnEnd(RequestEnd{At: now, Duration: now.Sub(start), Attempts: tries, Outcome: o.String()})
 }
 
 // errFinal marks a refusal after which no try may follow.
@@ -216,7 +216,7 @@
 // retry makes tries until one is answered, a refusal is final, or patience ends. It
 // turns to another address when one gives no answer. It returns how many tries it made.
 func (d *driver) retry(ctx context.Context, route routeQuestion, try func(context.Context, string) error) (o outcome, tries int) {
-	ctx, cancel := context.WithTimeout(ctx, d.c.Patience)
+	ctx, cancel := context.WithTimeout(ctx, d.c.RequestTimeout)
 	defer cancel()
 	last := outcomeUnanswered
 	for {
