--- a/cmd/benchcontrol/main.go
+++ b/cmd/benchcontrol/main.go
@@ -1,5 +1,5 @@
-// Command benchcontrol measures what control costs and what relaying streams costs, with
-// daemons and stand-ins as separate processes. It prints lines of name=value.
+// Command benchcontrol measures the overhead of the control plane and of relaying streams.
+// Daemons and stand-ins run as separate processes. It prints name=value lines.
 package main
 
 import (
@@ -17,10 +17,10 @@
 func main() {
 	app := &cli.App{
 		Name:      "benchcontrol",
-		Usage:     "measure what control costs",
-		ArgsUsage: "[PART...] of fleet, inforce, targets, table, looks, relay; none: all",
+		Usage:     "measure the overhead of the control plane",
+		ArgsUsage: "[MEASUREMENT...] of fleet, inforce, targets, table, looks, relay; default: all",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "directory of the programs"},
+			&cli.StringFlag{Name: "bin", Value: "bin", Usage: "directory of the executables"},
 		},
 		Action: run,
 	}
@@ -33,13 +33,13 @@
 }
 
 func run(c *cli.Context) error {
-	parts := c.Args().Slice()
-	if len(parts) == 0 {
-		parts = controlbench.Names()
+	names := c.Args().Slice()
+	if len(names) == 0 {
+		names = controlbench.Names()
 	}
 	bench := controlbench.Bench{BinDir: c.String("bin"), Out: os.Stdout}
-	for _, part := range parts {
-		if err := bench.Run(c.Context, part); err != nil {
+	for _, name := range names {
+		if err := bench.Run(c.Context, name); err != nil {
 			return err
 		}
 	}
--- a/internal/controlbench/bench.go
+++ b/internal/controlbench/bench.go
@@ -10,46 +10,47 @@
 )
 
 const (
-	// settle lets leases, places and connections come to rest after a start.
-	settle = 5 * time.Second
-	window = 5 * time.Second
+	// settleTime is how long a cluster runs after its start before it is measured, so
+	// that leases, assignments and connections are stable.
+	settleTime   = 5 * time.Second
+	windowLength = 5 * time.Second
 )
 
 // Bench runs the measurements.
 type Bench struct {
-	BinDir string    // directory of the programs
-	Out    io.Writer // gets the lines
+	BinDir string    // directory of the executables
+	Out    io.Writer // receives the results
 }
 
-// Names are the names of the measurements, in their order.
+// Names returns the names of the measurements in the order in which they run.
 func Names() []string { return []string{"fleet", "inforce", "targets", "table", "looks", "relay"} }
 
-// Run runs one part.
-func (b Bench) Run(ctx context.Context, part string) error {
+// Run runs one measurement.
+func (b Bench) Run(ctx context.Context, measurement string) error {
 	run, ok := map[string]func(context.Context) error{
 		"fleet":   b.fleet,
-		"inforce": b.inForce,
+		"inforce": b.applyDelay,
 		"targets": b.targets,
 		"table":   b.table,
-		"looks":   b.looks,
+		"looks":   b.targetViews,
 		"relay":   b.relay,
-	}[part]
+	}[measurement]
 	if !ok {
-		return errors.Newf("no part %q; allowed: %v", part, Names())
+		return errors.Newf("unknown measurement %q; allowed: %v", measurement, Names())
 	}
-	return errors.Wrap(run(ctx), part)
+	return errors.Wrap(run(ctx), measurement)
 }
 
-func (b Bench) line(name string, value float64) { fmt.Fprintf(b.Out, "%s=%.4g\n", name, value) }
-
-func (b Bench) lines(prefix string, s span) {
-	b.line(prefix+"_kv_reads_s", s.reads)
-	b.line(prefix+"_kv_writes_s", s.writes)
-	b.line(prefix+"_kv_watches_s", s.watches)
-	b.line(prefix+"_kv_bytes_s", s.kvBytes)
-	b.line(prefix+"_cpu_pct_mean", s.cpuMean)
-	b.line(prefix+"_cpu_pct_max", s.cpuMax)
-	b.line(prefix+"_rss_mb_max", s.residentMax)
-	b.line(prefix+"_peer_bytes_s", s.peerBytes)
-	b.line(prefix+"_requests_s", s.requests)
+func (b Bench) printValue(name string, value float64) { fmt.Fprintf(b.Out, "%s=%.4g\n", name, value) }
+
+func (b Bench) printRates(prefix string, s rates) {
+	b.printValue(prefix+"_kv_reads_s", s.reads)
+	b.printValue(prefix+"_kv_writes_s", s.writes)
+	b.printValue(prefix+"_kv_watches_s", s.watches)
+	b.printValue(prefix+"_kv_bytes_s", s.kvBytes)
+	b.printValue(prefix+"_cpu_pct_mean", s.cpuMean)
+	b.printValue(prefix+"_cpu_pct_max", s.cpuMax)
+	b.printValue(prefix+"_rss_mb_max", s.residentMax)
+	b.printValue(prefix+"_peer_bytes_s", s.peerBytes)
+	b.printValue(prefix+"_requests_s", s.requests)
 }
--- a/internal/controlbench/cluster.go
+++ b/internal/controlbench/cluster.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	inForceTimeout = 60 * time.Second
-	// editorRate keeps the budget of a daemon's client from slowing the editor.
+	applyTimeout = 60 * time.Second
+	// editorRate is the call budget of the editor. A daemon's default budget would slow
+	// the editor down.
 	editorRate = 2000
 	benchKey   = "bench-key"
 	benchModel = "verdict"
 	benchOrg   = "atlas"
-	// benchService is the plain service that callers use.
+	// benchService is the plain service that callers call.
 	benchService = "cards"
 )
 
-// sheets are the rows of a cluster's table, without their header lines.
+// sheets holds the rows of a cluster's table without the header lines.
 type sheets struct {
 	organisations, targets string
 }
 
-// files returns the sheets as the editor reads them.
+// files returns the sheets in the editor's input format.
 func (s sheets) files() []table.File {
 	sheet := func(name, header, rows string) table.File {
 		return table.File{Name: name + ".csv", Data: []byte(header + "\n" + rows)}
@@ -45,7 +46,8 @@
 	}
 }
 
-// organisationRow allows the model, and a plain service unless its name is empty.
+// organisationRow returns the row of an organisation that may use the model and, unless
+// service is empty, that plain service.
 func organisationRow(id, key, service string) string {
 	digest := sha256.Sum256([]byte(key))
 	return fmt.Sprintf("%s,%s,10,5000,5000,2000,100000000,%s,%s\n", id, hex.EncodeToString(digest[:]), benchModel, service)
@@ -59,24 +61,24 @@
 	return fmt.Sprintf("%s,service,%s,temper,,,%s,false,false,64\n", id, address, benchService)
 }
 
-// cluster is the platform's stand-ins and daemons with their usual settings.
+// cluster runs stand-ins of the platform and daemons with their default settings.
 type cluster struct {
 	runner
 	kv      *process
 	vmList  *process
 	daemons []*process
-	// services are the stand-ins of a plain service.
+	// services are the plain service stand-ins.
 	services []*process
 	editor   *table.Editor
 	client   *http.Client
 }
 
-func newCluster(ctx context.Context, bin string) (*cluster, error) {
-	work, err := os.MkdirTemp("", "benchcontrol")
+func newCluster(ctx context.Context, binDir string) (*cluster, error) {
+	workDir, err := os.MkdirTemp("", "benchcontrol")
 	if err != nil {
 		return nil, errors.Wrap(err, "working directory")
 	}
-	c := &cluster{runner: runner{bin: bin, work: work}, client: &http.Client{Timeout: 10 * time.Second}}
+	c := &cluster{runner: runner{binDir: binDir, workDir: workDir}, client: &http.Client{Timeout: 10 * time.Second}}
 	if err := c.startPlatform(ctx); err != nil {
 		c.close()
 		return nil, err
@@ -104,10 +106,10 @@
 
 func (c *cluster) close() {
 	c.stopAll()
-	_ = os.RemoveAll(c.work)
+	_ = os.RemoveAll(c.workDir)
 }
 
-// apply writes the whole table.
+// apply replaces the complete table.
 func (c *cluster) apply(ctx context.Context, s sheets) error {
 	plan, err := c.editor.Plan(ctx, s.files())
 	if err != nil {
@@ -117,20 +119,20 @@
 	return errors.Wrap(err, "apply")
 }
 
-// startDaemons starts n daemons and waits until each knows the others and has the
-// table in force.
+// startDaemons starts n daemons and waits until each has applied the table and sees all
+// n members as live.
 func (c *cluster) startDaemons(ctx context.Context, n int) error {
 	for i := range n {
 		if err := c.startDaemon(ctx, i); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
-	if _, err := c.editor.Wait(ctx, c.peers(), c.client); err != nil {
+	if _, err := c.editor.Wait(ctx, c.peerAddresses(), c.client); err != nil {
 		return errors.Wrap(err, "table")
 	}
-	return waitFor(ctx, inForceTimeout, func() bool {
+	return waitFor(ctx, applyTimeout, func() bool {
 		for _, d := range c.daemons {
 			if live, err := c.metric(ctx, d, "members_live"); err != nil || int(live) != n {
 				return false
@@ -160,7 +162,7 @@
 [log]
 level = warn
 `, name, []string{"conche", "temper", "pack"}[i%3], c.kv.addresses[0], c.vmList.addresses[0], seeds)
-	path := filepath.Join(c.work, name+".ini")
+	path := filepath.Join(c.workDir, name+".ini")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		return errors.Wrap(err, "settings")
 	}
@@ -172,7 +174,7 @@
 	return nil
 }
 
-func (c *cluster) peers() []string {
+func (c *cluster) peerAddresses() []string {
 	out := make([]string, 0, len(c.daemons))
 	for _, d := range c.daemons {
 		out = append(out, d.addresses[1])
@@ -180,7 +182,8 @@
 	return out
 }
 
-// startTargets starts engine and service stand-ins and returns their rows.
+// startTargets starts engine and service stand-ins and returns their rows of the targets
+// sheet.
 func (c *cluster) startTargets(ctx context.Context, engines, services int) (string, error) {
 	var rows strings.Builder
 	for i := range engines {
--- a/internal/controlbench/doc.go
+++ b/internal/controlbench/doc.go
@@ -1,5 +1,5 @@
-// Package controlbench measures what control costs: calls to the key-value service,
-// processor time, memory and bytes between daemons, at several sizes, with daemons and
-// stand-ins as separate processes. It prints lines of name=value. Rates of processor
-// time are hundredths of one core.
+// Package controlbench measures the overhead of the control plane at several cluster
+// sizes: calls to the key-value service, CPU time, memory, and bytes between daemons.
+// Daemons and stand-ins run as separate processes. Results are printed as name=value
+// lines. CPU usage is in percent of one core.
 package controlbench
--- a/internal/controlbench/engine.go
+++ b/internal/controlbench/engine.go
@@ -14,17 +14,18 @@
 	"github.com/bluebellscale/bluebellscale/internal/engineapi"
 )
 
-// tokenGap is the time between two tokens of a stream: the whole budget of a caller.
-const tokenGap = 44 * time.Millisecond
+// tokenInterval is the time between two tokens of a stream. It equals the callers'
+// latency budget for a token.
+const tokenInterval = 44 * time.Millisecond
 
-// engines answer for many model engines, each at an address of its own. Their streams
-// carry the time at which each token left, so that a reader in the same process sees the
+// engines serves many simulated model engines, each at its own address. The text of each
+// streamed token is its send time, from which a reader in the same process computes the
 // delay.
 type engines struct {
 	addresses []string
 	server    *http.Server
 	loading   bool
-	asked     atomic.Int64 // questions for load, events and state
+	requests  atomic.Int64 // received, except for streams and their cancellation
 }
 
 func startEngines(n int, loading bool) (*engines, error) {
@@ -44,12 +45,12 @@
 
 func (e *engines) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+engineapi.PathLoad, e.answer(engineapi.Load{Incarnation: 1, Model: benchModel, Version: "v1", TotalBlocks: 1000}))
-	mux.HandleFunc("GET "+engineapi.PathEvents, e.answer(engineapi.EventPage{Incarnation: 1, Next: 1}))
-	mux.HandleFunc("GET "+engineapi.PathBlocks, e.answer(engineapi.Snapshot{Incarnation: 1, Seq: 1}))
-	mux.HandleFunc("GET "+engineapi.PathState, e.answer(e.state()))
-	mux.HandleFunc("POST "+engineapi.PathOrders, e.answer(engineapi.OrderResponse{Accepted: true}))
-	mux.HandleFunc("POST "+engineapi.PathCompletions, e.stream)
+	mux.HandleFunc("GET "+engineapi.PathLoad, e.jsonHandler(engineapi.Load{Incarnation: 1, Model: benchModel, Version: "v1", TotalBlocks: 1000}))
+	mux.HandleFunc("GET "+engineapi.PathEvents, e.jsonHandler(engineapi.EventPage{Incarnation: 1, Next: 1}))
+	mux.HandleFunc("GET "+engineapi.PathBlocks, e.jsonHandler(engineapi.Snapshot{Incarnation: 1, Seq: 1}))
+	mux.HandleFunc("GET "+engineapi.PathState, e.jsonHandler(e.state()))
+	mux.HandleFunc("POST "+engineapi.PathOrders, e.jsonHandler(engineapi.OrderResponse{Accepted: true}))
+	mux.HandleFunc("POST "+engineapi.PathCompletions, e.serveStream)
 	mux.HandleFunc("DELETE "+engineapi.PathStreams, func(http.ResponseWriter, *http.Request) {})
 	return mux
 }
@@ -64,10 +65,10 @@
 	return s
 }
 
-func (e *engines) answer(v any) http.HandlerFunc {
+func (e *engines) jsonHandler(v any) http.HandlerFunc {
 	data, err := json.Marshal(v)
 	return func(w http.ResponseWriter, _ *http.Request) {
-		e.asked.Add(1)
+		e.requests.Add(1)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
@@ -77,21 +78,21 @@
 	}
 }
 
-// stream sends a token at each gap until the reader leaves or has all.
-func (e *engines) stream(w http.ResponseWriter, r *http.Request) {
+// serveStream sends a token at each interval until all are sent or the client disconnects.
+func (e *engines) serveStream(w http.ResponseWriter, r *http.Request) {
 	var request engineapi.CompletionRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	flush := http.NewResponseController(w)
-	tick := time.NewTicker(tokenGap)
+	controller := http.NewResponseController(w)
+	tick := time.NewTicker(tokenInterval)
 	defer tick.Stop()
 	for seq := range request.MaxTokens {
 		frame := engineapi.Frame{RequestID: request.RequestID, Seq: seq, Version: request.Version}
 		frame.Text = strconv.FormatInt(time.Now().UnixNano(), 10) + " "
-		if err := writeFrame(w, flush, frame); err != nil {
+		if err := writeFrame(w, controller, frame); err != nil {
 			return
 		}
 		select {
@@ -101,12 +102,12 @@
 		}
 	}
 	usage := &engineapi.Usage{PromptTokens: 1, OutputTokens: request.MaxTokens}
-	_ = writeFrame(w, flush, engineapi.Frame{
+	_ = writeFrame(w, controller, engineapi.Frame{
 		RequestID: request.RequestID, Seq: request.MaxTokens, Version: request.Version, Done: true, Usage: usage,
 	})
 }
 
-func writeFrame(w http.ResponseWriter, flush *http.ResponseController, f engineapi.Frame) error {
+func writeFrame(w http.ResponseWriter, controller *http.ResponseController, f engineapi.Frame) error {
 	data, err := json.Marshal(f)
 	if err != nil {
 		return err
@@ -114,5 +115,5 @@
 	if _, err := fmt.Fprintf(w, "data: %s\n\n", data); err != nil {
 		return err
 	}
-	return flush.Flush()
+	return controller.Flush()
 }
--- a/internal/controlbench/fleet.go
+++ b/internal/controlbench/fleet.go
@@ -8,23 +8,23 @@
 	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
-// Load of the fleet part: about ten requests a second for each daemon.
+// Load of the fleet measurement: about ten requests per second for each daemon.
 const (
-	contextsPerDaemon = 2 // of each of two organisations
+	contextsPerDaemon = 2 // for each of two organisations
 	callersPerDaemon  = 1
 )
 
-// fleet measures daemons without work and under load, at several numbers of them.
+// fleet measures idle and loaded daemons for several numbers of daemons.
 func (b Bench) fleet(ctx context.Context) error {
 	for _, n := range []int{2, 4, 8, 16} {
-		if err := b.fleetOf(ctx, n); err != nil {
+		if err := b.measureFleet(ctx, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (b Bench) fleetOf(ctx context.Context, n int) error {
+func (b Bench) measureFleet(ctx context.Context, n int) error {
 	c, err := newCluster(ctx, b.BinDir)
 	if err != nil {
 		return err
@@ -41,32 +41,32 @@
 	if err := c.startDaemons(ctx, n); err != nil {
 		return err
 	}
-	if err := sleep.For(ctx, settle); err != nil {
+	if err := sleep.For(ctx, settleTime); err != nil {
 		return err
 	}
-	idle, err := c.observe(ctx, window)
+	idle, err := c.observe(ctx, windowLength)
 	if err != nil {
 		return err
 	}
-	b.lines(fmt.Sprintf("daemons_%d_idle", n), idle)
+	b.printRates(fmt.Sprintf("daemons_%d_idle", n), idle)
 	load, err := c.startLoad(n)
 	if err != nil {
 		return err
 	}
 	defer load.stop()
-	if err := sleep.For(ctx, settle/2); err != nil {
+	if err := sleep.For(ctx, settleTime/2); err != nil {
 		return err
 	}
-	busy, err := c.observe(ctx, window)
+	loaded, err := c.observe(ctx, windowLength)
 	if err != nil {
 		return err
 	}
-	b.lines(fmt.Sprintf("daemons_%d_load", n), busy)
+	b.printRates(fmt.Sprintf("daemons_%d_load", n), loaded)
 	return nil
 }
 
-// startLoad starts callers of prompts and of a plain service that go on until they are
-// stopped.
+// startLoad starts callers of the model and of a plain service. They run until the
+// returned process is stopped.
 func (c *cluster) startLoad(daemons int) (*process, error) {
 	args := []string{
 		"--org", "fonografos=other-key",
@@ -75,11 +75,11 @@
 	for _, s := range c.services {
 		args = append(args, "--service-standin", s.addresses[0])
 	}
-	return c.startPrompts(daemons, args...)
+	return c.startPromptLoad(daemons, args...)
 }
 
-// startPrompts starts callers of prompts; args are added to their flags.
-func (c *cluster) startPrompts(daemons int, args ...string) (*process, error) {
+// startPromptLoad starts callers of the model and adds args to the flags of loadgen.
+func (c *cluster) startPromptLoad(daemons int, args ...string) (*process, error) {
 	args = append(args,
 		"--org", benchOrg+"="+benchKey, "--model", benchModel,
 		"--contexts", strconv.Itoa(contextsPerDaemon*daemons), "--turns", "100000",
--- a/internal/controlbench/processes.go
+++ b/internal/controlbench/processes.go
@@ -14,34 +14,34 @@
 
 const (
 	startTimeout = 30 * time.Second
-	pollStep     = 20 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 )
 
-// process is one process that was started here.
+// process is a child process.
 type process struct {
 	name      string
-	command   *exec.Cmd
-	addresses []string // as written to its address file
+	cmd       *exec.Cmd
+	addresses []string // from the address file that the process writes
 }
 
-func (p *process) pid() int { return p.command.Process.Pid }
+func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// stop ends the process at once and waits for it.
+// stop kills the process and waits for its exit.
 func (p *process) stop() {
-	_ = p.command.Process.Kill()
-	_ = p.command.Wait()
+	_ = p.cmd.Process.Kill()
+	_ = p.cmd.Wait()
 }
 
-// runner starts processes and stops those that it started.
+// runner starts child processes and stops them.
 type runner struct {
-	bin  string // directory of the programs
-	work string // directory of settings, address files and logs
-	all  []*process
+	binDir    string // directory of the executables
+	workDir   string // directory of settings, address files and log files
+	processes []*process
 }
 
-// start runs a program that writes its addresses to a file, and waits for that.
+// start launches a program that writes its addresses to a file and waits for that file.
 func (r *runner) start(ctx context.Context, name, program string, args ...string) (*process, error) {
-	file := filepath.Join(r.work, name+".addr")
+	file := filepath.Join(r.workDir, name+".addr")
 	p, err := r.launch(name, program, append(args, "--addr-file", file)...)
 	if err != nil {
 		return nil, err
@@ -54,38 +54,38 @@
 	return p, errors.Wrapf(err, "start %s", name)
 }
 
-// launch runs a program.
+// launch starts a program without waiting for it. Its output goes to a log file.
 func (r *runner) launch(name, program string, args ...string) (*process, error) {
-	log, err := os.Create(filepath.Join(r.work, name+".log"))
+	log, err := os.Create(filepath.Join(r.workDir, name+".log"))
 	if err != nil {
 		return nil, errors.Wrap(err, "log file")
 	}
 	defer log.Close()
-	command := exec.Command(filepath.Join(r.bin, program), args...)
-	command.Stdout = log
-	command.Stderr = log
-	if err := command.Start(); err != nil {
+	cmd := exec.Command(filepath.Join(r.binDir, program), args...)
+	cmd.Stdout = log
+	cmd.Stderr = log
+	if err := cmd.Start(); err != nil {
 		return nil, errors.Wrapf(err, "start %s", name)
 	}
-	p := &process{name: name, command: command}
-	r.all = append(r.all, p)
+	p := &process{name: name, cmd: cmd}
+	r.processes = append(r.processes, p)
 	return p, nil
 }
 
 func (r *runner) stopAll() {
-	for _, p := range r.all {
+	for _, p := range r.processes {
 		p.stop()
 	}
-	r.all = nil
+	r.processes = nil
 }
 
-// waitFor asks again and again until the condition holds.
+// waitFor polls the condition until it holds. It fails once limit has passed.
 func waitFor(ctx context.Context, limit time.Duration, condition func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for !condition() {
-		if err := sleep.For(ctx, pollStep); err != nil {
-			return errors.Wrap(err, "waited in vain")
+		if err := sleep.For(ctx, pollInterval); err != nil {
+			return errors.Wrap(err, "condition not met")
 		}
 	}
 	return nil
--- a/internal/controlbench/relay.go
+++ b/internal/controlbench/relay.go
@@ -22,23 +22,23 @@
 )
 
 const (
-	relayTokens   = 4000 // a stream; more than a window lasts
+	relayTokens   = 4000 // of a stream, which must outlast relayWindow
 	relayWindow   = 4 * time.Second
 	relayCapacity = 2000
 )
 
-// relay measures streams through one daemon: its processor time for a token and the
-// delay that it adds, against reading the same engine without it.
+// relay measures streams through one daemon: its CPU time per token, and the delay of
+// each token in comparison with direct streams from the same engine.
 func (b Bench) relay(ctx context.Context) error {
 	for _, streams := range []int{50, 100, 200, 400} {
-		if err := b.relayOf(ctx, streams); err != nil {
+		if err := b.measureRelay(ctx, streams); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (b Bench) relayOf(ctx context.Context, streams int) error {
+func (b Bench) measureRelay(ctx context.Context, streams int) error {
 	c, err := newCluster(ctx, b.BinDir)
 	if err != nil {
 		return err
@@ -56,91 +56,92 @@
 	if err := c.startDaemons(ctx, 1); err != nil {
 		return err
 	}
-	if err := sleep.For(ctx, settle/2); err != nil {
+	if err := sleep.For(ctx, settleTime/2); err != nil {
 		return err
 	}
 	prefix := fmt.Sprintf("relay_%d", streams)
-	direct, err := b.readers(ctx, streams, func(i int) (*http.Request, error) { return directRequest(ctx, e, i) })
+	direct, err := b.measureDirect(ctx, streams, func(i int) (*http.Request, error) { return directRequest(ctx, e, i) })
 	if err != nil {
 		return err
 	}
-	b.delays(prefix+"_direct", direct.read.delays)
-	through, err := b.relayed(ctx, c, streams)
+	b.printDelays(prefix+"_direct", direct.streams.delays)
+	relayed, err := b.measureRelayed(ctx, c, streams)
 	if err != nil {
 		return err
 	}
-	b.delays(prefix, through.read.delays)
-	b.line(prefix+"_tokens_s", through.tokens)
-	b.line(prefix+"_cpu_pct", through.used.cpuMean)
-	b.line(prefix+"_tokens_s_core", through.tokens/(through.used.cpuMean/100))
-	b.line(prefix+"_rss_mb", through.used.residentMax)
-	b.line(prefix+"_failed", float64(through.read.failed.Load()))
+	b.printDelays(prefix, relayed.streams.delays)
+	b.printValue(prefix+"_tokens_s", relayed.tokens)
+	b.printValue(prefix+"_cpu_pct", relayed.usage.cpuMean)
+	b.printValue(prefix+"_tokens_s_core", relayed.tokens/(relayed.usage.cpuMean/100))
+	b.printValue(prefix+"_rss_mb", relayed.usage.residentMax)
+	b.printValue(prefix+"_failed", float64(relayed.streams.failed.Load()))
 	return nil
 }
 
-func (b Bench) delays(prefix string, h *hdrhistogram.Histogram) {
-	b.line(prefix+"_delay_p50_ms", float64(h.ValueAtQuantile(50))/1000)
-	b.line(prefix+"_delay_p99_ms", float64(h.ValueAtQuantile(99))/1000)
+func (b Bench) printDelays(prefix string, h *hdrhistogram.Histogram) {
+	b.printValue(prefix+"_delay_p50_ms", float64(h.ValueAtQuantile(50))/1000)
+	b.printValue(prefix+"_delay_p99_ms", float64(h.ValueAtQuantile(99))/1000)
 }
 
-// relayResult is what one window gave.
+// relayResult is the result of one measurement window.
 type relayResult struct {
-	read   *reading
-	tokens float64 // a second
-	used   span
+	streams *streamStats
+	tokens  float64 // per second
+	usage   rates
 }
 
-func (b Bench) relayed(ctx context.Context, c *cluster, streams int) (relayResult, error) {
-	return c.window(ctx, streams, func(i int) (*http.Request, error) { return relayedRequest(ctx, c, i) })
+func (b Bench) measureRelayed(ctx context.Context, c *cluster, streams int) (relayResult, error) {
+	return c.measureStreams(ctx, streams, func(i int) (*http.Request, error) { return relayedRequest(ctx, c, i) })
 }
 
-// readers reads streams without a daemon between.
-func (b Bench) readers(ctx context.Context, streams int, make func(int) (*http.Request, error)) (relayResult, error) {
-	return (&cluster{}).window(ctx, streams, make)
+// measureDirect measures streams that do not pass through a daemon.
+func (b Bench) measureDirect(ctx context.Context, streams int, newRequest func(int) (*http.Request, error)) (relayResult, error) {
+	return (&cluster{}).measureStreams(ctx, streams, newRequest)
 }
 
-// window opens streams and measures them once all have begun.
-func (c *cluster) window(ctx context.Context, streams int, make func(int) (*http.Request, error)) (relayResult, error) {
+// measureStreams opens streams and measures them for one window once every stream has
+// started or failed.
+func (c *cluster) measureStreams(ctx context.Context, streams int, newRequest func(int) (*http.Request, error)) (relayResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	r := newReading()
-	var open sync.WaitGroup
-	defer open.Wait()
+	stats := newStreamStats()
+	var readers sync.WaitGroup
+	defer readers.Wait()
 	defer cancel()
 	for i := range streams {
-		req, err := make(i)
+		req, err := newRequest(i)
 		if err != nil {
 			return relayResult{}, err
 		}
-		open.Go(func() { r.stream(req.WithContext(ctx)) })
+		readers.Go(func() { stats.readStream(req.WithContext(ctx)) })
 	}
-	err := waitFor(ctx, startTimeout, func() bool { return int(r.begun.Load()+r.failed.Load()) == streams })
+	err := waitFor(ctx, startTimeout, func() bool { return int(stats.started.Load()+stats.failed.Load()) == streams })
 	if err != nil {
-		return relayResult{}, errors.Wrapf(err, "%d of %d streams began", r.begun.Load(), streams)
+		return relayResult{}, errors.Wrapf(err, "%d of %d streams started", stats.started.Load(), streams)
 	}
 	if err := sleep.For(ctx, time.Second); err != nil {
 		return relayResult{}, err
 	}
-	before, err := c.processorSample()
+	before, err := c.cpuSample()
 	if err != nil {
 		return relayResult{}, err
 	}
-	r.measuring.Store(true)
+	stats.measuring.Store(true)
 	if err := sleep.For(ctx, relayWindow); err != nil {
 		return relayResult{}, err
 	}
-	r.measuring.Store(false)
-	after, err := c.processorSample()
+	stats.measuring.Store(false)
+	after, err := c.cpuSample()
 	if err != nil {
 		return relayResult{}, err
 	}
-	return relayResult{read: r, tokens: float64(r.tokens.Load()) / relayWindow.Seconds(), used: between(before, after)}, nil
+	return relayResult{streams: stats, tokens: float64(stats.tokens.Load()) / relayWindow.Seconds(), usage: ratesBetween(before, after)}, nil
 }
 
-// processorSample is a sample without asking the daemons anything.
-func (c *cluster) processorSample() (sample, error) {
+// cpuSample takes a sample of CPU time and memory alone, without requests to the daemons.
+func (c *cluster) cpuSample() (sample, error) {
 	s := sample{at: time.Now()}
 	for _, d := range c.daemons {
-		u, err := usageOf(d)
+		u, err := readUsage(d)
 		if err != nil {
 			return s, err
 		}
@@ -150,13 +151,13 @@
 }
 
 func directRequest(ctx context.Context, e *engines, i int) (*http.Request, error) {
-	return postJSON(ctx, e.addresses[0]+engineapi.PathCompletions, engineapi.CompletionRequest{
+	return newJSONRequest(ctx, e.addresses[0]+engineapi.PathCompletions, engineapi.CompletionRequest{
 		RequestID: request.ID(fmt.Sprint("direct-", i)), Model: benchModel, Version: "v1", Prompt: "p", MaxTokens: relayTokens,
 	})
 }
 
 func relayedRequest(ctx context.Context, c *cluster, i int) (*http.Request, error) {
-	req, err := postJSON(ctx, c.daemons[0].addresses[0]+"/v1/completions", map[string]any{
+	req, err := newJSONRequest(ctx, c.daemons[0].addresses[0]+"/v1/completions", map[string]any{
 		"model": benchModel, "prompt": fmt.Sprint("stream ", i), "max_tokens": relayTokens, "stream": true,
 	})
 	if err == nil {
@@ -165,7 +166,7 @@
 	return req, err
 }
 
-func postJSON(ctx context.Context, address string, body any) (*http.Request, error) {
+func newJSONRequest(ctx context.Context, address string, body any) (*http.Request, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
@@ -173,11 +174,11 @@
 	return http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address, bytes.NewReader(data))
 }
 
-// reading is what all readers of streams saw.
-type reading struct {
+// streamStats holds the results of all stream readers.
+type streamStats struct {
 	client    *http.Client
 	measuring atomic.Bool
-	begun     atomic.Int64
+	started   atomic.Int64
 	failed    atomic.Int64
 	tokens    atomic.Int64
 
@@ -185,12 +186,12 @@
 	delays *hdrhistogram.Histogram // microseconds
 }
 
-func newReading() *reading {
-	return &reading{client: &http.Client{Transport: &http.Transport{}}, delays: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
+func newStreamStats() *streamStats {
+	return &streamStats{client: &http.Client{Transport: &http.Transport{}}, delays: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
 }
 
-// stream reads one stream until its context ends.
-func (r *reading) stream(req *http.Request) {
+// readStream reads one stream until it ends or the context of the request is cancelled.
+func (r *streamStats) readStream(req *http.Request) {
 	resp, err := r.client.Do(req)
 	if err != nil {
 		r.failed.Add(1)
@@ -198,7 +199,7 @@
 	}
 	defer resp.Body.Close()
 	lines := bufio.NewReader(resp.Body)
-	began := false
+	started := false
 	for {
 		line, err := lines.ReadString('\n')
 		if err != nil {
@@ -207,21 +208,21 @@
 			}
 			return
 		}
-		sent, ok := sentAt(line)
+		sent, ok := parseSentTime(line)
 		if !ok {
 			continue
 		}
-		if !began {
-			began = true
-			r.begun.Add(1)
+		if !started {
+			started = true
+			r.started.Add(1)
 		}
-		r.note(time.Since(sent))
+		r.recordDelay(time.Since(sent))
 	}
 }
 
-// note records one token's delay. The times come from one clock, since the engine is in
-// this process.
-func (r *reading) note(delay time.Duration) {
+// recordDelay records the delay of one token. Send and receive times come from the same
+// clock because the engine runs in this process.
+func (r *streamStats) recordDelay(delay time.Duration) {
 	if !r.measuring.Load() {
 		return
 	}
@@ -231,8 +232,9 @@
 	_ = r.delays.RecordValue(max(1, delay.Microseconds()))
 }
 
-// sentAt finds the time in a token, whichever event it lies in.
-func sentAt(line string) (time.Time, bool) {
+// parseSentTime returns the send time from a line of an event stream. It accepts the
+// events of engines and those of daemons.
+func parseSentTime(line string) (time.Time, bool) {
 	_, rest, ok := strings.Cut(line, `"text":"`)
 	if !ok {
 		return time.Time{}, false
--- a/internal/controlbench/sample.go
+++ b/internal/controlbench/sample.go
@@ -19,38 +19,39 @@
 )
 
 const (
-	// ticksPerSecond is the unit of processor times in /proc (USER_HZ).
+	// ticksPerSecond is the unit of CPU times in /proc (USER_HZ).
 	ticksPerSecond = 100
-	// utimeField and stimeField count from the state, the first field after the name.
+	// utimeField and stimeField are indexes of fields in /proc/PID/stat, counted from the
+	// process state, which is the first field after the name.
 	utimeField, stimeField = 11, 12
 	metricPrefix           = "bluebellscale_"
 )
 
-// usage is what one process has used so far.
+// usage is the resource usage of one process.
 type usage struct {
-	cpu      time.Duration
-	resident int64 // bytes, now
+	cpu      time.Duration // since the start of the process
+	resident int64         // bytes, current
 }
 
-func usageOf(p *process) (usage, error) {
+func readUsage(p *process) (usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.pid()))
 	if err != nil {
-		return usage{}, errors.Wrap(err, "processor time")
+		return usage{}, errors.Wrap(err, "CPU time")
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	user, err := strconv.ParseInt(fields[utimeField], 10, 64)
 	if err != nil {
-		return usage{}, errors.Wrap(err, "processor time")
+		return usage{}, errors.Wrap(err, "CPU time")
 	}
 	system, err := strconv.ParseInt(fields[stimeField], 10, 64)
 	if err != nil {
-		return usage{}, errors.Wrap(err, "processor time")
+		return usage{}, errors.Wrap(err, "CPU time")
 	}
-	resident, err := residentOf(p)
+	resident, err := readResident(p)
 	return usage{cpu: time.Duration(user+system) * time.Second / ticksPerSecond, resident: resident}, err
 }
 
-func residentOf(p *process) (int64, error) {
+func readResident(p *process) (int64, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.pid()))
 	if err != nil {
 		return 0, errors.Wrap(err, "memory")
@@ -61,25 +62,25 @@
 			return kib << 10, errors.Wrap(err, "memory")
 		}
 	}
-	return 0, errors.Newf("no memory in the status of %s", p.name)
+	return 0, errors.Newf("no VmRSS in the status of process %s", p.name)
 }
 
-// sample is the state of all counters at a moment.
+// sample holds the values of all counters at one time.
 type sample struct {
-	at       time.Time
-	kv       kv.Counts
-	daemons  []usage
-	peer     float64 // bytes between daemons so far
-	accepted float64 // requests taken by daemons so far
+	at        time.Time
+	kv        kv.Counts
+	daemons   []usage
+	peerBytes float64 // bytes between daemons, each counted once
+	accepted  float64 // number of requests that daemons accepted
 }
 
 func (c *cluster) sample(ctx context.Context) (sample, error) {
 	s := sample{at: time.Now()}
-	if err := c.get(ctx, c.kv.addresses[0]+kv.PathCounts, &s.kv); err != nil {
+	if err := c.getJSON(ctx, c.kv.addresses[0]+kv.PathCounts, &s.kv); err != nil {
 		return s, err
 	}
 	for _, d := range c.daemons {
-		u, err := usageOf(d)
+		u, err := readUsage(d)
 		if err != nil {
 			return s, err
 		}
@@ -88,21 +89,21 @@
 		if err != nil {
 			return s, err
 		}
-		s.peer += values["peer_bytes_in"] + values["peer_bytes_out"]
+		s.peerBytes += values["peer_bytes_in"] + values["peer_bytes_out"]
 		s.accepted += values["requests_accepted"]
 	}
 	return s, nil
 }
 
-func (c *cluster) get(ctx context.Context, address string, out any) error {
-	body, err := c.read(ctx, address)
+func (c *cluster) getJSON(ctx context.Context, address string, out any) error {
+	body, err := c.fetch(ctx, address)
 	if err != nil {
 		return err
 	}
 	return errors.Wrap(json.Unmarshal(body, out), address)
 }
 
-func (c *cluster) read(ctx context.Context, address string) ([]byte, error) {
+func (c *cluster) fetch(ctx context.Context, address string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, address)
@@ -116,9 +117,9 @@
 	return body, errors.Wrap(err, address)
 }
 
-// metrics returns a daemon's metrics without labels.
+// metrics returns the unlabelled metrics of a daemon.
 func (c *cluster) metrics(ctx context.Context, d *process) (map[string]float64, error) {
-	body, err := c.read(ctx, d.addresses[1]+"/metrics")
+	body, err := c.fetch(ctx, d.addresses[1]+"/metrics")
 	if err != nil {
 		return nil, err
 	}
@@ -138,19 +139,19 @@
 	return values[name], err
 }
 
-// span is what was used between two samples, a second.
-type span struct {
+// rates holds the usage between two samples. Rates are per second.
+type rates struct {
 	reads, writes, watches float64 // calls to the key-value service
 	kvBytes                float64
-	cpuMean, cpuMax        float64 // hundredths of a core a daemon
-	residentMax            float64 // MB of the largest daemon
-	peerBytes              float64 // a daemon, sent and received
+	cpuMean, cpuMax        float64 // percent of one core, per daemon
+	residentMax            float64 // MB, maximum over the daemons
+	peerBytes              float64 // per daemon, sent and received
 	requests               float64
 }
 
-func between(a, b sample) span {
+func ratesBetween(a, b sample) rates {
 	seconds := b.at.Sub(a.at).Seconds()
-	s := span{
+	s := rates{
 		reads:    float64(b.kv.Reads-a.kv.Reads) / seconds,
 		writes:   float64(b.kv.Writes-a.kv.Writes) / seconds,
 		watches:  float64(b.kv.Watches-a.kv.Watches) / seconds,
@@ -158,8 +159,9 @@
 		requests: (b.accepted - a.accepted) / seconds,
 	}
 	n := float64(len(b.daemons))
-	// Each byte is sent by one daemon and received by another.
-	s.peerBytes = 2 * (b.peer - a.peer) / seconds / n
+	// The sum of the daemons' metrics counts each byte once. The factor 2 accounts for the
+	// sending and the receiving daemon.
+	s.peerBytes = 2 * (b.peerBytes - a.peerBytes) / seconds / n
 	for i, u := range b.daemons {
 		cpu := 100 * (u.cpu - a.daemons[i].cpu).Seconds() / seconds
 		s.cpuMean += cpu / n
@@ -169,15 +171,15 @@
 	return s
 }
 
-// observe samples around a wait.
-func (c *cluster) observe(ctx context.Context, length time.Duration) (span, error) {
+// observe returns the rates over an interval of the given length.
+func (c *cluster) observe(ctx context.Context, length time.Duration) (rates, error) {
 	before, err := c.sample(ctx)
 	if err != nil {
-		return span{}, err
+		return rates{}, err
 	}
 	if err := sleep.For(ctx, length); err != nil {
-		return span{}, err
+		return rates{}, err
 	}
 	after, err := c.sample(ctx)
-	return between(before, after), err
+	return ratesBetween(before, after), err
 }
--- a/internal/controlbench/slopes_test.go
+++ b/internal/controlbench/scaling_test.go
@@ -28,8 +28,9 @@
 
 const benchTargets = 1300
 
-// bigTable returns the sheets of a deployment at the aim.
-func bigTable(organisations int) tabletest.Rows {
+// largeTable returns the sheets of a deployment of the planned size, with benchTargets
+// engines and the given number of organisations.
+func largeTable(organisations int) tabletest.Rows {
 	var orgs, targets strings.Builder
 	for i := range organisations {
 		orgs.WriteString(organisationRow(fmt.Sprintf("org-%05d", i), fmt.Sprint("key-", i), ""))
@@ -40,8 +41,8 @@
 	return tabletest.Rows{Organisations: orgs.String(), Models: benchModel + ",v1,1024,3\n", Targets: targets.String()}
 }
 
-// BenchmarkTablePage is what taking one changed page costs a daemon, and the heap of the
-// whole table.
+// BenchmarkTablePage measures the merge of one changed page into a daemon's table, and the
+// heap size of the complete table.
 func BenchmarkTablePage(b *testing.B) {
 	for _, organisations := range []int{350, 3_500, 35_000} {
 		b.Run(strconv.Itoa(organisations), func(b *testing.B) { benchmarkTablePage(b, organisations) })
@@ -50,7 +51,7 @@
 
 func benchmarkTablePage(b *testing.B, organisations int) {
 	client := kv.NewFake(time.Now).Client("bench")
-	tabletest.Write(b, client, bigTable(organisations))
+	tabletest.Write(b, client, largeTable(organisations))
 	entries, _, err := client.List(context.Background(), table.KeyPrefix)
 	if err != nil {
 		b.Fatal(err)
@@ -61,10 +62,10 @@
 		pages = append(pages, &peer.Page{Name: strings.TrimPrefix(e.Key, table.KeyPrefix), Revision: uint64(e.Revision), Value: e.Value})
 		bytes += len(e.Value)
 	}
-	before := heap()
+	before := heapBytes()
 	replica := table.NewReplica(table.ReplicaOptions{})
 	replica.Merge(pages)
-	held := heap() - before
+	replicaBytes := heapBytes() - before
 	name := table.PageName(table.SheetOrganisations, "org-00000")
 	var changed *peer.Page
 	for _, p := range pages {
@@ -76,23 +77,24 @@
 	for b.Loop() {
 		changed = &peer.Page{Name: name, Revision: changed.Revision + 1, Value: changed.Value}
 		if replica.Merge([]*peer.Page{changed}) != 1 {
-			b.Fatal("page not taken")
+			b.Fatal("page was not merged")
 		}
 	}
-	b.ReportMetric(float64(held)/1e6, "heap-MB")
+	b.ReportMetric(float64(replicaBytes)/1e6, "heap-MB")
 	b.ReportMetric(float64(bytes)/1e6, "pages-MB")
 	b.ReportMetric(float64(len(changed.Value)), "page-B")
 	runtime.KeepAlive(pages)
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkSlice is one slice of an organisation's limits, at its steward and its home.
+// BenchmarkSlice measures the grant of one slice of an organisation's limits by the limit
+// coordinator.
 func BenchmarkSlice(b *testing.B) {
 	for _, organisations := range []int{100, 35_000} {
 		b.Run(strconv.Itoa(organisations), func(b *testing.B) {
@@ -112,43 +114,45 @@
 	}
 }
 
-// BenchmarkHomes is the memory and the tick of a home that has seen many organisations.
-func BenchmarkHomes(b *testing.B) {
+// BenchmarkHomeTick measures the memory and the tick of a home daemon's limits after
+// requests of many organisations.
+func BenchmarkHomeTick(b *testing.B) {
 	for _, organisations := range []int{100, 3_500, 35_000} {
 		b.Run(strconv.Itoa(organisations), func(b *testing.B) {
 			limits := limit.Limits{RequestsPerSecond: 1000, Burst: 1000, Concurrency: 100, TokensPerSecond: 1e7}
 			now := time.Unix(1_700_000_000, 0)
-			before := heap()
+			before := heapBytes()
 			home := limit.NewHome(limit.Params{}, 390)
 			for i := range organisations {
 				home.Admit(now, request.OrgID(fmt.Sprintf("org-%05d", i)), limits, 1000)
 			}
-			held := heap() - before
+			homeBytes := heapBytes() - before
 			for b.Loop() {
 				home.Tick(now)
 			}
-			b.ReportMetric(float64(held)/float64(organisations), "B/org")
+			b.ReportMetric(float64(homeBytes)/float64(organisations), "B/org")
 			runtime.KeepAlive(home)
 		})
 	}
 }
 
-// oneMember gives every place to one daemon, whose targets do not answer.
-type oneMember struct{ self *peer.Member }
+// singleMember is a membership of one daemon, which owns all assignments. Its targets are
+// unreachable.
+type singleMember struct{ self *peer.Member }
 
-func (m oneMember) Self() *peer.Member                { return m.self }
-func (m oneMember) Live() []*peer.Member              { return nil }
-func (m oneMember) Place(string) *peer.Member         { return m.self }
-func (m oneMember) Steward(*peer.Member) peer.Steward { return nil }
-func (m oneMember) Reset()                            {}
-func (m oneMember) Client(t table.Target) *target.Client {
+func (m singleMember) Self() *peer.Member                { return m.self }
+func (m singleMember) Live() []*peer.Member              { return nil }
+func (m singleMember) Place(string) *peer.Member         { return m.self }
+func (m singleMember) Steward(*peer.Member) peer.Steward { return nil }
+func (m singleMember) Reset()                            {}
+func (m singleMember) Client(t table.Target) *target.Client {
 	return target.New(target.Options{ID: t.ID, Address: t.Address})
 }
 
-func newSteward(b *testing.B) *steward.Service {
+func newCoordinator(b *testing.B) *steward.Service {
 	b.Helper()
-	replica := tabletest.Load(b, kv.NewFake(time.Now).Client("d1"), bigTable(10))
-	m := oneMember{self: &peer.Member{Id: "d1"}}
+	replica := tabletest.Load(b, kv.NewFake(time.Now).Client("d1"), largeTable(10))
+	m := singleMember{self: &peer.Member{Id: "d1"}}
 	s := steward.New(steward.Options{
 		Tables: replica, Members: m, Targets: m, Peers: m, Instance: "d1.1",
 		PollInterval: time.Hour, QueueLimit: 64, Logger: hclog.NewNullLogger(),
@@ -157,9 +161,9 @@
 	return s
 }
 
-// BenchmarkGrant is one request's way through a target's queue that is not full.
+// BenchmarkGrant measures acquiring and releasing a grant for a target with free capacity.
 func BenchmarkGrant(b *testing.B) {
-	s := newSteward(b)
+	s := newCoordinator(b)
 	ctx := context.Background()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -173,9 +177,9 @@
 	}
 }
 
-// BenchmarkLook is a steward's answer about one of its targets.
-func BenchmarkLook(b *testing.B) {
-	s := newSteward(b)
+// BenchmarkTargetView measures reading the view of one target from its coordinator.
+func BenchmarkTargetView(b *testing.B) {
+	s := newCoordinator(b)
 	ctx := context.Background()
 	ids := []request.TargetID{"engine-0001"}
 	b.ReportAllocs()
@@ -186,8 +190,8 @@
 	}
 }
 
-// BenchmarkVMList is one reading of the platform's VM list, as each daemon does every two
-// seconds.
+// BenchmarkVMList measures one read of the platform's VM list. Each daemon reads the list
+// every two seconds.
 func BenchmarkVMList(b *testing.B) {
 	for _, vms := range []int{30, 300, 2_000} {
 		b.Run(strconv.Itoa(vms), func(b *testing.B) {
--- a/internal/controlbench/table.go
+++ b/internal/controlbench/table.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	tableDaemons = 3
-	tableEdits   = 20
-	editGap      = 200 * time.Millisecond
+	tableDaemons       = 3
+	measuredTableEdits = 20
+	editInterval       = 200 * time.Millisecond
 )
 
-// table measures what the size of the table costs daemons in memory, and what one
-// changed row costs each of them.
+// table measures the memory of daemons for several table sizes, and the CPU time and
+// traffic of one changed row.
 func (b Bench) table(ctx context.Context) error {
 	for _, organisations := range []int{350, 3_500, 35_000} {
-		if err := b.tableOf(ctx, organisations); err != nil {
+		if err := b.measureTable(ctx, organisations); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (b Bench) tableOf(ctx context.Context, organisations int) error {
+func (b Bench) measureTable(ctx context.Context, organisations int) error {
 	c, err := newCluster(ctx, b.BinDir)
 	if err != nil {
 		return err
@@ -42,35 +42,35 @@
 	if err := c.startDaemons(ctx, tableDaemons); err != nil {
 		return err
 	}
-	if err := sleep.For(ctx, settle); err != nil {
+	if err := sleep.For(ctx, settleTime); err != nil {
 		return err
 	}
-	idle, err := c.observe(ctx, window)
+	idle, err := c.observe(ctx, windowLength)
 	if err != nil {
 		return err
 	}
 	prefix := fmt.Sprintf("table_%d", organisations)
-	b.lines(prefix+"_idle", idle)
-	return b.tableEdits(ctx, c, prefix, idle)
+	b.printRates(prefix+"_idle", idle)
+	return b.measureTableEdits(ctx, c, prefix, idle)
 }
 
-// tableEdits changes rows one after another and prints the cost of each above that of
-// idle daemons. The daemons are not asked for the table meanwhile: the answers would
-// count as bytes between them.
-func (b Bench) tableEdits(ctx context.Context, c *cluster, prefix string, idle span) error {
+// measureTableEdits changes rows one after another and prints the cost per edit beyond the
+// cost of idle daemons. It does not poll the daemons for their tables meanwhile, because
+// the responses would count as traffic between daemons.
+func (b Bench) measureTableEdits(ctx context.Context, c *cluster, prefix string, idle rates) error {
 	before, err := c.sample(ctx)
 	if err != nil {
 		return err
 	}
-	for i := range tableEdits {
-		if _, err := c.edit(ctx, fmt.Sprintf("org-%05d", i*17), 100+i); err != nil {
+	for i := range measuredTableEdits {
+		if _, err := c.setWeight(ctx, fmt.Sprintf("org-%05d", i*17), 100+i); err != nil {
 			return err
 		}
-		if err := sleep.For(ctx, editGap); err != nil {
+		if err := sleep.For(ctx, editInterval); err != nil {
 			return err
 		}
 	}
-	// The metrics of a daemon are a second old.
+	// Daemons update their metrics once a second.
 	if err := sleep.For(ctx, 2*time.Second); err != nil {
 		return err
 	}
@@ -78,10 +78,10 @@
 	if err != nil {
 		return err
 	}
-	used := between(before, after)
-	perEdit := after.at.Sub(before.at).Seconds() / tableEdits
-	b.line(prefix+"_edit_cpu_ms", 10*(used.cpuMean-idle.cpuMean)*perEdit)
-	b.line(prefix+"_edit_peer_bytes", (used.peerBytes-idle.peerBytes)*perEdit)
-	b.line(prefix+"_edit_rss_mb_max", used.residentMax)
+	used := ratesBetween(before, after)
+	perEdit := after.at.Sub(before.at).Seconds() / measuredTableEdits
+	b.printValue(prefix+"_edit_cpu_ms", 10*(used.cpuMean-idle.cpuMean)*perEdit)
+	b.printValue(prefix+"_edit_peer_bytes", (used.peerBytes-idle.peerBytes)*perEdit)
+	b.printValue(prefix+"_edit_rss_mb_max", used.residentMax)
 	return nil
 }
--- a/internal/controlbench/targets.go
+++ b/internal/controlbench/targets.go
@@ -8,19 +8,20 @@
 	"github.com/bluebellscale/bluebellscale/internal/sleep"
 )
 
-// targets measures one daemon that is the steward of all targets, at several numbers of
-// them: the slope is what a target costs its steward. In the last run the engines seem
-// to load weights, so that the fleet's duty reads all of them at every poll interval.
+// targets measures one daemon that coordinates all targets, for several numbers of
+// targets. The slope is the cost of a target for its coordinator. In the last run the
+// engines report that they are loading weights, which makes the fleet controller read the
+// state of every engine at each poll interval.
 func (b Bench) targets(ctx context.Context) error {
 	for _, n := range []int{0, 20, 100, 400} {
-		if err := b.targetsOf(ctx, n, false); err != nil {
+		if err := b.measureTargets(ctx, n, false); err != nil {
 			return err
 		}
 	}
-	return b.targetsOf(ctx, 400, true)
+	return b.measureTargets(ctx, 400, true)
 }
 
-func (b Bench) targetsOf(ctx context.Context, n int, loading bool) error {
+func (b Bench) measureTargets(ctx context.Context, n int, loading bool) error {
 	c, err := newCluster(ctx, b.BinDir)
 	if err != nil {
 		return err
@@ -41,11 +42,11 @@
 	if err := c.startDaemons(ctx, 1); err != nil {
 		return err
 	}
-	if err := sleep.For(ctx, settle); err != nil {
+	if err := sleep.For(ctx, settleTime); err != nil {
 		return err
 	}
-	asked := e.asked.Load()
-	s, err := c.observe(ctx, window)
+	requestsBefore := e.requests.Load()
+	s, err := c.observe(ctx, windowLength)
 	if err != nil {
 		return err
 	}
@@ -53,8 +54,8 @@
 	if loading {
 		prefix += "_rollout"
 	}
-	b.line(prefix+"_cpu_pct", s.cpuMean)
-	b.line(prefix+"_rss_mb", s.residentMax)
-	b.line(prefix+"_questions_s", float64(e.asked.Load()-asked)/window.Seconds())
+	b.printValue(prefix+"_cpu_pct", s.cpuMean)
+	b.printValue(prefix+"_rss_mb", s.residentMax)
+	b.printValue(prefix+"_questions_s", float64(e.requests.Load()-requestsBefore)/windowLength.Seconds())
 	return nil
 }
