--- a/cmd/loadgen/endings.go
+++ b/cmd/loadgen/endings.go
@@ -10,25 +10,25 @@
 	"github.com/bluebellscale/bluebellscale/internal/loadgen"
 )
 
-// endings writes a line for each request that ended, so that a script can tell when
-// the last request that a fault disturbed was answered.
-type endings struct {
+// endingsFile writes a line for each request that ended. Scripts use it to find out when
+// the last request affected by a fault was answered.
+type endingsFile struct {
 	mu   sync.Mutex
-	file *os.File // nil: nobody asked for them
+	file *os.File // nil if disabled
 }
 
-func newEndings(path string) (*endings, error) {
+func newEndingsFile(path string) (*endingsFile, error) {
 	if path == "" {
-		return &endings{}, nil
+		return &endingsFile{}, nil
 	}
 	file, err := os.Create(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "endings file")
 	}
-	return &endings{file: file}, nil
+	return &endingsFile{file: file}, nil
 }
 
-func (e *endings) write(end loadgen.RequestEnd) {
+func (e *endingsFile) write(end loadgen.RequestEnd) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.file == nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-func (e *endings) close() {
+func (e *endingsFile) close() {
 	if e.file != nil {
 		e.file.Close()
 	}
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,6 +1,5 @@
-// Command loadgen drives callers against daemons and checks their answers. It prints
-// lines of name=value and exits with 1 if a promise was broken, with 2 if it could not
-// measure.
+// Command loadgen sends load to daemons and checks their responses. It prints name=value
+// lines. Its exit status is 1 if a guarantee was violated and 2 if the run failed.
 package main
 
 import (
@@ -21,14 +20,14 @@
 )
 
 const (
-	exitBroken     = 1
-	exitUnmeasured = 2
+	exitViolation = 1
+	exitError     = 2
 )
 
 func main() {
 	app := &cli.App{
 		Name:   "loadgen",
-		Usage:  "drive callers against daemons and check their answers",
+		Usage:  "send load to daemons and check their responses",
 		Flags:  flags(),
 		Action: run,
 	}
@@ -36,18 +35,18 @@
 	defer stop()
 	if err := app.RunContext(ctx, os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "loadgen:", err)
-		os.Exit(exitUnmeasured)
+		os.Exit(exitError)
 	}
 }
 
 func flags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringSliceFlag{Name: "daemon", Required: true, Usage: "ip:port of a daemon; repeat for more"},
-		&cli.StringSliceFlag{Name: "service-standin", Usage: "ip:port of a plain service stand-in; repeat for more"},
-		&cli.StringSliceFlag{Name: "org", Required: true, Usage: "organisation as id=bearer key; repeat for more"},
+		&cli.StringSliceFlag{Name: "daemon", Required: true, Usage: "ip:port of a daemon; may be repeated"},
+		&cli.StringSliceFlag{Name: "service-standin", Usage: "ip:port of a plain service stand-in; may be repeated"},
+		&cli.StringSliceFlag{Name: "org", Required: true, Usage: "organisation as id=bearer key; may be repeated"},
 		&cli.StringFlag{Name: "model"},
 		&cli.Int64Flag{Name: "seed", Value: 1},
-		&cli.StringFlag{Name: "run-id", Usage: "part of contexts and idempotency keys; default: from the clock"},
+		&cli.StringFlag{Name: "run-id", Usage: "part of contexts and idempotency keys; default: the start time"},
 		&cli.IntFlag{Name: "contexts", Value: 4, Usage: "contexts of each organisation"},
 		&cli.IntFlag{Name: "turns", Value: 4, Usage: "completions on each context"},
 		&cli.IntFlag{Name: "context-tokens", Value: 8000},
@@ -59,12 +58,12 @@
 		&cli.IntFlag{Name: "callers", Value: 2, Usage: "callers that share an organisation's calls"},
 		&cli.DurationFlag{Name: "call-gap", Value: 200 * time.Millisecond},
 		&cli.IntFlag{Name: "call-body", Value: 64, Usage: "bytes"},
-		&cli.DurationFlag{Name: "patience", Value: loadgen.DefaultRequestTimeout, Usage: "until an unanswered request counts as lost"},
-		&cli.DurationFlag{Name: "silent-after", Value: loadgen.DefaultIdleTimeout, Usage: "longest time without a byte"},
-		&cli.DurationFlag{Name: "max-backoff", Usage: "longest wait before a retry; 0: as the answer says"},
-		&cli.IntFlag{Name: "mark-after", Usage: "write the mark file once so many requests are settled"},
-		&cli.StringFlag{Name: "mark-file", Usage: "file that tells a script how far the run is"},
-		&cli.StringFlag{Name: "endings-file", Usage: "file that gets a line a request: unix_ms took_ms tries outcome"},
+		&cli.DurationFlag{Name: "patience", Value: loadgen.DefaultRequestTimeout, Usage: "limit for a request with all its attempts"},
+		&cli.DurationFlag{Name: "silent-after", Value: loadgen.DefaultIdleTimeout, Usage: "an attempt fails after this time without a byte"},
+		&cli.DurationFlag{Name: "max-backoff", Usage: "upper bound of the wait before a retry; 0: none"},
+		&cli.IntFlag{Name: "mark-after", Usage: "number of ended requests at which the mark file is written"},
+		&cli.StringFlag{Name: "mark-file", Usage: "file that is written when mark-after requests have ended"},
+		&cli.StringFlag{Name: "endings-file", Usage: "file that receives a line for each request: unix_ms took_ms tries outcome"},
 		&cli.StringFlag{Name: "log-level", Value: "warn"},
 	}
 }
@@ -74,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	endings, err := newEndings(c.String("endings-file"))
+	endings, err := newEndingsFile(c.String("endings-file"))
 	if err != nil {
 		return err
 	}
@@ -101,7 +100,7 @@
 		IdleTimeout:    c.Duration("silent-after"),
 		MaxBackoff:     c.Duration("max-backoff"),
 		Logger:         hclog.New(&hclog.LoggerOptions{Level: hclog.LevelFromString(c.String("log-level")), Output: os.Stderr}),
-		OnSettled:      marker(c.Int("mark-after"), c.String("mark-file")),
+		OnSettled:      newMarkWriter(c.Int("mark-after"), c.String("mark-file")),
 		OnEnd:          endings.write,
 	})
 	if err != nil {
@@ -109,7 +108,7 @@
 	}
 	report.Print(os.Stdout)
 	if report.Failed() {
-		return cli.Exit("a promise was broken", exitBroken)
+		return cli.Exit("a guarantee was violated", exitViolation)
 	}
 	return nil
 }
@@ -126,8 +125,9 @@
 	return orgs, nil
 }
 
-// marker returns a function that writes the mark file at one count of requests.
-func marker(after int, path string) func(int) {
+// newMarkWriter returns a function that writes the mark file when the number of ended
+// requests equals after.
+func newMarkWriter(after int, path string) func(int) {
 	if path == "" {
 		return nil
 	}
--- a/internal/loadgen/try.go
+++ b/internal/loadgen/attempt.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	pathCompletions = "/v1/completions"
-	endOfStream     = "[DONE]"
-	maxAnswer       = 8 << 20
+	pathCompletions  = "/v1/completions"
+	endOfStream      = "[DONE]"
+	maxResponseBytes = 8 << 20
 )
 
-// errNoAnswer reports a try that ended without an answer: the connection failed, went
-// silent, or ended before the answer was whole.
+// errNoAnswer marks an attempt without a complete response: the connection failed, timed
+// out while idle, or ended early.
 var errNoAnswer = errors.New("loadgen: no answer")
 
-// refusal is an answer that says why there is none.
+// refusal is the error of a response from a daemon.
 type refusal struct {
 	Code         request.Code       `json:"code"`
 	Message      string             `json:"message"`
@@ -65,29 +65,30 @@
 	Error *refusal `json:"error"`
 }
 
-// completion is an answer that ended as a whole one does.
+// completion is the answer of a stream that ended with the end marker.
 type completion struct {
 	text    string
 	usage   *usage
 	firstAt time.Time
 }
 
-// caller sends single tries.
-type caller struct {
+// apiClient sends single attempts to daemons.
+type apiClient struct {
 	client      *http.Client
-	silentAfter time.Duration
+	idleTimeout time.Duration
 }
 
-// complete makes one try of a completion. It fails with *refusal or errNoAnswer.
-func (c *caller) complete(ctx context.Context, address, key string, body completionBody) (completion, error) {
+// complete makes one attempt at a completion. Its error is a *refusal or is marked as
+// errNoAnswer.
+func (c *apiClient) complete(ctx context.Context, address, key string, body completionBody) (completion, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return completion{}, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(c.silentAfter, cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(c.idleTimeout, cancel)
+	defer idleTimer.Stop()
 	resp, err := c.post(ctx, address+pathCompletions, key, "", data)
 	if err != nil {
 		return completion{}, err
@@ -96,10 +97,10 @@
 	if resp.StatusCode != http.StatusOK {
 		return completion{}, readRefusal(resp)
 	}
-	return readStream(resp.Body, func() { silence.Reset(c.silentAfter) })
+	return readStream(resp.Body, func() { idleTimer.Reset(c.idleTimeout) })
 }
 
-func (c *caller) post(ctx context.Context, addressPath, key, idempotencyKey string, data []byte) (*http.Response, error) {
+func (c *apiClient) post(ctx context.Context, addressPath, key, idempotencyKey string, data []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addressPath, bytes.NewReader(data))
 	if err != nil {
 		return nil, err
@@ -116,9 +117,9 @@
 	return resp, nil
 }
 
-// readStream reads server-sent events up to the end marker. A stream that ends before
-// it has no answer, whatever came.
-func readStream(body io.Reader, alive func()) (completion, error) {
+// readStream reads server-sent events up to the end marker. A stream that ends before the
+// marker fails with errNoAnswer, whatever it has sent. onRead is called after each line.
+func readStream(body io.Reader, onRead func()) (completion, error) {
 	var out completion
 	var text strings.Builder
 	lines := bufio.NewReader(body)
@@ -127,7 +128,7 @@
 		if err != nil {
 			return out, errors.Mark(errors.Wrap(err, "stream"), errNoAnswer)
 		}
-		alive()
+		onRead()
 		data, ok := strings.CutPrefix(strings.TrimSpace(line), "data:")
 		if !ok {
 			continue
@@ -144,11 +145,11 @@
 		if c.Error != nil {
 			return out, c.Error
 		}
-		out.take(c, &text)
+		out.appendChunk(c, &text)
 	}
 }
 
-func (out *completion) take(c chunk, text *strings.Builder) {
+func (out *completion) appendChunk(c chunk, text *strings.Builder) {
 	if c.Usage != nil {
 		out.usage = c.Usage
 	}
@@ -160,9 +161,9 @@
 	}
 }
 
-// callService makes one try of a service call and returns the body of a good answer.
-func (c *caller) callService(ctx context.Context, address, key, path, idempotencyKey string, data []byte) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.silentAfter)
+// callService makes one attempt at a service call and returns the body of a 2xx response.
+func (c *apiClient) callService(ctx context.Context, address, key, path, idempotencyKey string, data []byte) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.idleTimeout)
 	defer cancel()
 	resp, err := c.post(ctx, address+path, key, idempotencyKey, data)
 	if err != nil {
@@ -172,19 +173,19 @@
 	if resp.StatusCode/100 != 2 {
 		return nil, readRefusal(resp)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, errors.Mark(err, errNoAnswer)
 	}
 	return body, nil
 }
 
-// readRefusal reads an error answer. One that does not follow the interface is no
-// answer.
+// readRefusal reads an error response. The error for a malformed response is marked as
+// errNoAnswer.
 func readRefusal(resp *http.Response) error {
 	var body errorBody
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&body); err != nil || body.Error == nil {
-		return errors.Mark(errors.Newf("status %d without an error", resp.StatusCode), errNoAnswer)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&body); err != nil || body.Error == nil {
+		return errors.Mark(errors.Newf("status %d without an error body", resp.StatusCode), errNoAnswer)
 	}
 	seconds, err := strconv.ParseInt(resp.Header.Get("Retry-After"), 10, 64)
 	if err == nil && body.Error.RetryAfterMs == 0 {
--- a/internal/loadgen/config.go
+++ b/internal/loadgen/config.go
@@ -1,7 +1,7 @@
-// Package loadgen drives callers against the daemons and checks what they get: each
-// answer whole and its own, each non-idempotent call executed at most once, and each
-// refusal that says "not run" true. It is a test driver and part of no program that
-// is shipped.
+// Package loadgen sends load to daemons and checks their responses: each answer is
+// complete and belongs to its request, each non-idempotent call is executed at most once,
+// and no request that was refused as "not run" was executed. It is a test driver and not
+// part of any released program.
 package loadgen
 
 import (
@@ -13,52 +13,52 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Org is an organisation on whose behalf callers act.
+// Org is an organisation whose callers are simulated.
 type Org struct {
 	ID  request.OrgID
 	Key string // bearer key
 }
 
-// Config of Run. Zero durations take defaults.
+// Config configures Run. A zero RequestTimeout or IdleTimeout selects the default.
 type Config struct {
-	Daemons  []string // host:port; asked for routes, and the fallback without one
-	Services []string // host:port of plain service stand-ins, read for executions
+	Daemons  []string // host:port; serve route lookups, and are the addresses to use without a route
+	Services []string // host:port of plain service stand-ins, whose executions are counted
 	Orgs     []Org
 	Model    request.Model
 	Seed     int64
-	// RunID makes idempotency keys and contexts apart from those of other runs. Empty:
-	// taken from the clock.
+	// RunID distinguishes idempotency keys and contexts from those of other runs. If it
+	// is empty, the start time is used.
 	RunID string
 
-	Contexts      int // of each organisation, each with one caller
-	Turns         int // completions on each context; all but the first are returns
+	Contexts      int // of each organisation, with one caller for each context
+	Turns         int // completions on each context; each after the first is a return
 	ContextTokens int
-	TurnTokens    int // of the prompt's end that differs between turns
+	TurnTokens    int // at the end of the prompt, different in each turn
 	MaxTokens     int
 	Gap           time.Duration // mean time between turns of a context
 
 	Service  string // plain service to call
 	Calls    int    // service calls of each organisation
-	Callers  int    // callers that share them
+	Callers  int    // of each organisation, which share its service calls
 	CallGap  time.Duration
 	CallBody int // bytes
 
-	RequestTimeout time.Duration // until a request without a final answer counts as lost
-	IdleTimeout    time.Duration // without a byte on an open connection: given up, tried elsewhere
-	MaxBackoff     time.Duration // longest wait before a retry, whatever Retry-After says; 0: none
+	RequestTimeout time.Duration // limit for a request with all its attempts
+	IdleTimeout    time.Duration // an attempt fails after this time without a byte
+	MaxBackoff     time.Duration // upper bound of the wait before a retry, also where Retry-After is longer; 0: no bound
 
 	Logger hclog.Logger
-	// OnSettled, if set, is told after each request how many have their final outcome.
+	// OnSettled, if set, is called after the end of each request with the number of
+	// requests that have ended.
 	OnSettled func(settled int)
-	// OnEnd, if set, is told of each request when it has its final outcome. It is called
-	// from many goroutines.
+	// OnEnd, if set, is called at the end of each request. Calls are concurrent.
 	OnEnd func(RequestEnd)
 }
 
-// RequestEnd is how and when one request ended.
+// RequestEnd describes the end of one request.
 type RequestEnd struct {
 	At       time.Time
-	Duration time.Duration // from the first try on
+	Duration time.Duration // since the start of the first attempt
 	Attempts int
 	Outcome  string
 }
@@ -67,7 +67,7 @@
 const (
 	DefaultRequestTimeout = time.Minute
 	DefaultIdleTimeout    = 10 * time.Second
-	DefaultBackoff        = 100 * time.Millisecond // where an answer names no time
+	DefaultBackoff        = 100 * time.Millisecond // if a refusal has no retry-after time
 )
 
 func (c Config) withDefaults() Config {
@@ -90,15 +90,15 @@
 func (c Config) check() error {
 	switch {
 	case len(c.Daemons) == 0:
-		return errors.New("loadgen: no daemons")
+		return errors.New("loadgen: no daemons configured")
 	case len(c.Orgs) == 0:
-		return errors.New("loadgen: no organisations")
+		return errors.New("loadgen: no organisations configured")
 	case c.Contexts > 0 && (c.Model == "" || c.ContextTokens <= 0 || c.MaxTokens <= 0 || c.Turns <= 0):
-		return errors.New("loadgen: contexts need a model, turns, context tokens and output tokens")
+		return errors.New("loadgen: contexts require a model, turns, context tokens and output tokens")
 	case c.Calls > 0 && (c.Service == "" || len(c.Services) == 0):
-		return errors.New("loadgen: calls need a service and the addresses of its stand-ins")
+		return errors.New("loadgen: calls require a service and the addresses of its stand-ins")
 	case c.Contexts == 0 && c.Calls == 0:
-		return errors.New("loadgen: nothing to do")
+		return errors.New("loadgen: neither contexts nor calls configured")
 	}
 	return nil
 }
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -32,21 +32,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// daemon is a small daemon for tests: it answers completions by itself, and hands
-// service calls to a stand-in, remembering results by key. Its fields are faults.
+// daemon is a fake daemon. It answers completions itself, forwards service calls to a
+// stand-in, and stores their results by idempotency key. Its bool fields inject faults.
 type daemon struct {
 	service *service.Service
 
-	swapAnswers bool // answers the prompt with another prompt's words
-	cutShort    bool // leaves out the last word, and ends as if whole
-	forgets     bool // does not remember results by key, and loses the first answer
-	liesNotRun  bool // runs the call and says that it did not
-	refuseFirst bool // refuses the first try of each request, and asks to come back
-	losesFirst  bool // closes the connection on the first try of each request
+	swapAnswers     bool // answers with the text for another prompt
+	truncateAnswers bool // omits the last word and ends the stream normally
+	dropResults     bool // does not store results by key, and aborts the first response to each key
+	falseNotRun     bool // executes the call and refuses it as not run
+	refuseFirst     bool // refuses the first attempt of each request with a retry-after time
+	abortFirst      bool // closes the connection on the first attempt of each request
 
-	mu      sync.Mutex
-	seen    map[string]int
-	results map[string][]byte
+	mu       sync.Mutex
+	attempts map[string]int
+	results  map[string][]byte
 }
 
 func (d *daemon) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -57,9 +57,9 @@
 		json.NewEncoder(w).Encode(map[string]any{"addresses": []string{r.Host}, "keep_ms": 1000})
 	case !strings.HasPrefix(r.Header.Get("Authorization"), "Bearer key-"):
 		d.refuse(w, "unauthorized", "not_run", 0)
-	case d.refuseFirst && d.visit(key+string(body)) == 1:
+	case d.refuseFirst && d.countAttempt(key+string(body)) == 1:
 		d.refuse(w, "overloaded", "not_run", 1)
-	case d.losesFirst && key == "" && d.visit(string(body)) == 1:
+	case d.abortFirst && key == "" && d.countAttempt(string(body)) == 1:
 		panic(http.ErrAbortHandler)
 	case key != "":
 		d.call(w, r, key, body)
@@ -68,11 +68,11 @@
 	}
 }
 
-func (d *daemon) visit(what string) int {
+func (d *daemon) countAttempt(what string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seen[what]++
-	return d.seen[what]
+	d.attempts[what]++
+	return d.attempts[what]
 }
 
 func (d *daemon) refuse(w http.ResponseWriter, code, ran string, retryAfterMs int) {
@@ -84,7 +84,7 @@
 	d.mu.Lock()
 	result := d.results[key]
 	d.mu.Unlock()
-	if result == nil || d.forgets {
+	if result == nil || d.dropResults {
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		recorder := httptest.NewRecorder()
 		d.service.ServeHTTP(recorder, r)
@@ -93,11 +93,11 @@
 		d.results[key] = result
 		d.mu.Unlock()
 	}
-	if d.liesNotRun {
+	if d.falseNotRun {
 		d.refuse(w, "no_target", "not_run", 0)
 		return
 	}
-	if (d.forgets || d.losesFirst) && d.visit(key) == 1 {
+	if (d.dropResults || d.abortFirst) && d.countAttempt(key) == 1 {
 		panic(http.ErrAbortHandler)
 	}
 	w.Write(result)
@@ -113,7 +113,7 @@
 	if d.swapAnswers {
 		words = strings.SplitAfter(engine.ExpectedText("another prompt", req.MaxTokens), " ")
 	}
-	if d.cutShort {
+	if d.truncateAnswers {
 		words = words[:len(words)-2]
 	}
 	for _, word := range words {
@@ -125,33 +125,34 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// The load driver itself must see each broken promise, and must not see one where a
-// daemon refuses, loses connections or is not there, and callers try again.
-func TestBrokenPromisesAreSeen(t *testing.T) {
+// TestGuaranteeViolationsAreReported checks that the report shows each violated guarantee,
+// and shows none if a daemon refuses requests, closes connections or is unreachable and
+// the callers succeed on a retry.
+func TestGuaranteeViolationsAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		daemon *daemon
 		check  func(loadgen.Report) bool
 	}{
-		{"sound", &daemon{}, func(r loadgen.Report) bool {
+		{"correct", &daemon{}, func(r loadgen.Report) bool {
 			return !r.Failed() && r.Answered == requests && r.RecomputedShare() > 0.49 && r.RecomputedShare() < 0.51
 		}},
-		{"refuses first", &daemon{refuseFirst: true}, func(r loadgen.Report) bool {
+		{"refuses first attempts", &daemon{refuseFirst: true}, func(r loadgen.Report) bool {
 			return !r.Failed() && r.Answered == requests && r.Refused == requests
 		}},
-		{"loses first answers", &daemon{losesFirst: true}, func(r loadgen.Report) bool {
+		{"closes connections of first attempts", &daemon{abortFirst: true}, func(r loadgen.Report) bool {
 			return !r.Failed() && r.Answered == requests
 		}},
 		{"swaps answers", &daemon{swapAnswers: true}, func(r loadgen.Report) bool {
 			return r.Failed() && r.Lost == orgCount*contexts*turns
 		}},
-		{"cuts answers short", &daemon{cutShort: true}, func(r loadgen.Report) bool {
+		{"truncates answers", &daemon{truncateAnswers: true}, func(r loadgen.Report) bool {
 			return r.Failed() && r.Lost == orgCount*contexts*turns
 		}},
-		{"forgets results", &daemon{forgets: true}, func(r loadgen.Report) bool {
+		{"drops results", &daemon{dropResults: true}, func(r loadgen.Report) bool {
 			return r.Failed() && r.DuplicateExecutions == orgCount*callCount
 		}},
-		{"says not run of what ran", &daemon{liesNotRun: true}, func(r loadgen.Report) bool {
+		{"reports executed calls as not run", &daemon{falseNotRun: true}, func(r loadgen.Report) bool {
 			return r.Failed() && r.FalseNotRun == orgCount*callCount
 		}},
 	} {
@@ -167,7 +168,7 @@
 func runAgainst(t *testing.T, d *daemon) loadgen.Report {
 	t.Helper()
 	d.service = service.New(service.Options{})
-	d.seen = make(map[string]int)
+	d.attempts = make(map[string]int)
 	d.results = make(map[string][]byte)
 	plain := httptest.NewServer(d.service)
 	defer plain.Close()
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -9,53 +9,54 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// outcome is how a request ended for its caller.
+// outcome is the final result of a request from the view of its caller.
 type outcome int
 
 const (
-	outcomeAnswered   outcome = iota // whole, and its own
-	outcomeWrong                     // not its own, or not whole although it ended as if it were
-	outcomeUnanswered                // no final answer in time
-	outcomeInDoubt                   // told that it may have run
-	outcomeGivenUp                   // last told that it did not run
-	outcomeNotKept                   // told that it ran and that its result is no longer kept
-	outcomes
+	outcomeAnswered      outcome = iota // complete, and the expected answer
+	outcomeWrong                        // an unexpected answer, or one that ended normally although it is incomplete
+	outcomeUnanswered                   // no final answer before the timeout
+	outcomeInDoubt                      // last refusal: the request may have run
+	outcomeNotRun                       // last refusal: the request did not run
+	outcomeResultNotKept                // last refusal: the request ran, and its result is no longer stored
+	outcomeCount
 )
 
-var outcomeNames = [outcomes]string{"answered", "wrong", "unanswered", "in_doubt", "given_up", "not_kept"}
+var outcomeNames = [outcomeCount]string{"answered", "wrong", "unanswered", "in_doubt", "given_up", "not_kept"}
 
 // String implements fmt.Stringer.
 func (o outcome) String() string { return outcomeNames[o] }
 
 const (
-	shortestTTFT  = int64(time.Microsecond)
-	longestTTFT   = int64(time.Hour)
+	minTTFT       = int64(time.Microsecond)
+	maxTTFT       = int64(time.Hour)
 	ttftPrecision = 3 // digits
 )
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Requests            int
 	Answered            int
 	Lost                int // Wrong + Unanswered + NotExecuted
 	Wrong               int
 	Unanswered          int
-	NotExecuted         int // calls that were answered but never executed
+	NotExecuted         int // service calls that were answered but never executed
 	InDoubt             int
 	NotRun              int
 	ResultNotKept       int
-	DuplicateExecutions int // keys executed more than once
-	FalseNotRun         int // keys last refused as "not run" that were executed
-	Refused             int // refusals on the way, each followed by a retry or by giving up
-	FailedAttempts      int // tries that ended without an answer and were made again
+	DuplicateExecutions int // idempotency keys that were executed more than once
+	FalseNotRun         int // idempotency keys that were executed although last refused as "not run"
+	Refused             int // refusals, including those that were followed by a retry
+	FailedAttempts      int // attempts that ended without a response
 
 	TTFTP50, TTFTP95             time.Duration // of all completions
-	ReturnTTFTP50, ReturnTTFTP95 time.Duration // of those on a returning context
-	PromptTokens, CachedTokens   int64         // of returning prompts
+	ReturnTTFTP50, ReturnTTFTP95 time.Duration // of completions on a returning context
+	PromptTokens, CachedTokens   int64         // of prompts on returning contexts
 	Elapsed                      time.Duration
 }
 
-// RecomputedShare is the share of returning prompts' tokens that was computed again.
+// RecomputedShare returns the share of the prompt tokens on returning contexts that were
+// not served from a prefix cache.
 func (r Report) RecomputedShare() float64 {
 	if r.PromptTokens == 0 {
 		return 0
@@ -63,12 +64,12 @@
 	return 1 - float64(r.CachedTokens)/float64(r.PromptTokens)
 }
 
-// Failed tells whether the run shows a broken promise, or nothing at all.
+// Failed reports whether a guarantee was violated or no request was answered.
 func (r Report) Failed() bool {
 	return r.Lost > 0 || r.DuplicateExecutions > 0 || r.FalseNotRun > 0 || r.Answered == 0
 }
 
-// Print writes the report as lines of name=value.
+// Print writes the report as name=value lines.
 func (r Report) Print(w io.Writer) {
 	for _, line := range []struct {
 		name  string
@@ -102,44 +103,44 @@
 	return fmt.Sprintf("%.1f", float64(d)/float64(time.Millisecond))
 }
 
-// tally collects outcomes while callers run.
+// tally counts outcomes while callers run.
 type tally struct {
 	onSettled func(int)
 
-	mu       sync.Mutex
-	counts   [outcomes]int
-	settled  int
-	refused  int
-	cut      int
-	ttft     *hdrhistogram.Histogram
-	returns  *hdrhistogram.Histogram
-	prompt   int64
-	cached   int64
-	outcomes map[string]outcome // of service calls, by key
+	mu             sync.Mutex
+	counts         [outcomeCount]int
+	settled        int
+	refusals       int
+	failedAttempts int
+	ttft           *hdrhistogram.Histogram
+	returnTTFT     *hdrhistogram.Histogram
+	promptTokens   int64
+	cachedTokens   int64
+	outcomes       map[string]outcome // of service calls, by key
 }
 
 func newTally(onSettled func(int)) *tally {
 	return &tally{
-		onSettled: onSettled,
-		ttft:      hdrhistogram.New(shortestTTFT, longestTTFT, ttftPrecision),
-		returns:   hdrhistogram.New(shortestTTFT, longestTTFT, ttftPrecision),
-		outcomes:  make(map[string]outcome),
+		onSettled:  onSettled,
+		ttft:       hdrhistogram.New(minTTFT, maxTTFT, ttftPrecision),
+		returnTTFT: hdrhistogram.New(minTTFT, maxTTFT, ttftPrecision),
+		outcomes:   make(map[string]outcome),
 	}
 }
 
-func (t *tally) refusal() {
+func (t *tally) countRefusal() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.refused++
+	t.refusals++
 }
 
-func (t *tally) lostConnection() {
+func (t *tally) countFailedAttempt() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.cut++
+	t.failedAttempts++
 }
 
-func (t *tally) settle(o outcome) {
+func (t *tally) recordOutcome(o outcome) {
 	t.mu.Lock()
 	t.counts[o]++
 	t.settled++
@@ -150,34 +151,35 @@
 	}
 }
 
-func (t *tally) settleCompletion(o outcome, returning bool, ttft time.Duration, usage usage) {
+func (t *tally) recordCompletion(o outcome, returning bool, ttft time.Duration, usage usage) {
 	if o == outcomeAnswered {
-		t.measure(returning, ttft, usage)
+		t.recordLatency(returning, ttft, usage)
 	}
-	t.settle(o)
+	t.recordOutcome(o)
 }
 
-func (t *tally) measure(returning bool, ttft time.Duration, usage usage) {
-	value := min(max(int64(ttft), shortestTTFT), longestTTFT)
+func (t *tally) recordLatency(returning bool, ttft time.Duration, usage usage) {
+	value := min(max(int64(ttft), minTTFT), maxTTFT)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ttft.RecordValue(value)
 	if !returning {
 		return
 	}
-	t.returns.RecordValue(value)
-	t.prompt += int64(usage.PromptTokens)
-	t.cached += int64(usage.CachedTokens)
+	t.returnTTFT.RecordValue(value)
+	t.promptTokens += int64(usage.PromptTokens)
+	t.cachedTokens += int64(usage.CachedTokens)
 }
 
-func (t *tally) settleCall(key string, o outcome) {
+func (t *tally) recordCall(key string, o outcome) {
 	t.mu.Lock()
 	t.outcomes[key] = o
 	t.mu.Unlock()
-	t.settle(o)
+	t.recordOutcome(o)
 }
 
-// report sums up, with executions by idempotency key.
+// report returns the report of the run. executions holds the number of executions by
+// idempotency key.
 func (t *tally) report(executions map[string]int) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -187,25 +189,25 @@
 		Wrong:          t.counts[outcomeWrong],
 		Unanswered:     t.counts[outcomeUnanswered],
 		InDoubt:        t.counts[outcomeInDoubt],
-		NotRun:         t.counts[outcomeGivenUp],
-		ResultNotKept:  t.counts[outcomeNotKept],
-		Refused:        t.refused,
-		FailedAttempts: t.cut,
+		NotRun:         t.counts[outcomeNotRun],
+		ResultNotKept:  t.counts[outcomeResultNotKept],
+		Refused:        t.refusals,
+		FailedAttempts: t.failedAttempts,
 		TTFTP50:        time.Duration(t.ttft.ValueAtQuantile(50)),
 		TTFTP95:        time.Duration(t.ttft.ValueAtQuantile(95)),
-		ReturnTTFTP50:  time.Duration(t.returns.ValueAtQuantile(50)),
-		ReturnTTFTP95:  time.Duration(t.returns.ValueAtQuantile(95)),
-		PromptTokens:   t.prompt,
-		CachedTokens:   t.cached,
+		ReturnTTFTP50:  time.Duration(t.returnTTFT.ValueAtQuantile(50)),
+		ReturnTTFTP95:  time.Duration(t.returnTTFT.ValueAtQuantile(95)),
+		PromptTokens:   t.promptTokens,
+		CachedTokens:   t.cachedTokens,
 	}
 	for key, o := range t.outcomes {
 		n := executions[key]
 		switch {
 		case n > 1:
 			r.DuplicateExecutions++
-		case n == 1 && o == outcomeGivenUp:
+		case n == 1 && o == outcomeNotRun:
 			r.FalseNotRun++
-		case n == 0 && (o == outcomeAnswered || o == outcomeNotKept):
+		case n == 0 && (o == outcomeAnswered || o == outcomeResultNotKept):
 			r.NotExecuted++
 		}
 	}
--- a/internal/loadgen/route.go
+++ b/internal/loadgen/route.go
@@ -19,30 +19,30 @@
 const (
 	pathRoute    = "/v1/route"
 	routeTimeout = 2 * time.Second
-	// suspectFor is how long an address that failed is turned to last.
-	suspectFor = time.Second
+	// failedAddressTTL is how long other addresses are preferred to one that failed.
+	failedAddressTTL = time.Second
 )
 
-// routeAnswer is the answer to a route question.
-type routeAnswer struct {
-	Addresses []string `json:"addresses"` // ip:port, best first
+// routeResponse is the response of a daemon to a route query.
+type routeResponse struct {
+	Addresses []string `json:"addresses"` // ip:port, in order of preference
 	KeepMs    int64    `json:"keep_ms"`
 }
 
-// routeQuestion asks where to send requests about one context or to one service.
-type routeQuestion struct {
+// routeQuery identifies the context or the service whose requests are to be routed.
+type routeQuery struct {
 	key     string // bearer key
 	model   request.Model
-	head    string // digest of the prompt's head
+	head    string // digest of the first block of the prompt
 	service string
 }
 
-func completionRoute(key string, model request.Model, prompt string) routeQuestion {
+func completionRoute(key string, model request.Model, prompt string) routeQuery {
 	sum := sha256.Sum256([]byte(prompt[:min(len(prompt), block.BytesPerBlock)]))
-	return routeQuestion{key: key, model: model, head: hex.EncodeToString(sum[:])}
+	return routeQuery{key: key, model: model, head: hex.EncodeToString(sum[:])}
 }
 
-func (q routeQuestion) query() string {
+func (q routeQuery) encode() string {
 	v := url.Values{}
 	if q.service != "" {
 		v.Set("service", q.service)
@@ -53,110 +53,111 @@
 	return v.Encode()
 }
 
-type keptRoute struct {
+type cachedRoute struct {
 	addresses []string
-	until     time.Time
+	expiresAt time.Time
 }
 
-// router keeps route answers for as long as they say, as callers do.
+// router looks up routes and caches them for the time that the response allows, as callers
+// do.
 type router struct {
 	daemons []string
 	client  *http.Client
 
-	mu       sync.Mutex
-	first    int // daemon to ask next
-	routes   map[routeQuestion]keptRoute
-	suspects map[string]time.Time // address -> until when
+	mu          sync.Mutex
+	nextDaemon  int // index of the daemon that receives the next lookup
+	routes      map[routeQuery]cachedRoute
+	failedUntil map[string]time.Time // address -> end of its failedAddressTTL
 }
 
 func newRouter(daemons []string, transport http.RoundTripper) *router {
 	return &router{
-		daemons:  daemons,
-		client:   &http.Client{Transport: transport, Timeout: routeTimeout},
-		routes:   make(map[routeQuestion]keptRoute),
-		suspects: make(map[string]time.Time),
+		daemons:     daemons,
+		client:      &http.Client{Transport: transport, Timeout: routeTimeout},
+		routes:      make(map[routeQuery]cachedRoute),
+		failedUntil: make(map[string]time.Time),
 	}
 }
 
-// address returns where to send a request now.
-func (r *router) address(ctx context.Context, q routeQuestion) string {
-	addresses := r.kept(q)
+// address returns the address to use for the next attempt.
+func (r *router) address(ctx context.Context, q routeQuery) string {
+	addresses := r.cached(q)
 	if len(addresses) == 0 {
-		addresses = r.ask(ctx, q)
+		addresses = r.fetch(ctx, q)
 	}
 	return r.best(append(addresses, r.daemons...))
 }
 
-func (r *router) kept(q routeQuestion) []string {
+func (r *router) cached(q routeQuery) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	route := r.routes[q]
-	if time.Now().After(route.until) {
+	if time.Now().After(route.expiresAt) {
 		return nil
 	}
 	return route.addresses
 }
 
-// best returns the first address that did not fail of late, or the one that failed
-// longest ago.
+// best returns the first address without a recent failure. If every address has one, it
+// returns the address whose failure is the oldest.
 func (r *router) best(addresses []string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	best := addresses[0]
 	for _, a := range addresses {
-		if !now.Before(r.suspects[a]) {
+		if !now.Before(r.failedUntil[a]) {
 			return a
 		}
-		if r.suspects[a].Before(r.suspects[best]) {
+		if r.failedUntil[a].Before(r.failedUntil[best]) {
 			best = a
 		}
 	}
 	return best
 }
 
-// fail notes that an address did not answer.
-func (r *router) fail(address string) {
+// markFailed records that an attempt at an address got no response.
+func (r *router) markFailed(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.suspects[address] = time.Now().Add(suspectFor)
+	r.failedUntil[address] = time.Now().Add(failedAddressTTL)
 }
 
-// ask puts the question to one daemon after the other.
-func (r *router) ask(ctx context.Context, q routeQuestion) []string {
+// fetch looks up a route at one daemon after another until one returns addresses.
+func (r *router) fetch(ctx context.Context, q routeQuery) []string {
 	r.mu.Lock()
-	first := r.first
-	r.first++
+	first := r.nextDaemon
+	r.nextDaemon++
 	r.mu.Unlock()
 	for i := range r.daemons {
 		daemon := r.daemons[(first+i)%len(r.daemons)]
-		answer, err := r.askOne(ctx, daemon, q)
-		if err != nil || len(answer.Addresses) == 0 {
+		response, err := r.fetchFrom(ctx, daemon, q)
+		if err != nil || len(response.Addresses) == 0 {
 			continue
 		}
-		keep := time.Duration(answer.KeepMs) * time.Millisecond
+		ttl := time.Duration(response.KeepMs) * time.Millisecond
 		r.mu.Lock()
-		r.routes[q] = keptRoute{addresses: answer.Addresses, until: time.Now().Add(keep)}
+		r.routes[q] = cachedRoute{addresses: response.Addresses, expiresAt: time.Now().Add(ttl)}
 		r.mu.Unlock()
-		return answer.Addresses
+		return response.Addresses
 	}
 	return nil
 }
 
-func (r *router) askOne(ctx context.Context, daemon string, q routeQuestion) (routeAnswer, error) {
-	var answer routeAnswer
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+daemon+pathRoute+"?"+q.query(), nil)
+func (r *router) fetchFrom(ctx context.Context, daemon string, q routeQuery) (routeResponse, error) {
+	var response routeResponse
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+daemon+pathRoute+"?"+q.encode(), nil)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	req.Header.Set("Authorization", "Bearer "+q.key)
 	resp, err := r.client.Do(req)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return answer, errors.Newf("route: status %d", resp.StatusCode)
+		return response, errors.Newf("route lookup: status %d", resp.StatusCode)
 	}
-	return answer, json.NewDecoder(resp.Body).Decode(&answer)
+	return response, json.NewDecoder(resp.Body).Decode(&response)
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -22,23 +22,23 @@
 )
 
 const (
-	dialTimeout   = time.Second
-	idlePerDaemon = 64
-	readTimeout   = 5 * time.Second
-	letters       = "abcdefghijklmnopqrstuvwxyz "
+	dialTimeout           = time.Second
+	maxIdleConnsPerDaemon = 64
+	executionsTimeout     = 5 * time.Second
+	letters               = "abcdefghijklmnopqrstuvwxyz "
 )
 
-// driver is one run.
+// driver holds the state of one run.
 type driver struct {
 	c      Config
 	log    hclog.Logger
 	router *router
-	caller *caller
+	api    *apiClient
 	tally  *tally
 }
 
-// Run drives the load and returns what it showed. It fails only if it could not
-// measure; broken promises are in the report.
+// Run sends the load and returns the report. It returns an error only if it could not
+// complete the measurement. Violated guarantees are part of the report.
 func Run(ctx context.Context, c Config) (Report, error) {
 	if err := c.check(); err != nil {
 		return Report{}, err
@@ -46,21 +46,21 @@
 	c = c.withDefaults()
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: idlePerDaemon,
+		MaxIdleConnsPerHost: maxIdleConnsPerDaemon,
 	}
 	defer transport.CloseIdleConnections()
 	d := &driver{
 		c:      c,
 		log:    c.Logger.Named("loadgen"),
 		router: newRouter(c.Daemons, transport),
-		caller: &caller{client: &http.Client{Transport: transport}, silentAfter: c.IdleTimeout},
+		api:    &apiClient{client: &http.Client{Transport: transport}, idleTimeout: c.IdleTimeout},
 		tally:  newTally(c.OnSettled),
 	}
 	start := time.Now()
 	d.drive(ctx)
 	elapsed := time.Since(start)
 	if err := ctx.Err(); err != nil {
-		return Report{}, errors.Wrap(err, "loadgen: stopped")
+		return Report{}, errors.Wrap(err, "loadgen: run cancelled")
 	}
 	executions, err := d.executions(ctx)
 	if err != nil {
@@ -89,13 +89,14 @@
 	}
 }
 
-// newRand gives each caller its own numbers, so that a seed determines what each does.
+// newRand returns a random source for one caller. Each caller has its own, so that the
+// seed determines the requests of each caller whatever their interleaving is.
 func (d *driver) newRand(org, caller int) *rand.Rand {
 	const spread = 1_000_003
 	return rand.New(rand.NewSource((d.c.Seed*spread+int64(org))*spread + int64(caller)))
 }
 
-// runContext asks about one context again and again, with gaps.
+// runContext sends the completions of one context with gaps between them.
 func (d *driver) runContext(ctx context.Context, org Org, n int, rng *rand.Rand) {
 	head := fmt.Sprintf("%s %s %d ", d.c.RunID, org.ID, n)
 	text := head + randomText(rng, d.c.ContextTokens*block.BytesPerToken-len(head))
@@ -103,18 +104,19 @@
 		return
 	}
 	for turn := range d.c.Turns {
-		if turn > 0 && sleep.For(ctx, gap(rng, d.c.Gap)) != nil {
+		if turn > 0 && sleep.For(ctx, randomGap(rng, d.c.Gap)) != nil {
 			return
 		}
 		prompt := text + randomText(rng, d.c.TurnTokens*block.BytesPerToken)
-		d.ask(ctx, org, prompt, turn > 0)
+		d.runCompletion(ctx, org, prompt, turn > 0)
 	}
 }
 
-// gap draws a time around a mean, at least a fifth and at most three times of it.
-func gap(rng *rand.Rand, mean time.Duration) time.Duration {
-	const shortest, longest = 0.2, 3
-	return time.Duration(min(max(rng.ExpFloat64(), shortest), longest) * float64(mean))
+// randomGap returns an exponentially distributed time with the given mean, limited to
+// between a fifth and three times the mean.
+func randomGap(rng *rand.Rand, mean time.Duration) time.Duration {
+	const minFactor, maxFactor = 0.2, 3
+	return time.Duration(min(max(rng.ExpFloat64(), minFactor), maxFactor) * float64(mean))
 }
 
 func randomText(rng *rand.Rand, n int) string {
@@ -125,15 +127,16 @@
 	return b.String()
 }
 
-// ask gets one completion, by as many tries as it takes: a completion may be repeated.
-func (d *driver) ask(ctx context.Context, org Org, prompt string, returning bool) {
+// runCompletion sends one completion and checks its answer. Completions are idempotent and
+// may be retried after any failure.
+func (d *driver) runCompletion(ctx context.Context, org Org, prompt string, returning bool) {
 	route := completionRoute(org.Key, d.c.Model, prompt)
 	body := completionBody{Model: d.c.Model, Prompt: prompt, MaxTokens: d.c.MaxTokens, Stream: true}
 	start := time.Now()
 	var answer completion
-	o, tries := d.retry(ctx, route, func(ctx context.Context, address string) error {
+	o, attempts := d.retry(ctx, route, func(ctx context.Context, address string) error {
 		var err error
-		answer, err = d.caller.complete(ctx, address, org.Key, body)
+		answer, err = d.api.complete(ctx, address, org.Key, body)
 		return err
 	})
 	if ctx.Err() != nil {
@@ -145,8 +148,8 @@
 			u = *answer.usage
 		}
 	}
-	d.ended(start, tries, o)
-	d.tally.settleCompletion(o, returning, answer.firstAt.Sub(start), u)
+	d.notifyEnd(start, attempts, o)
+	d.tally.recordCompletion(o, returning, answer.firstAt.Sub(start), u)
 }
 
 func (d *driver) checkCompletion(org Org, body completionBody, answer completion) outcome {
@@ -154,14 +157,14 @@
 	if answer.text == want && answer.usage != nil && answer.usage.CompletionTokens == body.MaxTokens {
 		return outcomeAnswered
 	}
-	d.log.Error("Wrong answer", "org", org.ID, "got", len(answer.text), "want", len(want), "usage", answer.usage)
+	d.log.Error("Completion differs from the expected text", "org", org.ID, "got", len(answer.text), "want", len(want), "usage", answer.usage)
 	return outcomeWrong
 }
 
-// runCaller makes one caller's share of an organisation's service calls.
+// runCaller sends one caller's share of the service calls of an organisation.
 func (d *driver) runCaller(ctx context.Context, org Org, caller int, rng *rand.Rand) {
 	for n := caller; n < d.c.Calls; n += d.c.Callers {
-		if sleep.For(ctx, gap(rng, d.c.CallGap)) != nil {
+		if sleep.For(ctx, randomGap(rng, d.c.CallGap)) != nil {
 			return
 		}
 		key := fmt.Sprintf("%s-%s-%d", d.c.RunID, org.ID, n)
@@ -169,102 +172,104 @@
 	}
 }
 
-// callService gets one call produced. Every try carries the same key.
+// callService sends one service call. Every attempt has the same idempotency key.
 func (d *driver) callService(ctx context.Context, org Org, key string, body []byte) {
 	path := service.PathServices + d.c.Service + "/run"
 	var answer []byte
 	start := time.Now()
-	o, tries := d.retry(ctx, routeQuestion{key: org.Key, service: d.c.Service}, func(ctx context.Context, address string) error {
+	o, attempts := d.retry(ctx, routeQuery{key: org.Key, service: d.c.Service}, func(ctx context.Context, address string) error {
 		var err error
-		answer, err = d.caller.callService(ctx, address, org.Key, path, key, body)
-		return d.finalForCall(err)
+		answer, err = d.api.callService(ctx, address, org.Key, path, key, body)
+		return d.markNotRetryable(err)
 	})
 	if ctx.Err() != nil {
 		return
 	}
 	var result service.Answer
 	if o == outcomeAnswered && (json.Unmarshal(answer, &result) != nil || result.Key != key || result.Bytes != len(body)) {
-		d.log.Error("Wrong result", "key", key, "got", string(answer))
+		d.log.Error("Service returned an unexpected result", "key", key, "got", string(answer))
 		o = outcomeWrong
 	}
-	d.ended(start, tries, o)
-	d.tally.settleCall(key, o)
+	d.notifyEnd(start, attempts, o)
+	d.tally.recordCall(key, o)
 }
 
-// ended tells who asked for it how a request ended.
-func (d *driver) ended(start time.Time, tries int, o outcome) {
+// notifyEnd calls OnEnd if it is set.
+func (d *driver) notifyEnd(start time.Time, attempts int, o outcome) {
 	if d.c.OnEnd == nil {
 		return
 	}
 	now := time.Now()
-	d.c.OnEnd(RequestEnd{At: now, Duration: now.Sub(start), Attempts: tries, Outcome: o.String()})
+	d.c.OnEnd(RequestEnd{At: now, Duration: now.Sub(start), Attempts: attempts, Outcome: o.String()})
 }
 
-// errFinal marks a refusal after which no try may follow.
-var errFinal = errors.New("loadgen: final")
+// errNotRetryable marks a refusal after which the request must not be retried.
+var errNotRetryable = errors.New("loadgen: not retryable")
 
-// finalForCall marks what ends a call that may not be repeated: unlike a completion,
-// it is not tried again after an answer that it is in doubt or has run.
-func (d *driver) finalForCall(err error) error {
+// markNotRetryable marks refusals that end a service call. Unlike a completion, a service
+// call is not retried once a refusal says that it has run or is in doubt, except while it
+// is still in progress.
+func (d *driver) markNotRetryable(err error) error {
 	var r *refusal
 	if !errors.As(err, &r) || r.Ran == request.NotRun || r.Code == request.CodeInProgress {
 		return err
 	}
-	return errors.Mark(err, errFinal)
+	return errors.Mark(err, errNotRetryable)
 }
 
-// retry makes tries until one is answered, a refusal is final, or patience ends. It
-// turns to another address when one gives no answer. It returns how many tries it made.
-func (d *driver) retry(ctx context.Context, route routeQuestion, try func(context.Context, string) error) (o outcome, tries int) {
+// retry makes attempts until one is answered, a refusal is terminal, or the request times
+// out. After an attempt without a response it prefers other addresses. It returns the
+// outcome and the number of attempts.
+func (d *driver) retry(ctx context.Context, route routeQuery, attempt func(context.Context, string) error) (o outcome, attempts int) {
 	ctx, cancel := context.WithTimeout(ctx, d.c.RequestTimeout)
 	defer cancel()
 	last := outcomeUnanswered
 	for {
 		address := d.router.address(ctx, route)
-		tries++
-		err := try(ctx, address)
+		attempts++
+		err := attempt(ctx, address)
 		if err == nil {
-			return outcomeAnswered, tries
+			return outcomeAnswered, attempts
 		}
 		if ctx.Err() != nil {
-			d.log.Warn("Caller gave up", "address", address, "error", err)
-			return last, tries
+			d.log.Warn("Request timed out", "address", address, "error", err)
+			return last, attempts
 		}
 		wait := DefaultBackoff
 		var r *refusal
 		if errors.As(err, &r) {
-			d.tally.refusal()
+			d.tally.countRefusal()
 			last = outcomeOf(r)
-			if isFinal(err, r) {
-				d.log.Debug("Final refusal", "address", address, "error", err)
-				return last, tries
+			if isTerminal(err, r) {
+				d.log.Debug("Request refused, not retrying", "address", address, "error", err)
+				return last, attempts
 			}
-			d.log.Debug("Refused, tries again", "address", address, "error", err)
+			d.log.Debug("Request refused, retrying", "address", address, "error", err)
 			wait = d.backoff(r)
 		} else {
-			d.log.Debug("No answer", "address", address, "error", err)
-			d.tally.lostConnection()
-			d.router.fail(address)
+			d.log.Debug("Attempt got no response, retrying", "address", address, "error", err)
+			d.tally.countFailedAttempt()
+			d.router.markFailed(address)
 			last = outcomeUnanswered
 		}
 		if sleep.For(ctx, wait) != nil {
-			return last, tries
+			return last, attempts
 		}
 	}
 }
 
-// isFinal tells whether to stop trying: the request did not run and coming back will
-// not help, or the call may not be repeated.
-func isFinal(err error, r *refusal) bool {
-	return errors.Is(err, errFinal) || (r.Ran == request.NotRun && r.RetryAfterMs == 0)
+// isTerminal reports whether a refusal ends the request: either the request must not be
+// retried, or it did not run and the refusal has no retry-after time.
+func isTerminal(err error, r *refusal) bool {
+	return errors.Is(err, errNotRetryable) || (r.Ran == request.NotRun && r.RetryAfterMs == 0)
 }
 
 func outcomeOf(r *refusal) outcome {
 	switch {
 	case r.Code == request.CodeResultNotKept:
-		return outcomeNotKept
+		return outcomeResultNotKept
 	case r.Ran == request.NotRun:
-		return outcomeGivenUp
+		return outcomeNotRun
 	case r.Ran == request.InDoubt:
 		return outcomeInDoubt
 	default:
@@ -283,10 +288,11 @@
 	return wait
 }
 
-// executions adds up what the plain service stand-ins executed.
+// executions returns the number of executions by idempotency key, summed over the plain
+// service stand-ins.
 func (d *driver) executions(ctx context.Context) (map[string]int, error) {
 	sum := make(map[string]int)
-	client := &http.Client{Timeout: readTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: executionsTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, address := range d.c.Services {
 		counts, err := readExecutions(ctx, client, address)
 		if err != nil {
