--- a/cmd/benchfair/admitters.go
+++ b/cmd/benchfair/admitters.go
@@ -10,9 +10,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// lagged returns the report that is known now, and whether there is one.
-func lagged(sc scenario, e *engine) (engineapi.Load, bool) {
-	i := len(e.reports) - 1 - 2 // reports are made twice in a lag
+// laggedLoad returns the latest load report of an engine that is at least reportLag old,
+// and whether there is one.
+func laggedLoad(sc scenario, e *engine) (engineapi.Load, bool) {
+	i := len(e.reports) - 1 - 2 // an engine reports twice within reportLag
 	if i < 0 {
 		return engineapi.Load{}, false
 	}
@@ -21,102 +22,103 @@
 	return load, true
 }
 
-// stewards is ours: one steward for each target.
-type stewards struct {
-	sc      scenario
-	engines []*engine
-	list    []*admission.Coordinator
-	calls   map[request.ID]*call
-	seen    int
-	without decision
+// coordinators admits calls through one admission coordinator for each target, as daemons
+// do.
+type coordinators struct {
+	sc          scenario
+	engines     []*engine
+	targets     []*admission.Coordinator
+	calls       map[request.ID]*call
+	seenReports int
+	disabled    mechanism
 }
 
-// decision can be switched off, to show what it gives.
-type decision string
+// mechanism is a part of the admission that can be disabled to measure its effect.
+type mechanism string
 
 const (
-	nothing  decision = "nothing"
-	priority decision = "priority" // of organisations within their share, at the engine
-	reserve  decision = "reserve"  // places kept for them
+	noMechanism    mechanism = "nothing"
+	enginePriority mechanism = "priority" // engine priority of organisations within their share
+	slotReserve    mechanism = "reserve"  // slots reserved for organisations within their share
 )
 
-func newStewards(without decision) newAdmitter {
+func coordinatorsWithout(disabled mechanism) admitterFactory {
 	return func(sc scenario, engines []*engine, _ *rand.Rand) admitter {
-		return makeStewards(sc, engines, without)
+		return newCoordinators(sc, engines, disabled)
 	}
 }
 
-func makeStewards(sc scenario, engines []*engine, without decision) *stewards {
-	s := &stewards{sc: sc, engines: engines, calls: make(map[request.ID]*call), without: without}
-	reserved := 0 // the default
-	if without == reserve {
+func newCoordinators(sc scenario, engines []*engine, disabled mechanism) *coordinators {
+	s := &coordinators{sc: sc, engines: engines, calls: make(map[request.ID]*call), disabled: disabled}
+	reserved := 0 // selects the default
+	if disabled == slotReserve {
 		reserved = -1
 	}
 	for i := range engines {
-		s.list = append(s.list, admission.New(admission.Params{
+		s.targets = append(s.targets, admission.New(admission.Params{
 			Target:           request.TargetID(fmt.Sprintf("t%d", i)),
 			Instance:         "bench",
-			MaxRunning:       sc.places,
+			MaxRunning:       sc.slots,
 			Reserve:          reserved,
-			MaxPrefillTokens: int64(2 * sc.piece),
-			PrefillRate:      sc.rate,
+			MaxPrefillTokens: int64(2 * sc.chunkTokens),
+			PrefillRate:      sc.prefillRate,
 			GrantTTL:         time.Hour,
 		}))
 	}
 	return s
 }
 
-func (s *stewards) submit(now time.Time, c *call) {
-	ask := admission.Request{
+func (s *coordinators) submit(now time.Time, c *call) {
+	req := admission.Request{
 		ID: request.ID(fmt.Sprint(c.id)), Org: request.OrgID(c.org), Weight: 1,
-		Tokens: int64(c.tokens), Deadline: c.arrived.Add(s.sc.patience),
+		Tokens: int64(c.promptTokens), Deadline: c.arrivedAt.Add(s.sc.timeout),
 	}
-	s.calls[ask.ID] = c
+	s.calls[req.ID] = c
 	best, least, queued := 0, time.Duration(-1), int64(0)
-	for i, st := range s.list {
-		wait, backlog := st.ExpectedWait(now, ask), st.View(now).QueuedPrefillTokens
+	for i, st := range s.targets {
+		wait, backlog := st.ExpectedWait(now, req), st.View(now).QueuedPrefillTokens
 		if least < 0 || wait < least || (wait == least && backlog < queued) {
 			best, least, queued = i, wait, backlog
 		}
 	}
-	s.apply(best, s.list[best].Submit(now, ask))
+	s.apply(best, s.targets[best].Submit(now, req))
 }
 
-func (s *stewards) ended(now time.Time, target int, c *call) {
-	out := admission.Outcome{PrefillTokens: int64(c.tokens)}
-	s.apply(target, s.list[target].Release(now, c.grant, out))
+func (s *coordinators) onEnd(now time.Time, target int, c *call) {
+	out := admission.Outcome{PrefillTokens: int64(c.promptTokens)}
+	s.apply(target, s.targets[target].Release(now, c.grant, out))
 }
 
-func (s *stewards) tick(now time.Time) {
-	for i, st := range s.list {
-		if n := len(s.engines[i].reports); i == 0 && n == s.seen {
+func (s *coordinators) tick(now time.Time) {
+	for i, st := range s.targets {
+		if n := len(s.engines[i].reports); i == 0 && n == s.seenReports {
 			break
 		} else if i == 0 {
-			s.seen = n
+			s.seenReports = n
 		}
-		if load, ok := lagged(s.sc, s.engines[i]); ok {
+		if load, ok := laggedLoad(s.sc, s.engines[i]); ok {
 			s.apply(i, st.OnLoad(now, load))
 		}
 	}
-	for i, st := range s.list {
+	for i, st := range s.targets {
 		s.apply(i, st.Tick(now))
 	}
 }
 
-func (s *stewards) apply(target int, actions []admission.Action) {
+func (s *coordinators) apply(target int, actions []admission.Action) {
 	for _, action := range actions {
 		if g, ok := action.(admission.Grant); ok {
 			c := s.calls[g.Request.ID]
 			c.grant = g.ID
-			if s.without != priority {
+			if s.disabled != enginePriority {
 				c.priority = g.Priority
 			}
-			s.engines[target].send(c)
+			s.engines[target].enqueue(c)
 		}
 	}
 }
 
-// naive sends each call at once to the target with the least reported load.
+// naive sends each call immediately to the target with the least reported load.
 type naive struct {
 	sc      scenario
 	engines []*engine
@@ -130,13 +132,13 @@
 func (n *naive) submit(_ time.Time, c *call) {
 	best, least := n.rng.Intn(len(n.engines)), -1
 	for _, i := range n.rng.Perm(len(n.engines)) {
-		load, _ := lagged(n.sc, n.engines[i])
+		load, _ := laggedLoad(n.sc, n.engines[i])
 		if total := load.Running + load.Queued; total < least || least < 0 {
 			best, least = i, total
 		}
 	}
-	n.engines[best].send(c)
+	n.engines[best].enqueue(c)
 }
 
-func (n *naive) ended(time.Time, int, *call) {}
+func (n *naive) onEnd(time.Time, int, *call) {}
 func (n *naive) tick(time.Time)              {}
--- a/cmd/benchfair/engine.go
+++ b/cmd/benchfair/engine.go
@@ -6,89 +6,90 @@
 	"github.com/bluebellscale/bluebellscale/internal/engineapi"
 )
 
-// call is one request on its way through the simulation.
+// call is one simulated request.
 type call struct {
-	id       int
-	loud     bool
-	org      string
-	tokens   int // of the prompt
-	output   int // tokens
-	arrived  time.Time
-	first    time.Time // first token
-	priority int
+	id           int
+	loud         bool
+	org          string
+	promptTokens int
+	outputTokens int
+	arrivedAt    time.Time
+	firstTokenAt time.Time
+	priority     int
 
-	left  int // prompt tokens to compute
-	ends  time.Time
-	grant string
+	remainingPrefill int // prompt tokens that are not yet computed
+	endsAt           time.Time
+	grant            string
 }
 
-// engine is a simulated target: places for requests at once, a queue in order of
-// arrival before them, prefill in pieces, and a constant time for each output token.
+// engine is a simulated target. It runs a limited number of requests concurrently, queues
+// the others in order of arrival, computes prefill in chunks, and takes a constant time for
+// each output token.
 type engine struct {
-	places  int
-	rate    float64 // prompt tokens a second
-	piece   int
-	token   time.Duration
-	running []*call
-	queued  []*call
-	current *call // its piece is being computed
-	budget  float64
-	done    int // tokens of the present piece
-	reports []engineapi.Load
+	slots       int
+	prefillRate float64 // prompt tokens per second
+	chunkTokens int
+	tokenTime   time.Duration
+	running     []*call
+	queued      []*call
+	current     *call // the call whose chunk is being computed
+	budget      float64
+	chunkDone   int // computed tokens of the current chunk
+	reports     []engineapi.Load
 }
 
-func (e *engine) send(c *call) {
-	c.left = c.tokens
+func (e *engine) enqueue(c *call) {
+	c.remainingPrefill = c.promptTokens
 	e.queued = append(e.queued, c)
 }
 
-// step advances the engine and returns the calls that ended.
+// step advances the simulation by dt and returns the calls that ended.
 func (e *engine) step(now time.Time, dt time.Duration) []*call {
 	var ended []*call
-	kept := e.running[:0]
+	stillRunning := e.running[:0]
 	for _, c := range e.running {
-		if c.left == 0 && !c.ends.After(now) {
+		if c.remainingPrefill == 0 && !c.endsAt.After(now) {
 			ended = append(ended, c)
 			continue
 		}
-		kept = append(kept, c)
+		stillRunning = append(stillRunning, c)
 	}
-	e.running = kept
-	for len(e.running) < e.places && len(e.queued) > 0 {
+	e.running = stillRunning
+	for len(e.running) < e.slots && len(e.queued) > 0 {
 		e.running = append(e.running, e.queued[0])
 		e.queued = e.queued[1:]
 	}
-	e.prefill(now, e.rate*dt.Seconds())
+	e.prefill(now, e.prefillRate*dt.Seconds())
 	return ended
 }
 
 func (e *engine) prefill(now time.Time, tokens float64) {
 	e.budget += tokens
 	for e.budget >= 1 {
-		if e.current == nil || e.current.left == 0 || e.done >= e.piece {
-			e.current, e.done = e.next(), 0
+		if e.current == nil || e.current.remainingPrefill == 0 || e.chunkDone >= e.chunkTokens {
+			e.current, e.chunkDone = e.next(), 0
 		}
 		if e.current == nil {
 			e.budget = 0
 			return
 		}
-		n := min(int(e.budget), e.current.left, e.piece-e.done)
+		n := min(int(e.budget), e.current.remainingPrefill, e.chunkTokens-e.chunkDone)
 		e.budget -= float64(n)
-		e.done += n
-		e.current.left -= n
-		if e.current.left == 0 {
-			e.current.first = now
-			e.current.ends = now.Add(time.Duration(e.current.output) * e.token)
+		e.chunkDone += n
+		e.current.remainingPrefill -= n
+		if e.current.remainingPrefill == 0 {
+			e.current.firstTokenAt = now
+			e.current.endsAt = now.Add(time.Duration(e.current.outputTokens) * e.tokenTime)
 		}
 	}
 }
 
-// next returns the call whose piece comes next: the lowest priority number, then the
-// earliest.
+// next returns the call whose chunk is computed next: the one with the lowest priority
+// number, and the earliest among equals.
 func (e *engine) next() *call {
 	var best *call
 	for _, c := range e.running {
-		if c.left > 0 && (best == nil || c.priority < best.priority) {
+		if c.remainingPrefill > 0 && (best == nil || c.priority < best.priority) {
 			best = c
 		}
 	}
@@ -98,10 +99,10 @@
 func (e *engine) load() engineapi.Load {
 	waiting := 0
 	for _, c := range e.running {
-		waiting += c.left
+		waiting += c.remainingPrefill
 	}
 	for _, c := range e.queued {
-		waiting += c.left
+		waiting += c.remainingPrefill
 	}
 	return engineapi.Load{Incarnation: 1, Running: len(e.running), Queued: len(e.queued), PrefillTokens: waiting}
 }
--- a/cmd/benchreturns/callers.go
+++ b/cmd/benchreturns/callers.go
@@ -19,35 +19,36 @@
 )
 
 const (
-	// rate is how many prompts a second the callers send together, which fills five
-	// eighths of what the engines can prefill.
-	rate           = 2
-	meanGap        = 30 * time.Second
-	contexts       = rate * int(meanGap/time.Second)
-	turns          = 3
-	shortestPrompt = 10_000 // tokens
-	longestPrompt  = 30_000
-	turnTokens     = 200 // that each return adds
-	outputTokens   = 16
-	gapSpread      = 0.3 // of the mean, either way
-	callerTimeout  = time.Minute
+	// requestRate is the number of prompts per second of all callers together. It uses five
+	// eighths of the prefill capacity of the engines.
+	requestRate     = 2
+	meanGap         = 30 * time.Second
+	contexts        = requestRate * int(meanGap/time.Second)
+	turns           = 3
+	minPromptTokens = 10_000
+	maxPromptTokens = 30_000
+	turnTokens      = 200 // added to the prompt with each turn
+	outputTokens    = 16
+	gapSpread       = 0.3 // as a share of meanGap, in both directions
+	callerTimeout   = time.Minute
 )
 
-// outcome is what the returns of one run showed.
+// outcome summarises the returns of one run.
 type outcome struct {
 	returns, failed int
 	p50, p95        time.Duration
-	recomputed      float64 // share of the returning prompts' tokens
+	recomputed      float64 // share of the prompt tokens of returns
 }
 
-// sample is one return.
+// sample is the measurement of one request.
 type sample struct {
 	firstToken     time.Duration
 	prompt, cached int
 	err            error
 }
 
-// drive has one caller for each context, which comes back with a longer prompt.
+// drive runs one caller for each context. A caller returns to its context with a longer
+// prompt in each turn.
 func drive(ctx context.Context, daemons []string, seed int64) (outcome, error) {
 	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: contexts}}
 	defer client.CloseIdleConnections()
@@ -57,7 +58,7 @@
 	for i := range contexts {
 		callers.Go(func() {
 			rng := rand.New(rand.NewSource(seed<<16 + int64(i)))
-			own := converse(ctx, client, daemons[i%len(daemons)], rng, i)
+			own := runContext(ctx, client, daemons[i%len(daemons)], rng, i)
 			mu.Lock()
 			defer mu.Unlock()
 			samples = append(samples, own...)
@@ -67,12 +68,12 @@
 	if ctx.Err() != nil {
 		return outcome{}, ctx.Err()
 	}
-	return summary(samples)
+	return summarize(samples)
 }
 
-func converse(ctx context.Context, client *http.Client, daemon string, rng *rand.Rand, n int) []sample {
+func runContext(ctx context.Context, client *http.Client, daemon string, rng *rand.Rand, n int) []sample {
 	var out []sample
-	text := fmt.Sprintf("context %d: ", n) + words(rng, shortestPrompt+rng.Intn(longestPrompt-shortestPrompt))
+	text := fmt.Sprintf("context %d: ", n) + randomText(rng, minPromptTokens+rng.Intn(maxPromptTokens-minPromptTokens))
 	pause := time.Duration(rng.Int63n(int64(meanGap)))
 	for turn := range turns {
 		select {
@@ -84,13 +85,13 @@
 		if turn > 0 {
 			out = append(out, s)
 		}
-		text += words(rng, turnTokens)
+		text += randomText(rng, turnTokens)
 		pause = time.Duration((1 + gapSpread*(2*rng.Float64()-1)) * float64(meanGap))
 	}
 	return out
 }
 
-func words(rng *rand.Rand, tokens int) string {
+func randomText(rng *rand.Rand, tokens int) string {
 	text := make([]byte, tokens*block.BytesPerToken)
 	for i := range text {
 		text[i] = 'a' + byte(rng.Intn(26))
@@ -117,11 +118,11 @@
 	if resp.StatusCode != http.StatusOK {
 		return sample{err: errors.Newf("status %d", resp.StatusCode)}
 	}
-	return read(resp, start)
+	return readResponse(resp, start)
 }
 
-// read takes the time of the first word and the usage at the end.
-func read(resp *http.Response, start time.Time) sample {
+// readResponse reads a streamed response and returns its time to first token and its usage.
+func readResponse(resp *http.Response, start time.Time) sample {
 	var s sample
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
@@ -143,12 +144,12 @@
 		}
 	}
 	if s.prompt == 0 {
-		s.err = errors.CombineErrors(errors.New("no whole answer"), lines.Err())
+		s.err = errors.CombineErrors(errors.New("incomplete response: no usage received"), lines.Err())
 	}
 	return s
 }
 
-func summary(samples []sample) (outcome, error) {
+func summarize(samples []sample) (outcome, error) {
 	var out outcome
 	var times []time.Duration
 	prompt, cached := 0, 0
@@ -163,7 +164,7 @@
 		cached += s.cached
 	}
 	if len(times) == 0 {
-		return out, errors.New("no return was answered")
+		return out, errors.New("no return was answered successfully")
 	}
 	slices.Sort(times)
 	out.p50 = times[len(times)/2]
--- a/cmd/benchreturns/cluster.go
+++ b/cmd/benchreturns/cluster.go
@@ -29,17 +29,18 @@
 	engineCount = 8
 	storeCount  = 2
 	daemonCount = 2
-	// engineBlocks is the room of one engine's prefix cache: about 12 s of prompts.
-	engineBlocks  = 1000
-	bytesPerToken = 128 << 10
-	storeBytes    = 1 << 40
-	readyTimeout  = 30 * time.Second
-	readyStep     = 20 * time.Millisecond
+	// engineBlocks is the capacity of one engine's prefix cache, which holds the prompts of
+	// about 12 s.
+	engineBlocks      = 1000
+	bytesPerToken     = 128 << 10
+	storeBytes        = 1 << 40
+	readyTimeout      = 30 * time.Second
+	readyPollInterval = 20 * time.Millisecond
 )
 
-// cluster is daemons with stand-ins around them.
+// cluster runs daemons and the stand-ins of the services around them.
 type cluster struct {
-	linkRate float64 // of one store, bytes a second
+	linkRate float64 // of one store, bytes per second
 	kv       string
 	engines  []string
 	stores   []string
@@ -48,8 +49,8 @@
 }
 
 func newCluster(speed float64) *cluster {
-	const meanPrompt = (shortestPrompt + longestPrompt) / 2
-	return &cluster{linkRate: speed * rate * meanPrompt * bytesPerToken / storeCount}
+	const meanPrompt = (minPromptTokens + maxPromptTokens) / 2
+	return &cluster{linkRate: speed * requestRate * meanPrompt * bytesPerToken / storeCount}
 }
 
 func (c *cluster) close() {
@@ -194,7 +195,7 @@
 	for _, d := range c.daemons {
 		for !ready(d) {
 			select {
-			case <-time.After(readyStep):
+			case <-time.After(readyPollInterval):
 			case <-ctx.Done():
 				return errors.Wrap(ctx.Err(), "daemons are not ready")
 			}
--- a/cmd/benchreturns/main.go
+++ b/cmd/benchreturns/main.go
@@ -1,7 +1,8 @@
-// Command benchreturns measures contexts that return after eviction in running daemons
-// with stand-ins of engines and stores around them: both profiles against daemons that
-// have no stores, so that the least loaded target computes everything again. All
-// clusters of all seeds run side by side in this process, in real time.
+// Command benchreturns measures requests that return to a context after its eviction, with
+// real daemons and stand-ins of engines and stores. It compares both placement profiles
+// with daemons that have no stores, where the least loaded target recomputes the complete
+// prompt. The clusters of all variants and seeds run concurrently in this process, in real
+// time.
 package main
 
 import (
@@ -16,14 +17,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// variant is one way to run the daemons.
+// variant is one configuration of the daemons.
 type variant struct {
 	name    string
 	profile string
 	stores  int
 }
 
-const naive = 0 // index of the variant that the others are compared with
+const baseline = 0 // index in variants() of the variant that the others are compared with
 
 func variants() []variant {
 	return []variant{
@@ -36,7 +37,7 @@
 var seeds = []int64{1, 2, 3}
 
 func main() {
-	speed := flag.Float64("speed", 1.25, "bytes that the links carry, as a multiple of what returns ask for")
+	speed := flag.Float64("speed", 1.25, "bandwidth of the store links, as a multiple of the demand of returns")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -67,11 +68,11 @@
 			return err
 		}
 	}
-	report(all, results)
+	printReport(all, results)
 	return nil
 }
 
-// measure runs the load against one cluster.
+// measure starts a cluster, runs the load against it and returns the outcome.
 func measure(ctx context.Context, v variant, seed int64, speed float64) (outcome, error) {
 	c := newCluster(speed)
 	defer c.close()
@@ -81,16 +82,16 @@
 	return drive(ctx, c.addresses(), seed)
 }
 
-func report(all []variant, results [][]outcome) {
+func printReport(all []variant, results [][]outcome) {
 	for j, v := range all {
 		var ratios, shares []float64
 		for i, seed := range seeds {
-			own, base := results[i][j], results[i][naive]
-			ratio := own.p95.Seconds() / base.p95.Seconds()
-			ratios, shares = append(ratios, ratio), append(shares, own.recomputed)
+			result, base := results[i][j], results[i][baseline]
+			ratio := result.p95.Seconds() / base.p95.Seconds()
+			ratios, shares = append(ratios, ratio), append(shares, result.recomputed)
 			fmt.Printf("seed=%d variant=%s returns=%d failed=%d returns_ttft_p50_ms=%d returns_ttft_p95_ms=%d "+
-				"returns_ttft_p95_ratio=%.3f returns_recomputed_share=%.3f\n", seed, v.name, own.returns, own.failed,
-				own.p50.Milliseconds(), own.p95.Milliseconds(), ratio, own.recomputed)
+				"returns_ttft_p95_ratio=%.3f returns_recomputed_share=%.3f\n", seed, v.name, result.returns, result.failed,
+				result.p50.Milliseconds(), result.p95.Milliseconds(), ratio, result.recomputed)
 		}
 		fmt.Printf("median variant=%s returns_ttft_p95_ratio=%.3f returns_recomputed_share=%.3f\n",
 			v.name, median(ratios), median(shares))
