--- a/internal/contextstore/ownedstore.go
+++ b/internal/contextstore/ownedstore.go
@@ -183,7 +183,7 @@
 func withWeights(parts []storecache.PartRequest) []storecache.PartRequest {
 	out := slices.Clone(parts)
 	for i := range out {
-		out[i].Weights = weightsOf(out[i].Salt)
+		out[i].Version = weightsOf(out[i].Salt)
 	}
 	return out
 }
@@ -371,7 +371,7 @@
 	answers := make([]*PartAnswer, len(asks))
 	for i, a := range asks {
 		answer := s.cache.Decide(now, storecache.PartRequest{
-			Key: storecache.Key{Salt: salt, ID: a.Id}, Tokens: int(a.Tokens), Weights: weights, Resident: a.Resident, Last: a.Last, ReadOnly: leaseExpired,
+			Key: storecache.Key{Salt: salt, ID: a.Id}, Tokens: int(a.Tokens), Version: weights, Resident: a.Resident, Last: a.Last, ReadOnly: leaseExpired,
 		})
 		s.reasons[answer.Reason]++
 		s.metrics.Tagged(map[string]string{"reason": string(answer.Reason)}).Counter("store_asks").Inc(1)
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -135,7 +135,7 @@
 	}
 	state := &State{
 		Replica: r.Hash(), BusyMs: int32(a.BusyFor.Milliseconds()),
-		Model: string(a.Model), Weights: a.Weights,
+		Model: string(a.Model), Weights: a.WeightsVersion,
 	}
 	s.mu.Lock()
 	s.states = append(s.states, state)
@@ -288,7 +288,7 @@
 // localWork returns what this daemon has in flight, by replica.
 func (s *Reporter) localWork() map[uint64]*Work {
 	out := map[uint64]*Work{}
-	for _, r := range s.o.Set.All() {
+	for _, r := range s.o.Set.NotLeaving() {
 		w := r.Load.Own()
 		if w == (replicas.Work{}) {
 			continue
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -73,8 +73,8 @@
 	flight.End()
 	await("its end shows", func() bool { return seen() == replicas.Work{} })
 
-	a.AnnounceState(weights.State{Replica: "r", BusyFor: time.Minute, Model: "m", Weights: 3})
-	await("the replica is busy", func() bool { return b.set.Get("r").Busy(time.Now()) && b.set.Get("r").Weights("m") == 3 })
+	a.AnnounceState(weights.State{Replica: "r", BusyFor: time.Minute, Model: "m", WeightsVersion: 3})
+	await("the replica is busy", func() bool { return b.set.Get("r").Busy(time.Now()) && b.set.Get("r").WeightsVersion("m") == 3 })
 	a.AnnounceState(weights.State{Replica: "r"})
 	await("the replica takes requests", func() bool { return !b.set.Get("r").Busy(time.Now()) })
 	a.set.Get("r").UpdateLimit(time.Now(), 2.5)
@@ -122,8 +122,8 @@
 		Work: []*Work{{Replica: old, Requests: 5}}, States: []*State{{Replica: old, BusyMs: 9000, Model: "m", Weights: 4}},
 	})
 	r, now := n.set.Get("r"), time.Now()
-	if r.Load.Total(now) != (replicas.Work{}) || r.Busy(now) || r.Health.BackingOff(now) || r.Weights("m") != 0 {
-		t.Errorf("assumed of the new start: load %+v, busy %t, weights %d", r.Load.Total(now), r.Busy(now), r.Weights("m"))
+	if r.Load.Total(now) != (replicas.Work{}) || r.Busy(now) || r.Health.BackingOff(now) || r.WeightsVersion("m") != 0 {
+		t.Errorf("assumed of the new start: load %+v, busy %t, weights %d", r.Load.Total(now), r.Busy(now), r.WeightsVersion("m"))
 	}
 }
 
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -17,9 +17,9 @@
 const (
 	// ringLines bounds the number of buffered lines, which take about 400 bytes each.
 	ringLines = 2048
-	// defaultPerSecond exceeds the number of decisions that a daemon makes in a busy second.
-	defaultPerSecond = 200
-	reportInterval   = time.Second
+	// defaultLinesPerSecond exceeds the number of decisions that a daemon makes in a busy second.
+	defaultLinesPerSecond = 200
+	reportInterval        = time.Second
 	// flushTimeout bounds how long a terminating process waits for the reader of the log.
 	flushTimeout = 200 * time.Millisecond
 )
@@ -46,7 +46,7 @@
 // New returns a log that writes lines until Close.
 func New(o Options) *Log {
 	if o.PerSecond <= 0 {
-		o.PerSecond = defaultPerSecond
+		o.PerSecond = defaultLinesPerSecond
 	}
 	l := &Log{
 		limit: limiter{perSecond: o.PerSecond, counts: map[string]int{}, suppressed: map[string]int{}},
--- a/internal/mirror/fleet_test.go
+++ b/internal/mirror/fleet_test.go
@@ -128,19 +128,19 @@
 
 // modelDaemon is a daemon and its client of the key-value service.
 type modelDaemon struct {
-	platform.KV // nil: a Follower calls List and Watch only
-	service     *modelService
-	down, up    *rate.Limiter // its link
-	start       time.Time
-	faults      []fault
-	calls       int
-	group       *Group
-	handler     http.Handler
-	mu          sync.Mutex
-	applied     platform.Revision // of the applied desired state
-	reverted    bool
-	relays      RelayTracker
-	watches     func() bool // whether this daemon watches the key-value service
+	platform.KV  // nil: a Follower calls List and Watch only
+	service      *modelService
+	down, up     *rate.Limiter // its link
+	start        time.Time
+	faults       []fault
+	calls        int
+	group        *Group
+	handler      http.Handler
+	mu           sync.Mutex
+	applied      platform.Revision // of the applied desired state
+	reverted     bool
+	relayTracker RelayTracker
+	watches      func() bool // whether this daemon watches the key-value service
 }
 
 func (d *modelDaemon) apply(u Update) {
@@ -305,7 +305,7 @@
 			service: f.service, start: f.start, faults: faults(i),
 			down: rate.NewLimiter(fleetBandwidth, burst), up: rate.NewLimiter(fleetBandwidth, burst),
 		}
-		isRelayed := func() bool { return relayed && i%fleetWatchRatio != 0 && d.relays.PeerWatching(time.Now()) }
+		isRelayed := func() bool { return relayed && i%fleetWatchRatio != 0 && d.relayTracker.PeerWatching(time.Now()) }
 		follower := New(Options{KV: d, WatchTimeout: func() time.Duration { return fleetMaxDelay - 800*time.Millisecond }, Relayed: isRelayed})
 		d.watches = follower.Watching
 		mirrors := []*Mirror{follower.AddMirror("op/", d.apply), follower.AddMirror("servers/", func(Update) {})}
@@ -339,7 +339,7 @@
 func (f *modelFleet) report(ctx context.Context, from, to int) {
 	f.daemons[to].group.HandleRevisions(ctx, address(from), f.daemons[from].group.Revisions())
 	if f.daemons[from].watches() {
-		f.daemons[to].relays.RecordWatcher(time.Now())
+		f.daemons[to].relayTracker.RecordWatcher(time.Now())
 	}
 }
 
--- a/internal/mirror/group.go
+++ b/internal/mirror/group.go
@@ -106,75 +106,75 @@
 	if o.Relayed == nil {
 		o.Relayed = func() bool { return false }
 	}
-	c := &Group{
+	g := &Group{
 		relayed: o.Relayed,
 		client:  &transfer.Client{HTTP: o.Client, HeaderTimeout: headerTimeout}, log: o.Logger.Named("copies"), metrics: o.Metrics,
 		byPrefix: map[string]*Mirror{}, lags: map[string]*lag{},
 	}
-	c.client.OnClose = c.countReceived
+	g.client.OnClose = g.countReceived
 	for _, m := range o.Mirrors {
-		c.prefixes = append(c.prefixes, m.prefix)
-		c.byPrefix[m.prefix] = m
-		c.lags[m.prefix] = &lag{}
+		g.prefixes = append(g.prefixes, m.prefix)
+		g.byPrefix[m.prefix] = m
+		g.lags[m.prefix] = &lag{}
 	}
-	return c
+	return g
 }
 
 // Handler returns the HTTP handler of the service Copies. It compresses responses: a desired
 // state is repetitive text, and compression reduces the traffic between daemons to a tenth.
-func (c *Group) Handler() (http.Handler, error) {
+func (g *Group) Handler() (http.Handler, error) {
 	compressed, err := gzhttp.NewWrapper(gzhttp.CompressionLevel(gzip.BestSpeed))
 	if err != nil {
 		return nil, errors.Wrap(err, "mirror: compression")
 	}
-	return compressed(NewCopiesServer(c)), nil
+	return compressed(NewCopiesServer(g)), nil
 }
 
 // Revisions returns the newest applied revision of each mirror. The daemon reports them to peers.
-func (c *Group) Revisions() []uint64 {
-	out := make([]uint64, len(c.prefixes))
-	for i, prefix := range c.prefixes {
-		out[i] = uint64(c.byPrefix[prefix].Newest())
+func (g *Group) Revisions() []uint64 {
+	out := make([]uint64, len(g.prefixes))
+	for i, prefix := range g.prefixes {
+		out[i] = uint64(g.byPrefix[prefix].Newest())
 	}
 	return out
 }
 
 // HandleRevisions processes a peer's Revisions. It fetches the peer's copy of each prefix for
 // which peers have been ahead for fetchDelay, or at once while peers relay changes.
-func (c *Group) HandleRevisions(ctx context.Context, peer string, revisions []uint64) {
-	if len(revisions) != len(c.prefixes) {
+func (g *Group) HandleRevisions(ctx context.Context, peer string, revisions []uint64) {
+	if len(revisions) != len(g.prefixes) {
 		return // the peer runs another release
 	}
 	now := time.Now()
-	for i, prefix := range c.prefixes {
-		if c.beginFetch(now, prefix, platform.Revision(revisions[i])) {
-			go c.fetch(ctx, peer, prefix)
+	for i, prefix := range g.prefixes {
+		if g.beginFetch(now, prefix, platform.Revision(revisions[i])) {
+			go g.fetch(ctx, peer, prefix)
 		}
 	}
 }
 
 // Lag returns how long peers have reported a change below a prefix that this daemon lacks, or
 // zero if no peer reports one.
-func (c *Group) Lag(prefix string) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lags[prefix].duration(time.Now(), c.byPrefix[prefix])
+func (g *Group) Lag(prefix string) time.Duration {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.lags[prefix].duration(time.Now(), g.byPrefix[prefix])
 }
 
 // beginFetch records the revision that a peer reported for a prefix, and reports whether to fetch
 // the peer's copy. If so, it counts the fetch as running until fetch returns.
-func (c *Group) beginFetch(now time.Time, prefix string, reported platform.Revision) bool {
-	m := c.byPrefix[prefix]
+func (g *Group) beginFetch(now time.Time, prefix string, reported platform.Revision) bool {
+	m := g.byPrefix[prefix]
 	applied := m.hasApplied(reported)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	l := c.lags[prefix]
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	l := g.lags[prefix]
 	if applied {
 		l.clearIfApplied(m)
 		return false
 	}
 	delay := fetchDelay
-	if c.relayed() {
+	if g.relayed() {
 		delay = 0
 	}
 	if !l.recordReport(now, reported, delay) {
@@ -188,28 +188,28 @@
 // fetch requests a peer's copy and applies it. The peer sends only the changes after the revision
 // up to which this daemon is complete: a requested weight version takes a few bytes, the desired
 // state a megabyte.
-func (c *Group) fetch(ctx context.Context, peer, prefix string) {
-	m := c.byPrefix[prefix]
+func (g *Group) fetch(ctx context.Context, peer, prefix string) {
+	m := g.byPrefix[prefix]
 	defer func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.lags[prefix].fetches--
-		c.lags[prefix].clearIfApplied(m)
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		g.lags[prefix].fetches--
+		g.lags[prefix].clearIfApplied(m)
 	}()
 	known, started := m.completeUpTo(), time.Now()
-	answer, err := NewCopiesProtobufClient("http://"+peer, c.client).Read(ctx, &ReadRequest{Prefix: prefix, NewerThan: uint64(known), Changes: true, Removals: true})
+	resp, err := NewCopiesProtobufClient("http://"+peer, g.client).Read(ctx, &ReadRequest{Prefix: prefix, NewerThan: uint64(known), Changes: true, Removals: true})
 	if err != nil {
-		c.countFetch("failed")
-		c.log.Info("Fetching a copy from a peer failed", "peer", peer, "prefix", prefix, "known", known, "after_ms", time.Since(started).Milliseconds(), "error", err)
+		g.countFetch("failed")
+		g.log.Info("Fetching a copy from a peer failed", "peer", peer, "prefix", prefix, "known", known, "after_ms", time.Since(started).Milliseconds(), "error", err)
 		return
 	}
-	if m.hasApplied(platform.Revision(answer.Newest)) {
-		c.countFetch("nothing_new")
+	if m.hasApplied(platform.Revision(resp.Newest)) {
+		g.countFetch("nothing_new")
 		return
 	}
-	c.countFetch("taken")
-	c.log.Info("Applying a copy fetched from a peer", "peer", peer, "prefix", prefix, "revision", answer.Newest, "known", known, "entries", len(answer.Entries), "after_ms", time.Since(started).Milliseconds())
-	if received := answer.content(); answer.ChangesOnly {
+	g.countFetch("taken")
+	g.log.Info("Applying a copy fetched from a peer", "peer", peer, "prefix", prefix, "revision", resp.Newest, "known", known, "entries", len(resp.Entries), "after_ms", time.Since(started).Milliseconds())
+	if received := resp.content(); resp.ChangesOnly {
 		m.applyChanges(received.entries, received.complete, received.afterOutage)
 	} else {
 		m.applyListing(received)
@@ -224,17 +224,17 @@
 	return c
 }
 
-func (c *Group) countFetch(outcome string) {
-	c.metrics.Tagged(map[string]string{"outcome": outcome}).Counter("copies_asked").Inc(1)
+func (g *Group) countFetch(outcome string) {
+	g.metrics.Tagged(map[string]string{"outcome": outcome}).Counter("copies_asked").Inc(1)
 }
 
-func (c *Group) countReceived(_ *http.Request, result transfer.Result) {
-	c.metrics.Tagged(map[string]string{"whole": strconv.FormatBool(result.Complete)}).Counter("copies_received_bytes").Inc(result.Received)
+func (g *Group) countReceived(_ *http.Request, result transfer.Result) {
+	g.metrics.Tagged(map[string]string{"whole": strconv.FormatBool(result.Complete)}).Counter("copies_received_bytes").Inc(result.Received)
 }
 
 // Read implements Copies.
-func (c *Group) Read(_ context.Context, r *ReadRequest) (*ReadResponse, error) {
-	m := c.byPrefix[r.Prefix]
+func (g *Group) Read(_ context.Context, r *ReadRequest) (*ReadResponse, error) {
+	m := g.byPrefix[r.Prefix]
 	if m == nil {
 		return &ReadResponse{}, nil
 	}
@@ -256,6 +256,6 @@
 	for _, e := range copied.entries {
 		out.Entries = append(out.Entries, &CopiedEntry{Key: e.Key, Value: e.Value, Revision: uint64(e.Revision), Lease: string(e.Lease), Removed: e.Deleted})
 	}
-	c.metrics.Counter("copies_given").Inc(1)
+	g.metrics.Counter("copies_given").Inc(1)
 	return out, nil
 }
--- a/internal/placer/candidates.go
+++ b/internal/placer/candidates.go
@@ -25,7 +25,7 @@
 	for i, r := range usable {
 		info := r.Info()
 		load := r.Load.Total(now)
-		version := r.Weights(j.Model)
+		version := r.WeightsVersion(j.Model)
 		out[i] = pick.Candidate{
 			Running: load.Requests, Slots: j.Service.Engine.Slots,
 			KVUsed: load.Tokens, KVCapacity: j.Service.Engine.MemoryTokens, QueuedPrefill: load.Prefill,
@@ -82,7 +82,7 @@
 func (pp *PromptPlacer) onUsableWeights(from []*replicas.Replica, m request.Model) []*replicas.Replica {
 	var fit []*replicas.Replica
 	for _, r := range from {
-		version := r.Weights(m)
+		version := r.WeightsVersion(m)
 		since, outdated := pp.OutdatedSince(m, version)
 		if version == 0 || outdated && pp.OldWeightsUsableFor > 0 && time.Since(since) > pp.OldWeightsUsableFor {
 			continue
@@ -96,7 +96,7 @@
 func newestVersion(from []*replicas.Replica, m request.Model) uint64 {
 	var version uint64
 	for _, r := range from {
-		version = max(version, r.Weights(m))
+		version = max(version, r.WeightsVersion(m))
 	}
 	return version
 }
--- a/internal/placer/eligible.go
+++ b/internal/placer/eligible.go
@@ -32,7 +32,7 @@
 	if fit := e.filter(now, j, assigned, tried); len(fit) > 0 {
 		return fit
 	}
-	all := e.Set.OfService(j.Service.ID)
+	all := e.Set.ByService(j.Service.ID)
 	if len(all) == len(assigned) || e.anyAllowed(j, assigned) {
 		return nil
 	}
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -85,7 +85,7 @@
 	Domain        string // failure domain of this daemon
 	OutdatedSince OutdatedSince
 	Stores        Stores
-	OnPlaced      func(replica *replicas.Replica, parts []PlacedPart, other int) // notifies peers; nil: no notification
+	OnPlaced      func(replica *replicas.Replica, parts []PlacedPart, otherTokens int) // notifies peers; nil: no notification
 	// OldWeightsUsableFor is how long replaced weights still get requests, and OldWeightsBeginWithin
 	// the time within which an answer on them must begin. Both count from the request for the successor
 	// version. Zero means no bound.
@@ -118,9 +118,9 @@
 		pp.release(salt, j, offers)
 		return nil, err
 	}
-	version := r.Weights(j.Model)
+	version := r.WeightsVersion(j.Model)
 	ownSalt := cacheSalt(version, j.Org)
-	meta := relay.AttemptMeta{Weights: version, CacheSalt: ownSalt, Priority: min(maxPriority, j.Priority())}
+	meta := relay.AttemptMeta{WeightsVersion: version, CacheSalt: ownSalt, Priority: min(maxPriority, j.Priority())}
 	if ownSalt != salt {
 		// During a rollout the chosen replica may serve other weights than the claims were made for.
 		pp.release(salt, j, offers)
--- a/internal/placer/memory.go
+++ b/internal/placer/memory.go
@@ -12,15 +12,15 @@
 // announcePlacement records that a replica will hold the parts of a prompt, and notifies peers.
 func (pp *PromptPlacer) announcePlacement(r *replicas.Replica, j *relay.Job, salt string) {
 	parts := make([]PlacedPart, len(j.Parts))
-	other := j.PromptTokens + pp.output(j)
+	otherTokens := j.PromptTokens + pp.output(j)
 	for i, p := range j.Parts {
 		parts[i] = PlacedPart{Key: partKey(salt, p.ID), Tokens: p.Tokens}
-		other -= p.Tokens
+		otherTokens -= p.Tokens
 	}
 	pp.setMemoryTokens(j.Service.Engine.MemoryTokens)
-	pp.RecordPlacement(r, parts, max(0, other))
+	pp.RecordPlacement(r, parts, max(0, otherTokens))
 	if pp.OnPlaced != nil {
-		pp.OnPlaced(r, parts, max(0, other))
+		pp.OnPlaced(r, parts, max(0, otherTokens))
 	}
 }
 
@@ -32,7 +32,7 @@
 
 // RecordPlacement records what is added to a replica's memory: parts, and other tokens, which are never
 // requested again but use capacity until they are evicted.
-func (pp *PromptPlacer) RecordPlacement(r *replicas.Replica, parts []PlacedPart, other int) {
+func (pp *PromptPlacer) RecordPlacement(r *replicas.Replica, parts []PlacedPart, otherTokens int) {
 	pp.mu.Lock()
 	defer pp.mu.Unlock()
 	if pp.memoryTokens == 0 {
@@ -49,8 +49,8 @@
 	for _, p := range parts {
 		m.Touch(p.Key, p.Tokens)
 	}
-	if other > 0 {
-		m.Touch(residency.Key(rand.Uint64()), other)
+	if otherTokens > 0 {
+		m.Touch(residency.Key(rand.Uint64()), otherTokens)
 	}
 }
 
@@ -72,7 +72,7 @@
 	now := time.Now()
 	for _, r := range pp.Assigned(j.Service.ID) {
 		m := pp.memoryEstimates[r]
-		if r == to || m == nil || !m.Contains(key) || r.Weights(j.Model) != version || r.Health.BackingOff(now) {
+		if r == to || m == nil || !m.Contains(key) || r.WeightsVersion(j.Model) != version || r.Health.BackingOff(now) {
 			continue
 		}
 		if r.Info().FailureDomain == to.Info().FailureDomain {
@@ -95,7 +95,7 @@
 		if m := pp.memoryEstimates[to]; m != nil && m.Contains(key) {
 			continue
 		}
-		if from := pp.findHolder(key, j, to, meta.Weights); from != nil {
+		if from := pp.findHolder(key, j, to, meta.WeightsVersion); from != nil {
 			meta.FetchFrom[i] = from.Info().Address
 		}
 	}
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -68,7 +68,7 @@
 		f.put(i, 1)
 	}
 	f.placer = &PromptPlacer{
-		Eligibility: Eligibility{Set: f.set}, Assigned: f.set.OfService, Domain: "a", Stores: f.store,
+		Eligibility: Eligibility{Set: f.set}, Assigned: f.set.ByService, Domain: "a", Stores: f.store,
 		OldWeightsUsableFor: time.Second, OldWeightsBeginWithin: 2 * time.Second,
 		OutdatedSince: func(_ request.Model, v uint64) (time.Time, bool) { return f.since, v < f.requested },
 	}
@@ -163,7 +163,7 @@
 	if got := p.Meta.SaveTo; got[0] != "" || got[1] != "store:1" || got[2] != "" {
 		t.Errorf("save %q", got)
 	}
-	if until := p.Meta.FetchUntil; until <= 0 || until > permitUntil || p.Meta.CacheSalt != "w1" || p.Meta.Weights != 1 {
+	if until := p.Meta.FetchUntil; until <= 0 || until > permitUntil || p.Meta.CacheSalt != "w1" || p.Meta.WeightsVersion != 1 {
 		t.Errorf("sent %+v", p.Meta)
 	}
 }
--- a/internal/placer/plain.go
+++ b/internal/placer/plain.go
@@ -36,7 +36,7 @@
 // Place implements relay.Placer.
 func (p *PlainPlacer) Place(_ context.Context, j *relay.Job, tried []request.TargetID) (*relay.Placement, error) {
 	for {
-		usable := p.eligible(j, p.Set.OfService(j.Service.ID), tried)
+		usable := p.eligible(j, p.Set.ByService(j.Service.ID), tried)
 		if len(usable) == 0 {
 			return nil, noReplica()
 		}
--- a/internal/platform/envelope_test.go
+++ b/internal/platform/envelope_test.go
@@ -10,26 +10,26 @@
 
 // register models one key of the key-value service.
 type register struct {
-	revision Revision // latest revision of the key-value service
-	at       Revision // revision of the key; zero: absent
-	current  envelope
+	storeRevision Revision // latest revision of the key-value service
+	keyRevision   Revision // revision of the key; zero: absent
+	current       envelope
 }
 
 // write replaces the value. carry tells whether the writer copies the history of earlier writes, as
 // Client does and other tools do not.
 func (r *register) write(id writeID, carry bool) Revision {
-	r.revision++
+	r.storeRevision++
 	next := envelope{id: id}
-	if carry && r.at != 0 {
-		next.history = r.current.successorHistory(r.at)
+	if carry && r.keyRevision != 0 {
+		next.history = r.current.successorHistory(r.keyRevision)
 	}
-	r.current, r.at = decodeEnvelope(next.encode()), r.revision
-	return r.at
+	r.current, r.keyRevision = decodeEnvelope(next.encode()), r.storeRevision
+	return r.keyRevision
 }
 
 func (r *register) delete() {
-	r.revision++
-	r.current, r.at = envelope{}, 0
+	r.storeRevision++
+	r.current, r.keyRevision = envelope{}, 0
 }
 
 // The response to a write is lost. No matter what other writers do afterwards and how late the write
@@ -45,13 +45,13 @@
 		for range rapid.IntRange(0, 3).Draw(t, "before") {
 			r.write(other(), true)
 		}
-		lost, expect := writeID{2}, r.at
+		lost, expect := writeID{2}, r.keyRevision
 		var applied Revision
 		refuted := false
 		for _, step := range rapid.SliceOfN(rapid.SampledFrom([]string{"arrive", "other", "other", "tool", "delete"}), 1, 14).Draw(t, "steps") {
 			switch step {
 			case "arrive":
-				if r.at == expect && applied == 0 {
+				if r.keyRevision == expect && applied == 0 {
 					applied = r.write(lost, true)
 				}
 			case "other":
@@ -61,7 +61,7 @@
 			case "delete":
 				r.delete()
 			}
-			outcome, revision := resolveOutcome(lost, expect, r.current, r.at)
+			outcome, revision := resolveOutcome(lost, expect, r.current, r.keyRevision)
 			refuted = refuted || outcome == outcomeNotApplied
 			if outcome == outcomeApplied && (applied == 0 || revision != applied) {
 				t.Fatalf("resolved as applied at %d; it was applied at %d", revision, applied)
--- a/internal/policy/storecache/free.go
+++ b/internal/policy/storecache/free.go
@@ -16,7 +16,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b *part) int {
-		return cmp.Or(cmp.Compare(a.weights, b.weights), a.lastUsed.Compare(b.lastUsed), cmp.Compare(a.key.ID, b.key.ID))
+		return cmp.Or(cmp.Compare(a.weightsVersion, b.weightsVersion), a.lastUsed.Compare(b.lastUsed), cmp.Compare(a.key.ID, b.key.ID))
 	})
 	return out
 }
@@ -25,7 +25,7 @@
 	if now.Before(c.freeAfter) || now.Before(p.permitUntil.Add(permitSlack)) {
 		return false
 	}
-	return p.weights < c.newestWeights || now.Sub(p.lastUsed) > minRetention
+	return p.weightsVersion < c.newestWeightsVersion || now.Sub(p.lastUsed) > minRetention
 }
 
 // StartFreeing returns the parts to be freed now and marks them. The caller reports the
@@ -78,7 +78,7 @@
 		if p, known := c.parts[a.Key]; known && p.state == freeing {
 			continue
 		}
-		c.OnStored(now, a.Key, a.Tokens, a.Weights)
+		c.OnStored(now, a.Key, a.Tokens, a.Version)
 	}
 	for _, a := range partial {
 		listed[a.Key] = true
--- a/internal/policy/storecache/link.go
+++ b/internal/policy/storecache/link.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// crossDomainFactor accounts for readers in other failure domains. They are about half of
+	// meanReaderFactor accounts for readers in other failure domains. They are about half of
 	// all readers, and their transfers take twice as long.
-	crossDomainFactor = 1.4
+	meanReaderFactor = 1.4
 	// minQueuedFetch is the shortest fetch that certainly waited in the queue. The first token
 	// of an idle replica varies by some ten milliseconds.
 	minQueuedFetch = 100 * time.Millisecond
@@ -91,7 +91,7 @@
 
 // occupancy returns how long a transfer occupies the link, averaged over all readers.
 func (l *link) occupancy(tokens int) time.Duration {
-	return time.Duration(crossDomainFactor * float64(l.transferTime(tokens)))
+	return time.Duration(meanReaderFactor * float64(l.transferTime(tokens)))
 }
 
 // reserve records a granted transfer and returns its claim.
@@ -186,7 +186,7 @@
 
 // measure updates the slowness with the time that the link took for some tokens.
 func (l *link) measure(now time.Time, took time.Duration, tokens int) {
-	nominal := crossDomainFactor * float64(tokens) / l.tokensPerSec
+	nominal := meanReaderFactor * float64(tokens) / l.tokensPerSec
 	if took <= 0 || nominal <= 0 {
 		return
 	}
--- a/internal/policy/storecache/storecache.go
+++ b/internal/policy/storecache/storecache.go
@@ -69,7 +69,7 @@
 type PartRequest struct {
 	Key
 	Tokens  int
-	Weights uint64 // version of the weights that computed the part
+	Version uint64 // version of the weights that computed the part
 	// Resident is set if the replica is assumed to have the part in memory. The transfer is then
 	// not counted on the link.
 	Resident bool
@@ -87,7 +87,7 @@
 const (
 	ReasonCached       Reason = "held"   // the part may be fetched
 	ReasonQueue        Reason = "queue"  // the link's queue is too long
-	ReasonSaving       Reason = "saving" // the part is being written
+	ReasonUnavailable  Reason = "saving" // the part is being written
 	ReasonUnconfirmed  Reason = "unsure" // earlier permits may still be valid
 	ReasonOldWeights   Reason = "old"    // the weights were replaced; the part would count as mixed once complete
 	ReasonFirstRequest Reason = "once"   // a last part that was not requested before
@@ -116,14 +116,14 @@
 )
 
 type part struct {
-	key         Key
-	tokens      int
-	weights     uint64
-	state       partState
-	since       time.Time // time of the last state change
-	lastUsed    time.Time
-	permitUntil time.Time // end of the last read permit
-	claim       int64     // of the permitted save; zero if no request can release it
+	key            Key
+	tokens         int
+	weightsVersion uint64
+	state          partState
+	since          time.Time // time of the last state change
+	lastUsed       time.Time
+	permitUntil    time.Time // end of the last read permit
+	claim          int64     // of the permitted save; zero if no request can release it
 	// mixedWeights is set if the part became complete after newer weights were known.
 	mixedWeights bool
 }
@@ -140,17 +140,17 @@
 
 // Cache is the assumed content of one store.
 type Cache struct {
-	params          Params
-	parts           map[Key]*part
-	usedTokens      int
-	newestWeights   uint64            // newest weight version in any request
-	lastPartSeen    map[Key]time.Time // time of the last request for each last part
-	seenSweptAt     time.Time
-	link            *link
-	lastPermitUntil time.Time
-	saveAfter       time.Time
-	freeAfter       time.Time // permits of another owner may be valid until then
-	otherOwnerUntil time.Time // another owner may grant permits until then
+	params               Params
+	parts                map[Key]*part
+	usedTokens           int
+	newestWeightsVersion uint64            // newest weight version in any request
+	lastPartSeen         map[Key]time.Time // time of the last request for each last part
+	seenSweptAt          time.Time
+	link                 *link
+	lastPermitUntil      time.Time
+	saveAfter            time.Time
+	freeAfter            time.Time // permits of another owner may be valid until then
+	otherOwnerUntil      time.Time // another owner may grant permits until then
 }
 
 // New returns the cache of a store whose content is not known yet. Another daemon may have
@@ -218,19 +218,19 @@
 // Decide decides what a request may do with one part. A read permit is valid for
 // ReadPermitTTL from now.
 func (c *Cache) Decide(now time.Time, a PartRequest) Decision {
-	c.newestWeights = max(c.newestWeights, a.Weights)
+	c.newestWeightsVersion = max(c.newestWeightsVersion, a.Version)
 	c.link.decaySlowness(now)
 	p, known := c.parts[a.Key]
 	switch {
 	case known && p.state == complete && !p.mixedWeights:
 		return c.decideFetch(now, p, a)
 	case known:
-		return Decision{Reason: ReasonSaving}
+		return Decision{Reason: ReasonUnavailable}
 	case now.Before(c.saveAfter) || a.ReadOnly:
 		return Decision{Reason: ReasonUnconfirmed}
-	case a.Weights < c.newestWeights:
+	case a.Version < c.newestWeightsVersion:
 		return Decision{Reason: ReasonOldWeights}
-	case a.Last && !c.seenBefore(now, a.Key):
+	case a.Last && !c.recordLastPart(now, a.Key):
 		return Decision{Reason: ReasonFirstRequest}
 	case c.QueueTime(now) > maxSaveQueue:
 		return Decision{Reason: ReasonQueue}
@@ -255,9 +255,9 @@
 	}
 }
 
-// seenBefore records a request for a last part. It reports whether the part was requested
+// recordLastPart records a request for a last part. It reports whether the part was requested
 // before, within the time in which it is likely to be used again.
-func (c *Cache) seenBefore(now time.Time, key Key) bool {
+func (c *Cache) recordLastPart(now time.Time, key Key) bool {
 	if now.Sub(c.seenSweptAt) > minRetention {
 		c.seenSweptAt = now
 		for k, at := range c.lastPartSeen {
@@ -316,7 +316,7 @@
 func roundUp(tokens int) int { return (tokens + blockTokens - 1) / blockTokens * blockTokens }
 
 func (c *Cache) add(now time.Time, a PartRequest, s partState) *part {
-	p := &part{key: a.Key, tokens: a.Tokens, weights: a.Weights, state: s, since: now, lastUsed: now}
+	p := &part{key: a.Key, tokens: a.Tokens, weightsVersion: a.Version, state: s, since: now, lastUsed: now}
 	c.parts[a.Key] = p
 	c.usedTokens += roundUp(a.Tokens)
 	return p
@@ -347,15 +347,15 @@
 // although the new ones computed it, and a request on the old weights would use it.
 // Therefore a part of old weights that becomes complete after newer ones are known is never
 // fetched. Old weights remain in use for a few more seconds at most.
-func (c *Cache) OnStored(now time.Time, key Key, tokens int, weights uint64) {
+func (c *Cache) OnStored(now time.Time, key Key, tokens int, weightsVersion uint64) {
 	p, known := c.parts[key]
 	if !known {
-		c.add(now, PartRequest{Key: key, Tokens: tokens, Weights: weights}, complete).mixedWeights = weights < c.newestWeights
+		c.add(now, PartRequest{Key: key, Tokens: tokens, Version: weightsVersion}, complete).mixedWeights = weightsVersion < c.newestWeightsVersion
 		return
 	}
 	if p.state == saving {
 		c.usedTokens += roundUp(tokens) - roundUp(p.tokens)
-		p.tokens, p.state, p.since, p.mixedWeights = tokens, complete, now, p.weights < c.newestWeights
+		p.tokens, p.state, p.since, p.mixedWeights = tokens, complete, now, p.weightsVersion < c.newestWeightsVersion
 	}
 }
 
--- a/internal/policy/storecache/storecache_test.go
+++ b/internal/policy/storecache/storecache_test.go
@@ -14,7 +14,7 @@
 
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-func req(id string, n int) PartRequest { return PartRequest{Key: Key{"w1", id}, Tokens: n, Weights: 1} }
+func req(id string, n int) PartRequest { return PartRequest{Key: Key{"w1", id}, Tokens: n, Version: 1} }
 
 // newReadyCache returns a cache owned for long enough to save and free parts.
 func newReadyCache(tokens int) *Cache {
@@ -30,7 +30,7 @@
 	if got := c.Decide(now, a); !got.Save {
 		t.Fatalf("%s may not be saved: %+v", a.ID, got)
 	}
-	c.OnStored(now, a.Key, a.Tokens, a.Weights)
+	c.OnStored(now, a.Key, a.Tokens, a.Version)
 }
 
 // One request saves a part while another is told to fetch it, and the second prompt runs on
@@ -104,7 +104,7 @@
 	if got := c.Decide(at(1000), req("b", 16)); got.Save {
 		t.Error("a part is saved at once")
 	}
-	c.newestWeights = 2
+	c.newestWeightsVersion = 2
 	if keys := c.StartFreeing(at(1000)); len(keys) > 0 {
 		t.Errorf("freed %v at once, want none", keys)
 	}
@@ -161,7 +161,7 @@
 		save(t, c, at(i), req(fmt.Sprint(i), 100))
 	}
 	c.OnStored(at(9), Key{"w1", "8"}, 100, 1) // exceeds highWatermark with the next part
-	newer := PartRequest{Key: Key{"w2", "x"}, Tokens: 96, Weights: 2}
+	newer := PartRequest{Key: Key{"w2", "x"}, Tokens: 96, Version: 2}
 	if got := c.Decide(at(3000), newer); got.Full || !got.Save {
 		t.Fatalf("part of the newer weights: %+v", got)
 	}
@@ -194,7 +194,7 @@
 		for range rapid.IntRange(100, 400).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{1, 1, 5, 5, 20, 20, 100, 100, 2000}).Draw(rt, "ms")) * time.Millisecond)
 			key := Key{fmt.Sprint("w", rapid.IntRange(1, 3).Draw(rt, "weights")), fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "id"))}
-			a := PartRequest{Key: key, Tokens: 160, Weights: uint64(key.Salt[1] - '0'), Last: rapid.IntRange(0, 9).Draw(rt, "last") == 0}
+			a := PartRequest{Key: key, Tokens: 160, Version: uint64(key.Salt[1] - '0'), Last: rapid.IntRange(0, 9).Draw(rt, "last") == 0}
 			switch steps[rapid.IntRange(0, len(steps)-1).Draw(rt, "step")] {
 			case "ask":
 				got := c.Decide(now, a)
@@ -259,10 +259,10 @@
 			case "list":
 				var complete, partial []PartRequest
 				for k := range stored {
-					complete = append(complete, PartRequest{Key: k, Tokens: 160, Weights: uint64(k.Salt[1] - '0')})
+					complete = append(complete, PartRequest{Key: k, Tokens: 160, Version: uint64(k.Salt[1] - '0')})
 				}
 				for k := range writing {
-					partial = append(partial, PartRequest{Key: k, Tokens: 160, Weights: uint64(k.Salt[1] - '0')})
+					partial = append(partial, PartRequest{Key: k, Tokens: 160, Version: uint64(k.Salt[1] - '0')})
 				}
 				c.OnList(now, complete, partial)
 			case "late removal":
@@ -291,14 +291,14 @@
 		t.Errorf("a part that is not stored: %+v", got)
 	}
 
-	takenOver := at(0).Add(minRetention + time.Second)
-	next := New(takenOver, Params{CapacityTokens: 1000, TokensPerSec: 100_000, PreviousLeaseExpired: true})
+	takeoverAt := at(0).Add(minRetention + time.Second)
+	next := New(takeoverAt, Params{CapacityTokens: 1000, TokensPerSec: 100_000, PreviousLeaseExpired: true})
 	var complete []PartRequest
 	for i := range 10 {
 		complete = append(complete, req(fmt.Sprint(i), 100))
 	}
-	next.OnList(takenOver.Add(-minRetention), complete, nil) // all parts are long unused, and the store is full
-	lastPermitEnd := takenOver.Add(ReadOnlyGrace + ReadPermitTTL)
+	next.OnList(takeoverAt.Add(-minRetention), complete, nil) // all parts are long unused, and the store is full
+	lastPermitEnd := takeoverAt.Add(ReadOnlyGrace + ReadPermitTTL)
 	if keys := next.StartFreeing(lastPermitEnd); len(keys) > 0 {
 		t.Errorf("%d parts are freed while permits of the previous owner may be valid", len(keys))
 	}
@@ -354,7 +354,7 @@
 	c := newReadyCache(1000)
 	save(t, c, at(0), req("before", 96))
 	c.Decide(at(10), req("during", 96))
-	newer := PartRequest{Key: Key{"w2", "x"}, Tokens: 16, Weights: 2}
+	newer := PartRequest{Key: Key{"w2", "x"}, Tokens: 16, Version: 2}
 	c.Decide(at(20), newer)
 	c.OnStored(at(30), Key{"w1", "during"}, 96, 1)
 	c.OnStored(at(30), Key{"w1", "unheard of"}, 96, 1)
@@ -449,7 +449,7 @@
 // and a third of the links' time from the saves of the new weights.
 func TestPartsOfReplacedWeightsAreNotSaved(t *testing.T) {
 	c := newReadyCache(1000)
-	c.Decide(at(0), PartRequest{Key: Key{"w2", "x"}, Tokens: 100, Weights: 2})
+	c.Decide(at(0), PartRequest{Key: Key{"w2", "x"}, Tokens: 100, Version: 2})
 	queue := c.QueueTime(at(10))
 	if got := c.Decide(at(10), req("a", 100)); got.Save || got.Reason != ReasonOldWeights {
 		t.Errorf("got %+v", got)
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -180,8 +180,8 @@
 // updateReplica records the outcome in the replica's health.
 func (s *Server) updateReplica(j *Job, a *attempt) {
 	r := a.placement.Replica
-	if j.Model != "" && a.meta.Weights > 0 {
-		r.ObserveWeights(j.Model, a.meta.Weights)
+	if j.Model != "" && a.meta.WeightsVersion > 0 {
+		r.ObserveWeights(j.Model, a.meta.WeightsVersion)
 	}
 	switch a.outcome {
 	case answered:
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -104,8 +104,8 @@
 
 // StartDraining makes each response close its connection. Streams that arrive more than lastStream
 // from now are refused, because they could outlast the process.
-func (s *Server) StartDraining(lastStream time.Duration) {
-	s.streamCutoff.Set(time.Now().Add(lastStream))
+func (s *Server) StartDraining(acceptStreamsFor time.Duration) {
+	s.streamCutoff.Set(time.Now().Add(acceptStreamsFor))
 	s.draining.Store(true)
 }
 
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -36,12 +36,12 @@
 
 // AttemptMeta is the metadata that an attempt sends in addition to the caller's own headers.
 type AttemptMeta struct {
-	Replica     request.TargetID
-	TimeLeft    time.Duration
-	Org         request.OrgID
-	LastEventID string // set when the relay itself resumes a stream
-	Weights     uint64 // weight version that the replica must serve; zero: any
-	CacheSalt   string
+	Replica        request.TargetID
+	TimeLeft       time.Duration
+	Org            request.OrgID
+	LastEventID    string // set when the relay itself resumes a stream
+	WeightsVersion uint64 // weight version that the replica must serve; zero: any
+	CacheSalt      string
 	// FetchFrom and SaveTo hold a context store's address for each part, empty for none.
 	FetchFrom  []string
 	SaveTo     []string
@@ -51,10 +51,10 @@
 
 // ResponseMeta holds the response metadata from a replica's headers.
 type ResponseMeta struct {
-	ID      string
-	Signed  bool   // the replica signed the response
-	NotRun  bool   // the replica did not run the request
-	Weights uint64 // weight version that the replica serves; zero: not stated
+	ID             string
+	Signed         bool   // the replica signed the response
+	NotRun         bool   // the replica did not run the request
+	WeightsVersion uint64 // weight version that the replica serves; zero: not stated
 	// RateLimit is the number of requests per second that the replica accepts from all daemons
 	// together; zero: no limit.
 	RateLimit float64
--- a/internal/replicas/cold.go
+++ b/internal/replicas/cold.go
@@ -9,7 +9,7 @@
 
 // Cold reports whether the replica is cold: for some time after its start, actual or assumed, a replica
 // accepts few requests.
-func (r *Replica) Cold(now time.Time) bool { return r.cold.After(now) }
+func (r *Replica) Cold(now time.Time) bool { return r.coldUntil.After(now) }
 
 // AssumeCold records that the replica may have just started. The registry shows a start only seconds
 // later, so that its current entry does not contradict this.
@@ -18,20 +18,20 @@
 		return
 	}
 	if d := r.coldFor(r.Info().Service); d > 0 {
-		r.cold.Extend(now.Add(d))
+		r.coldUntil.Extend(now.Add(d))
 	}
 }
 
 // SetColdStarts sets how long the replicas of each service are cold after a start. Replicas of services
 // that are not listed are never cold.
-func (s *Set) SetColdStarts(after map[routing.ServiceID]time.Duration) {
+func (s *Set) SetColdStarts(durations map[routing.ServiceID]time.Duration) {
 	s.coldMu.Lock()
 	defer s.coldMu.Unlock()
-	s.coldAfter = maps.Clone(after)
+	s.coldDuration = maps.Clone(durations)
 }
 
 func (s *Set) coldFor(service routing.ServiceID) time.Duration {
 	s.coldMu.Lock()
 	defer s.coldMu.Unlock()
-	return s.coldAfter[service]
+	return s.coldDuration[service]
 }
--- a/internal/replicas/limit.go
+++ b/internal/replicas/limit.go
@@ -66,7 +66,7 @@
 // Limited returns the number of replicas with a rate limit.
 func (s *Set) Limited() int {
 	limited := 0
-	for _, r := range s.All() {
+	for _, r := range s.NotLeaving() {
 		if perSecond, _ := r.Limit(); perSecond > 0 {
 			limited++
 		}
--- a/internal/replicas/reach.go
+++ b/internal/replicas/reach.go
@@ -6,10 +6,10 @@
 )
 
 // SetBusy records that the replica accepts no requests until the given time, because it loads weights.
-func (r *Replica) SetBusy(until time.Time) { r.busy.Set(until) }
+func (r *Replica) SetBusy(until time.Time) { r.busyUntil.Set(until) }
 
 // Busy reports whether the replica accepts no requests now.
-func (r *Replica) Busy(now time.Time) bool { return r.busy.After(now) }
+func (r *Replica) Busy(now time.Time) bool { return r.busyUntil.After(now) }
 
 // RecordRefusal records that the replica refused to run a request, and notifies the listener. The
 // replica is at capacity, or it executes an order and waits for running requests to end, which takes
@@ -21,15 +21,15 @@
 }
 
 // AvoidFor records that the replica accepts no requests for a duration, unless it is known to last longer.
-func (r *Replica) AvoidFor(now time.Time, d time.Duration) { r.busy.Extend(now.Add(d)) }
+func (r *Replica) AvoidFor(now time.Time, d time.Duration) { r.busyUntil.Extend(now.Add(d)) }
 
 // BackOff records that the replica rejected a request of this daemon and accepts none until the given
 // time, unless a later time is known.
-func (r *Replica) BackOff(until time.Time) { r.backoff.Extend(until) }
+func (r *Replica) BackOff(until time.Time) { r.backoffUntil.Extend(until) }
 
 // BackoffLeft returns how much longer the replica accepts no requests of this daemon.
 func (r *Replica) BackoffLeft(now time.Time) time.Duration {
-	until, known := r.backoff.Time()
+	until, known := r.backoffUntil.Time()
 	if !known {
 		return 0
 	}
@@ -88,7 +88,7 @@
 
 // ProbeDown probes the replicas that accepted no connection and whose backoff has passed.
 func (s *Set) ProbeDown(ctx context.Context, now time.Time) {
-	for _, r := range s.All() {
+	for _, r := range s.NotLeaving() {
 		if r.Health.ProbeDue(now) {
 			go r.probe(ctx)
 		}
--- a/internal/replicas/replicas.go
+++ b/internal/replicas/replicas.go
@@ -70,9 +70,9 @@
 	down          bool
 	info          atomic.Pointer[Info]
 	weights       sync.Map         // request.Model -> uint64, from answers newer than the registry
-	busy          monotime.Instant // accepts no requests until then
-	backoff       monotime.Instant // accepts no requests of this daemon until then
-	cold          monotime.Instant // accepts few requests until then
+	busyUntil     monotime.Instant // accepts no requests until then
+	backoffUntil  monotime.Instant // accepts no requests of this daemon until then
+	coldUntil     monotime.Instant // accepts few requests until then
 	limit         rateLimit
 	leaving       atomic.Bool // set by an answer
 	coldFor       func(routing.ServiceID) time.Duration
@@ -81,8 +81,8 @@
 // Info returns the latest entry in the registry.
 func (r *Replica) Info() *Info { return r.info.Load() }
 
-// Weights returns the version of a model's weights that the replica serves, zero if it is unknown.
-func (r *Replica) Weights(m request.Model) uint64 {
+// WeightsVersion returns the version of a model's weights that the replica serves, zero if it is unknown.
+func (r *Replica) WeightsVersion(m request.Model) uint64 {
 	listed := r.Info().Weights[m]
 	if seen, ok := r.weights.Load(m); ok {
 		return max(listed, seen.(uint64))
@@ -92,7 +92,7 @@
 
 // ObserveWeights records the version that an answer reported. Versions never decrease.
 func (r *Replica) ObserveWeights(m request.Model, version uint64) {
-	if version > r.Weights(m) {
+	if version > r.WeightsVersion(m) {
 		r.weights.Store(m, version)
 	}
 }
@@ -108,9 +108,9 @@
 	services   map[routing.ServiceID]bool // services in the view; nil: all
 	view       atomic.Pointer[View]
 
-	coldMu    sync.Mutex
-	coldAfter map[routing.ServiceID]time.Duration // duration of the cold period after a start
-	evacuated atomic.Pointer[map[string]bool]     // failure domains whose replicas get no new requests
+	coldMu       sync.Mutex
+	coldDuration map[routing.ServiceID]time.Duration // duration of the cold period after a start
+	evacuated    atomic.Pointer[map[string]bool]     // failure domains whose replicas get no new requests
 
 	evacuationExpiry map[string]time.Time // when evacuations that may have been lost end, by failure domain
 }
@@ -153,9 +153,9 @@
 // It must be called before the first Apply.
 func (s *Set) OnRefused(f func(*Replica)) { s.listeners.refused = f }
 
-// OfService returns the replicas of a service that accept requests, ordered by id. The slice must not
+// ByService returns the replicas of a service that accept requests, ordered by id. The slice must not
 // be modified.
-func (s *Set) OfService(service routing.ServiceID) []*Replica { return s.View().ByService[service] }
+func (s *Set) ByService(service routing.ServiceID) []*Replica { return s.View().ByService[service] }
 
 // View returns a snapshot of all replicas that accept requests now.
 func (s *Set) View() *View { return s.view.Load() }
@@ -167,11 +167,11 @@
 	return s.byID[id]
 }
 
-// All returns all replicas that accept requests.
-func (s *Set) All() []*Replica {
+// NotLeaving returns all replicas that accept requests.
+func (s *Set) NotLeaving() []*Replica {
 	var all []*Replica
-	for _, of := range s.View().ByService {
-		all = append(all, of...)
+	for _, rs := range s.View().ByService {
+		all = append(all, rs...)
 	}
 	return all
 }
@@ -245,7 +245,7 @@
 		r.info.Store(&info)
 	}
 	if info.ColdRemaining > 0 {
-		s.byID[info.ID].cold.Extend(now.Add(info.ColdRemaining))
+		s.byID[info.ID].coldUntil.Extend(now.Add(info.ColdRemaining))
 	}
 }
 
@@ -350,8 +350,8 @@
 			v.ByHash[r.hash] = r
 		}
 	}
-	for _, of := range v.ByService {
-		slices.SortFunc(of, func(a, b *Replica) int { return cmp.Compare(a.Info().ID, b.Info().ID) })
+	for _, rs := range v.ByService {
+		slices.SortFunc(rs, func(a, b *Replica) int { return cmp.Compare(a.Info().ID, b.Info().ID) })
 	}
 	s.view.Store(v)
 }
--- a/internal/replicas/replicas_test.go
+++ b/internal/replicas/replicas_test.go
@@ -14,7 +14,7 @@
 	return Info{ID: request.TargetID(id), Service: "s", Address: "127.0.0.1:1", Weights: map[request.Model]uint64{"m": 1}}
 }
 
-func count(s *Set) int { return len(s.OfService("s")) }
+func count(s *Set) int { return len(s.ByService("s")) }
 
 // A replica's entry expires in an outage of the key-value service, while the replica is alive. Removing
 // it at once would remove all replicas in every outage.
@@ -57,7 +57,7 @@
 	r.ObserveWeights("m", 3)
 	s.Apply(time.Unix(0, 0), Change{Present: []Info{info("a")}}) // the registry still has version 1
 	r.ObserveWeights("m", 2)
-	if got := r.Weights("m"); got != 3 {
+	if got := r.WeightsVersion("m"); got != 3 {
 		t.Errorf("version %d", got)
 	}
 }
@@ -176,7 +176,7 @@
 	alive := info("alive")
 	alive.Address = l.Addr().String()
 	s.Apply(time.Now(), Change{Present: []Info{alive, info("dead")}})
-	for _, r := range s.All() {
+	for _, r := range s.NotLeaving() {
 		r.Suspect(context.Background())
 		if !r.Health.BackingOff(time.Now()) {
 			t.Errorf("%s is used before it was probed", r.Info().ID)
@@ -244,8 +244,8 @@
 	if after == before || after.Hash() == before.Hash() || s.View().ByHash[before.Hash()] != nil {
 		t.Fatal("the new start is taken for the old one")
 	}
-	if after.Weights("m") != 1 || after.Busy(now) || after.Load.Total(now).Requests != 0 || after.Health.BackingOff(now) {
-		t.Errorf("assumed of the new start: weights %d, busy %t, load %+v", after.Weights("m"), after.Busy(now), after.Load.Total(now))
+	if after.WeightsVersion("m") != 1 || after.Busy(now) || after.Load.Total(now).Requests != 0 || after.Health.BackingOff(now) {
+		t.Errorf("assumed of the new start: weights %d, busy %t, load %+v", after.WeightsVersion("m"), after.Busy(now), after.Load.Total(now))
 	}
 	flight.End()
 	if got := after.Load.Total(now); got != (Work{}) {
@@ -282,7 +282,7 @@
 	}
 	after := s.Get("a")
 	s.Apply(now, Change{Present: []Info{started("a", 600)}})
-	if s.Get("a") != after || len(s.OfService("s")) != 1 {
+	if s.Get("a") != after || len(s.ByService("s")) != 1 {
 		t.Error("the entry of the known start made another Replica")
 	}
 }
@@ -306,8 +306,8 @@
 	ghost := info("ghost")
 	ghost.Service = "nowhere"
 	s.Apply(now, Change{Full: true, Present: []Info{info("a"), ghost}})
-	if len(s.All()) != 1 || len(s.View().ByHash) != 1 {
-		t.Errorf("%d replicas are used", len(s.All()))
+	if len(s.NotLeaving()) != 1 || len(s.View().ByHash) != 1 {
+		t.Errorf("%d replicas are used", len(s.NotLeaving()))
 	}
 	r := s.Get("a")
 	s.Apply(now, Change{Full: true, Present: []Info{ghost}, Unreadable: []request.TargetID{"a", "b"}})
@@ -315,7 +315,7 @@
 		t.Error("unreadable entries changed the known replicas")
 	}
 	s.SetServices(map[routing.ServiceID]bool{"s": true, "nowhere": true})
-	if len(s.All()) != 2 {
+	if len(s.NotLeaving()) != 2 {
 		t.Error("a service that was added later has no replicas")
 	}
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -172,8 +172,8 @@
 	for _, r := range routes {
 		s.byHost[r.Host] = append(s.byHost[r.Host], r)
 	}
-	for _, of := range s.byHost {
-		slices.SortStableFunc(of, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+	for _, hostRoutes := range s.byHost {
+		slices.SortStableFunc(hostRoutes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	return s
 }
--- a/internal/suspect/counting.go
+++ b/internal/suspect/counting.go
@@ -97,7 +97,7 @@
 	c.hasRecords.Store(true)
 	c.registry.mu.Lock()
 	defer c.registry.mu.Unlock()
-	return c.registry.register.OnCrashReport(c.registry.opts.Now(), s)
+	return c.registry.crashRecords.OnCrashReport(c.registry.opts.Now(), s)
 }
 
 // RecordSuccess records that a target completed a request.
@@ -107,7 +107,7 @@
 	}
 	fp := fingerprint()
 	c.registry.mu.Lock()
-	records := c.registry.register.OnAnswered(c.registry.opts.Now(), fp)
+	records := c.registry.crashRecords.OnAnswered(c.registry.opts.Now(), fp)
 	c.registry.mu.Unlock()
 	c.store(ctx, records)
 }
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -49,7 +49,7 @@
 	recordCounter tally.Counter
 
 	mu              sync.Mutex
-	register        *quarantine.Registry
+	crashRecords    *quarantine.Registry
 	loaded          bool      // all stored crash records were read once
 	lastReadFailure time.Time // when reading a page last failed
 }
@@ -69,7 +69,7 @@
 		opts:          opts,
 		log:           opts.Logger.Named("suspect"),
 		recordCounter: opts.Metrics.Counter("quarantine_findings"),
-		register:      quarantine.New(opts.Params),
+		crashRecords:  quarantine.New(opts.Params),
 	}
 }
 
@@ -110,7 +110,7 @@
 func (r *Registry) gate(fp quarantine.Fingerprint) quarantine.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.register.Check(r.opts.Now(), fp)
+	return r.crashRecords.Check(r.opts.Now(), fp)
 }
 
 // Begin registers a request that is about to be sent. If it returns false, the request must not be
@@ -118,7 +118,7 @@
 func (r *Registry) Begin(fp quarantine.Fingerprint, id request.ID, t request.TargetID, alone bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, ok := r.register.Begin(r.opts.Now(), fp, id, t, alone)
+	_, ok := r.crashRecords.Begin(r.opts.Now(), fp, id, t, alone)
 	return ok
 }
 
@@ -126,14 +126,14 @@
 func (r *Registry) End(id request.ID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.register.End(id)
+	r.crashRecords.End(id)
 }
 
 // TargetDied marks the requests that this daemon had in flight at a target as suspects. It returns
 // after the crash records are written or the write has failed.
 func (r *Registry) TargetDied(ctx context.Context, t request.TargetID, incarnation uint64) {
 	r.mu.Lock()
-	records := r.register.OnTargetDied(r.opts.Now(), t, incarnation)
+	records := r.crashRecords.OnTargetDied(r.opts.Now(), t, incarnation)
 	r.mu.Unlock()
 	r.publish(ctx, t, records)
 }
@@ -141,7 +141,7 @@
 // OnCoordinatorReport marks requests that other daemons had in flight at a target as suspects.
 func (r *Registry) OnCoordinatorReport(ctx context.Context, t request.TargetID, incarnation uint64, fingerprints []quarantine.Fingerprint) {
 	r.mu.Lock()
-	records := r.register.OnCoordinatorReport(r.opts.Now(), t, incarnation, fingerprints)
+	records := r.crashRecords.OnCoordinatorReport(r.opts.Now(), t, incarnation, fingerprints)
 	r.mu.Unlock()
 	r.publish(ctx, t, records)
 }
@@ -180,14 +180,14 @@
 func (r *Registry) Hash() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.register.Hash(r.opts.Now())
+	return r.crashRecords.Hash(r.opts.Now())
 }
 
 // count returns the number of crash records that have not expired.
 func (r *Registry) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.register.All(r.opts.Now()))
+	return len(r.crashRecords.All(r.opts.Now()))
 }
 
 // All returns the crash records in the form that is sent to peers.
@@ -195,7 +195,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []*peer.Finding
-	for _, f := range r.register.All(r.opts.Now()) {
+	for _, f := range r.crashRecords.All(r.opts.Now()) {
 		m := &peer.Finding{Fingerprint: string(f.Fingerprint), ExpiresUnixMs: f.Expires.UnixMilli(), Proven: f.Proven}
 		for _, d := range f.Deaths {
 			m.Targets = append(m.Targets, string(d))
@@ -221,7 +221,7 @@
 func (r *Registry) merge(in []quarantine.CrashRecord) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.register.Merge(r.opts.Now(), in))
+	return len(r.crashRecords.Merge(r.opts.Now(), in))
 }
 
 // mergePage adds the crash records of a stored page. It skips a page that can't be decoded, which
@@ -240,5 +240,5 @@
 func (r *Registry) State() any {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.register.All(r.opts.Now())
+	return r.crashRecords.All(r.opts.Now())
 }
--- a/internal/weights/controller.go
+++ b/internal/weights/controller.go
@@ -98,10 +98,10 @@
 
 // State is a replica's state as announced to peers. A zero BusyFor ends an earlier busy period.
 type State struct {
-	Replica request.TargetID
-	BusyFor time.Duration // the replica accepts no requests for this long
-	Model   request.Model
-	Weights uint64 // version that the replica serves; zero: not announced
+	Replica        request.TargetID
+	BusyFor        time.Duration // the replica accepts no requests for this long
+	Model          request.Model
+	WeightsVersion uint64 // version that the replica serves; zero: not announced
 }
 
 // ReplicaClient calls replicas.
@@ -257,9 +257,9 @@
 			continue
 		}
 		r.SetBusy(time.Time{})
-		c.announce(State{Replica: id, Model: o.model, Weights: r.Weights(o.model)})
+		c.announce(State{Replica: id, Model: o.model, WeightsVersion: r.WeightsVersion(o.model)})
 		c.o.Logger.Info("Replica serves new weights", "replica", id, "model", o.model,
-			"version", r.Weights(o.model), "after_ms", time.Since(o.orderedAt).Milliseconds())
+			"version", r.WeightsVersion(o.model), "after_ms", time.Since(o.orderedAt).Milliseconds())
 	}
 }
 
@@ -274,8 +274,8 @@
 func (c *Controller) outdatedReplicas() []outdatedReplica {
 	var outdated []outdatedReplica
 	for model, version := range c.o.RequestedVersions() {
-		for _, r := range c.o.Set.All() {
-			if _, serves := r.Info().Weights[model]; serves && r.Weights(model) < version {
+		for _, r := range c.o.Set.NotLeaving() {
+			if _, serves := r.Info().Weights[model]; serves && r.WeightsVersion(model) < version {
 				outdated = append(outdated, outdatedReplica{replica: r, model: model, version: version})
 			}
 		}
@@ -324,7 +324,7 @@
 	}
 	if l.ExpiredHolder() == lease.UnknownHolder {
 		// The order record of the previous holder may be lost: any replica may have a pending order.
-		for _, r := range c.o.Set.All() {
+		for _, r := range c.o.Set.NotLeaving() {
 			c.inheritedUntil[r.Info().ID] = now.Add(c.o.OrderLease)
 		}
 	}
--- a/internal/weights/orders.go
+++ b/internal/weights/orders.go
@@ -94,7 +94,7 @@
 func (c *Controller) longestOutdated(outdated []outdatedReplica) time.Duration {
 	var longest time.Duration
 	for _, r := range outdated {
-		if since, outdated := c.o.OutdatedSince(r.model, r.replica.Weights(r.model)); outdated {
+		if since, ok := c.o.OutdatedSince(r.model, r.replica.WeightsVersion(r.model)); ok {
 			longest = max(longest, time.Since(since))
 		}
 	}
@@ -103,11 +103,11 @@
 
 // unavailableShareAt returns the share of replicas that may be unavailable. It grows as the old
 // weights approach the end of their allowed use, after which a replica that serves them is useless.
-func unavailableShareAt(delay time.Duration) float64 {
+func unavailableShareAt(outdatedFor time.Duration) float64 {
 	switch {
-	case delay > veryLateAfter:
+	case outdatedFor > veryLateAfter:
 		return veryLateUnavailableShare
-	case delay > lateAfter:
+	case outdatedFor > lateAfter:
 		return lateUnavailableShare
 	}
 	return maxUnavailableShare
@@ -125,13 +125,13 @@
 }
 
 func (c *Controller) maxLoading(model request.Model) int {
-	all := 0
-	for _, r := range c.o.Set.All() {
+	serving := 0
+	for _, r := range c.o.Set.NotLeaving() {
 		if _, serves := r.Info().Weights[model]; serves {
-			all++
+			serving++
 		}
 	}
-	return max(1, int(maxLoadingShare*float64(all)))
+	return max(1, int(maxLoadingShare*float64(serving)))
 }
 
 // observe returns the desired and the observed state of all replicas that serve the model of the
@@ -149,7 +149,7 @@
 			Target: id, ReadAt: now, Reachable: !r.replica.Health.BackingOff(now),
 			InFlight: work.Requests, PrefillTokens: work.Prefill, NoOrderBefore: c.inheritedUntil[id],
 		}
-		o.State.Version = versionOf(r.replica.Weights(r.model))
+		o.State.Version = versionOf(r.replica.WeightsVersion(r.model))
 		if report, reported := reports[id]; reported {
 			o.State.Version = versionOf(report.Weights[r.model])
 			if report.Busy {
@@ -170,8 +170,8 @@
 // addUpToDate adds the replicas that are up to date, since the shares are shares of all replicas.
 func (c *Controller) addUpToDate(desired []rollout.Desired, observed []rollout.Observed, outdated []outdatedReplica, now time.Time) ([]rollout.Desired, []rollout.Observed) {
 	model, version := outdated[0].model, outdated[0].version
-	for _, r := range c.o.Set.All() {
-		if _, serves := r.Info().Weights[model]; !serves || r.Weights(model) < version {
+	for _, r := range c.o.Set.NotLeaving() {
+		if _, serves := r.Info().Weights[model]; !serves || r.WeightsVersion(model) < version {
 			continue
 		}
 		id := r.Info().ID
