--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -123,7 +123,7 @@
 	})
 	r, now := n.set.Get("r"), time.Now()
 	if r.Load.Total(now) != (replicas.Work{}) || r.Busy(now) || r.Health.BackingOff(now) || r.WeightsVersion("m") != 0 {
-		t.Errorf("assumed of the new start: load %+v, busy %t, weights %d", r.Load.Total(now), r.Busy(now), r.WeightsVersion("m"))
+		t.Errorf("assumed of the new incarnation: load %+v, busy %t, weights %d", r.Load.Total(now), r.Busy(now), r.WeightsVersion("m"))
 	}
 }
 
--- a/internal/replicas/cold_test.go
+++ b/internal/replicas/cold_test.go
@@ -37,13 +37,13 @@
 	}
 }
 
-// An answer reveals a new start of a replica before the registry does.
+// An answer reveals a new incarnation of a replica before the registry does.
 func TestRestartedReplicaIsCold(t *testing.T) {
 	i := info("a")
 	i.Started = 7
 	s := coldSet(i)
 	if s.ObserveStart(s.Get("a"), 8) {
-		t.Fatal("the new start is taken for the known one")
+		t.Fatal("the new incarnation is taken for the known one")
 	}
 	if !s.Get("a").Cold(time.Now()) {
 		t.Error("the restarted replica is not cold")
--- a/internal/replicas/leaving.go
+++ b/internal/replicas/leaving.go
@@ -6,11 +6,11 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// departureRetention is how long the starts of leaving replicas are remembered after their entries were
-// removed. An entry that expired, or that an older copy of the registry holds, reappears within seconds.
+// departureRetention is how long the incarnations of leaving replicas are remembered after their entries
+// were removed. An entry that expired, or that an older copy of the registry holds, reappears within seconds.
 const departureRetention = 10 * time.Minute
 
-// departure is a start of a replica that announced that it is leaving, and whose entry was removed.
+// departure is an incarnation of a replica that announced that it is leaving, and whose entry was removed.
 type departure struct {
 	started int64
 	at      time.Time
@@ -25,7 +25,7 @@
 }
 
 // MarkLeaving records that the replica accepts no new requests, and reports whether the state changed.
-// Leaving is final for a start of a replica.
+// Leaving is final for an incarnation of a replica.
 func (r *Replica) MarkLeaving() (changed bool) { return !r.leaving.Swap(true) }
 
 // Leaving reports whether the replica accepts no new requests, by its own answers or by the registry.
@@ -43,7 +43,7 @@
 	}
 }
 
-// hasDeparted reports whether a start of a replica was leaving when its entry was removed.
+// hasDeparted reports whether an incarnation of a replica was leaving when its entry was removed.
 func (s *Set) hasDeparted(id request.TargetID, started int64) bool {
 	l, known := s.departures[id]
 	return known && l.started == started
--- a/internal/replicas/leaving_test.go
+++ b/internal/replicas/leaving_test.go
@@ -8,8 +8,8 @@
 )
 
 // A replica announces that it is leaving. Its entry, which says that it is ready, is written again, then
-// expires in an outage and reappears from an older copy: this start is still leaving. The next start
-// under the same id is not.
+// expires in an outage and reappears from an older copy: this incarnation is still leaving. The
+// next one under the same id is not.
 func TestLeavingIsPermanentForAStart(t *testing.T) {
 	i := info("a")
 	i.Started = 7
--- a/internal/replicas/replicas.go
+++ b/internal/replicas/replicas.go
@@ -2,7 +2,8 @@
 // load, and their recent health.
 //
 // Load counts the requests that this daemon has in flight and those that its peers report. Health is
-// derived only from answers to callers' requests; replicas are not queried for it.
+// derived from answers to callers' requests. A replica is probed, by opening a connection, only after a
+// connection to it failed or a peer reported that it accepts none.
 package replicas
 
 import (
@@ -24,8 +25,8 @@
 
 const (
 	// dialTimeout is how long a request waits for a connection. A healthy replica accepts one within
-	// milliseconds, and a lost packet is retransmitted only after a second, so that the next replica is
-	// tried immediately.
+	// milliseconds. A lost packet is retransmitted only after a second, so trying the next replica is
+	// faster.
 	dialTimeout = 250 * time.Millisecond
 	maxIdle     = 16 // idle connections to one replica
 	// probeResultTTL is how long the result of IsDown is reused.
@@ -35,7 +36,7 @@
 	refusalBackoff = 300 * time.Millisecond
 	// expiryGrace is how long a replica is still used after its entry expired in an outage. Most replicas
 	// write their entries again within two seconds of the end of the outage. A replica that has
-	// terminated instead must get no requests two seconds after its entry was removed.
+	// terminated instead must get no requests later than two seconds after its entry was removed.
 	expiryGrace = 1500 * time.Millisecond
 )
 
@@ -49,21 +50,21 @@
 	Leaving       bool // it accepts no new requests
 	Weights       map[request.Model]uint64
 	// Started is when the replica's process started by its own clock, in Unix milliseconds, or zero if
-	// the replica does not report it. It identifies a start but does not order starts: the clock may be
-	// set back between two of them.
+	// the replica does not report it. It identifies an incarnation but does not order incarnations: the
+	// clock may be set back between two of them.
 	Started       int64
 	ColdRemaining time.Duration // how much longer it accepts few requests, as it reported
 }
 
-// Replica is one start of a replica. A replica that restarts under its id is a new Replica: neither its
-// cache contents nor any assumed state carry over from the previous start.
+// Replica is one incarnation (process) of a replica. A replica that restarts under its id is a new
+// Replica: neither its cache contents nor any assumed state carry over from the previous incarnation.
 type Replica struct {
 	Pool   *upstream.Pool
 	Load   Load
 	Health Health
 
-	hash          uint64     // of the id and the start
-	earlierStarts []int64    // previous starts of this id, newest last
+	hash          uint64     // of the id and the incarnation
+	earlierStarts []int64    // Started of previous incarnations of this id, newest last
 	listeners     *listeners // those of its set
 	probeMu       sync.Mutex
 	probedAt      time.Time // time of the last probe by IsDown
@@ -112,17 +113,18 @@
 	coldDuration map[routing.ServiceID]time.Duration // duration of the cold period after a start
 	evacuated    atomic.Pointer[map[string]bool]     // failure domains whose replicas get no new requests
 
-	evacuationExpiry map[string]time.Time // when evacuations that may have been lost end, by failure domain
+	evacuationExpiry map[string]time.Time // by failure domain; end of an evacuation that the key-value service may have lost
 }
 
-// View is a snapshot of the replicas that accept requests. It must not be modified.
+// View is a snapshot of the replicas of known services that their registry entries do not mark as
+// leaving. It must not be modified.
 type View struct {
 	ByService map[routing.ServiceID][]*Replica // ordered by id
 	ByHash    map[uint64]*Replica
 }
 
-// Hash identifies one start of a replica among daemons. A delayed report of an earlier start therefore
-// matches no known replica.
+// Hash identifies an incarnation in messages between daemons. A delayed report of an earlier
+// incarnation therefore matches no known replica.
 func (r *Replica) Hash() uint64 { return r.hash }
 
 func hashOf(info Info) uint64 {
@@ -153,11 +155,11 @@
 // It must be called before the first Apply.
 func (s *Set) OnRefused(f func(*Replica)) { s.listeners.refused = f }
 
-// ByService returns the replicas of a service that accept requests, ordered by id. The slice must not
-// be modified.
+// ByService returns the replicas of a known service that their registry entries do not mark as leaving,
+// ordered by id. The slice must not be modified.
 func (s *Set) ByService(service routing.ServiceID) []*Replica { return s.View().ByService[service] }
 
-// View returns a snapshot of all replicas that accept requests now.
+// View returns the current snapshot of the replicas.
 func (s *Set) View() *View { return s.view.Load() }
 
 // Get returns a replica by its id.
@@ -167,7 +169,7 @@
 	return s.byID[id]
 }
 
-// NotLeaving returns all replicas that accept requests.
+// NotLeaving returns the replicas of known services that their registry entries do not mark as leaving.
 func (s *Set) NotLeaving() []*Replica {
 	var all []*Replica
 	for _, rs := range s.View().ByService {
@@ -232,7 +234,7 @@
 func (s *Set) upsert(now time.Time, info Info) {
 	r := s.byID[info.ID]
 	if r != nil && slices.Contains(r.earlierStarts, info.Started) {
-		return // a delayed entry of an earlier start
+		return // a delayed entry of an earlier incarnation
 	}
 	delete(s.expiring, info.ID)
 	switch {
@@ -249,11 +251,12 @@
 	}
 }
 
-// maxEarlierStarts is the number of starts of one id that are remembered to detect delayed messages
-// about them. Messages are delayed by seconds, and a crashing replica starts once in several seconds.
+// maxEarlierStarts is the number of incarnations of one id that are remembered to detect delayed
+// messages about them. Messages are delayed by seconds, and a crashing replica starts once in several
+// seconds.
 const maxEarlierStarts = 8
 
-// add adds a replica. earlierStarts are the previous starts of its id.
+// add adds a replica. earlierStarts identifies the previous incarnations of its id.
 func (s *Set) add(info Info, earlierStarts []int64) {
 	r := &Replica{
 		Pool: upstream.NewPool(info.Address, dialTimeout, maxIdle), hash: hashOf(info), earlierStarts: earlierStarts,
@@ -264,12 +267,12 @@
 	s.byID[info.ID] = r
 }
 
-// restart replaces a replica by its new start.
+// restart replaces a replica by its new incarnation.
 //
-// It guards against a replica that crashes and restarts under its id within a second. Its entry never
-// expires, so that daemons would send it prompts for a context that it no longer holds, have other
-// replicas fetch from it, and avoid it for the behaviour of the old process. A start is a new Replica,
-// and all assumed state is kept per Replica or by its Hash.
+// A replica may crash and restart under its id within a second, before its entry expires. If its state
+// were kept, daemons would send it prompts for a context that it no longer holds, have other replicas
+// fetch from it, and avoid it for the behaviour of the old process. An incarnation is therefore a new
+// Replica, and all assumed state is kept per Replica or by its Hash.
 func (s *Set) restart(r *Replica, info Info) {
 	earlierStarts := slices.Clone(r.earlierStarts)
 	if known := r.Info().Started; known != 0 {
@@ -279,7 +282,7 @@
 	r.Pool.Close()
 }
 
-// ObserveStart records which start of a replica answered, and reports whether it is the expected one.
+// ObserveStart records which incarnation of a replica answered, and reports whether it is r's.
 // An answer may reveal a restart before the registry does.
 func (s *Set) ObserveStart(r *Replica, started int64) bool {
 	s.mu.Lock()
@@ -291,7 +294,7 @@
 	if s.byID[info.ID] != r || slices.Contains(r.earlierStarts, started) {
 		return false
 	}
-	info.Started, info.ColdRemaining = started, 0 // the registry's entry is of the previous start
+	info.Started, info.ColdRemaining = started, 0 // the registry's entry is of the previous incarnation
 	s.restart(r, info)
 	s.byID[info.ID].AssumeCold(time.Now())
 	s.publish()
--- a/internal/replicas/replicas_test.go
+++ b/internal/replicas/replicas_test.go
@@ -198,9 +198,9 @@
 }
 
 // A replica gets an order to load weights and first waits for long outputs to end. It looks idle
-// meanwhile and refuses all requests: 22 in 0.4 s, from daemons that did not share their refusals. One
-// refusal must suffice for all daemons, and must not shorten the longer busy time that the owner of the
-// rollout reported.
+// meanwhile but refuses all requests. Before daemons shared refusals, one such replica refused 22
+// requests in 0.4 s. One refusal must suffice for all daemons, and must not shorten the longer busy time
+// that the holder of the weights lease reported.
 func TestRefusingReplicaIsAvoided(t *testing.T) {
 	s := NewSet()
 	var reported []request.TargetID
@@ -242,19 +242,19 @@
 	s.Apply(now, Change{Present: []Info{started("a", 400)}}) // its clock was set back
 	after := s.Get("a")
 	if after == before || after.Hash() == before.Hash() || s.View().ByHash[before.Hash()] != nil {
-		t.Fatal("the new start is taken for the old one")
+		t.Fatal("the new incarnation is taken for the old one")
 	}
 	if after.WeightsVersion("m") != 1 || after.Busy(now) || after.Load.Total(now).Requests != 0 || after.Health.BackingOff(now) {
-		t.Errorf("assumed of the new start: weights %d, busy %t, load %+v", after.WeightsVersion("m"), after.Busy(now), after.Load.Total(now))
+		t.Errorf("assumed of the new incarnation: weights %d, busy %t, load %+v", after.WeightsVersion("m"), after.Busy(now), after.Load.Total(now))
 	}
 	flight.End()
 	if got := after.Load.Total(now); got != (Work{}) {
-		t.Errorf("the end of an old request reduced the new start's load: %+v", got)
+		t.Errorf("the end of an old request reduced the new incarnation's load: %+v", got)
 	}
 }
 
-// A copy of the registry from before the crash arrives several times after the new start is known. It must
-// not bring back the dead process.
+// A copy of the registry from before the crash arrives several times after the new incarnation is known. It
+// must not bring back the dead process.
 func TestDelayedEntryOfEarlierStartIsIgnored(t *testing.T) {
 	s, now := NewSet(), time.Unix(1000, 0)
 	for _, at := range []int64{500, 300, 900} {
@@ -278,7 +278,7 @@
 		t.Fatal("the same or an unknown start is taken for a new one")
 	}
 	if s.ObserveStart(before, 600) || s.Get("a") == before {
-		t.Fatal("the new start is taken for the old one")
+		t.Fatal("the new incarnation is taken for the old one")
 	}
 	after := s.Get("a")
 	s.Apply(now, Change{Present: []Info{started("a", 600)}})
