--- a/internal/policy/pick/pick.go
+++ b/internal/policy/pick/pick.go
@@ -48,7 +48,7 @@
 	Resident       bool          // the part is cached in the replica's memory
 	FetchTime      time.Duration // time to fetch the part from elsewhere; zero: not available
 	LinkTime       time.Duration // time within FetchTime during which the source's link is occupied
-	ComputedBefore bool          // the part was computed before; computing it again would be recomputation
+	ComputedBefore bool          // some replica has computed the part already; computing it again costs RecomputePenalty per token
 }
 
 // Candidate describes the state of one replica.
--- a/internal/policy/quarantine/quarantine.go
+++ b/internal/policy/quarantine/quarantine.go
@@ -78,9 +78,11 @@
 	// Alone allows it to run on a target with no other request in flight. The caller must have merged
 	// the records that other daemons wrote.
 	Alone Mode = "alone"
-	// Wait means that the request is in flight as a suspect, and has to wait for its end.
+	// Wait means that an equal request is in flight as a suspect. The caller tries again after it has
+	// ended.
 	Wait Mode = "wait"
-	// Refuse means that the request has crashed MaxDeaths targets.
+	// Refuse means that the request must not run: it reached MaxDeaths with a proven cause, or
+	// UnprovenDeaths.
 	Refuse Mode = "refuse"
 )
 
--- a/internal/policy/retry/retry.go
+++ b/internal/policy/retry/retry.go
@@ -127,7 +127,7 @@
 // Request is the state of a request between its attempts.
 type Request struct {
 	// Repeatable is set if the request may run twice without harm: prompts, and calls of plain
-	// services whose table row says so.
+	// services whose targets the targets table marks as repeatable.
 	Repeatable bool
 	// Deadline is the time by which the answer must begin. Zero: none.
 	Deadline time.Time
--- a/internal/policy/storecache/link.go
+++ b/internal/policy/storecache/link.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// meanReaderFactor accounts for readers in other failure domains. They are about half of
-	// all readers, and their transfers take twice as long.
+	// meanReaderFactor is the mean time on the link of a transfer, relative to a transfer to a reader
+	// in the store's failure domain. About half of the readers, slightly fewer, are in other failure
+	// domains, and their transfers take twice as long.
 	meanReaderFactor = 1.4
 	// minQueuedFetch is the shortest fetch that certainly waited in the queue. The first token
 	// of an idle replica varies by some ten milliseconds.
--- a/internal/policy/storecache/storecache.go
+++ b/internal/policy/storecache/storecache.go
@@ -69,7 +69,7 @@
 type PartRequest struct {
 	Key
 	Tokens  int
-	Version uint64 // version of the weights that computed the part
+	Version uint64 // weights version that the part belongs to
 	// Resident is set if the replica is assumed to have the part in memory. The transfer is then
 	// not counted on the link.
 	Resident bool
@@ -87,11 +87,11 @@
 const (
 	ReasonCached       Reason = "held"   // the part may be fetched
 	ReasonQueue        Reason = "queue"  // the link's queue is too long
-	ReasonUnavailable  Reason = "saving" // the part is being written
-	ReasonUnconfirmed  Reason = "unsure" // earlier permits may still be valid
-	ReasonOldWeights   Reason = "old"    // the weights were replaced; the part would count as mixed once complete
+	ReasonUnavailable  Reason = "saving" // the part is being written or freed, or newer weights may have computed it
+	ReasonUnconfirmed  Reason = "unsure" // earlier permits may still be valid, or the owner holds no lease
+	ReasonOldWeights   Reason = "old"    // newer weights are known; the saved part would never be fetched
 	ReasonFirstRequest Reason = "once"   // a last part that was not requested before
-	ReasonFull         Reason = "full"   // no space without freeing parts that are still wanted
+	ReasonFull         Reason = "full"   // no space for the part
 	ReasonSave         Reason = "save"   // the request is to save the part
 )
 
@@ -103,7 +103,8 @@
 	FetchTime time.Duration // duration of a fetch, including its time in the queue
 	QueueTime time.Duration // time that the fetch waits for the link
 	Claim     int64         // identifies the transfer that is reserved on the link; zero if there is none
-	// Full is set if the store would have to free parts that are still wanted.
+	// Full is set with ReasonFull: the part does not fit, or it fits only above the high watermark and
+	// no part may be freed now.
 	Full bool
 }
 
@@ -255,8 +256,8 @@
 	}
 }
 
-// recordLastPart records a request for a last part. It reports whether the part was requested
-// before, within the time in which it is likely to be used again.
+// recordLastPart records a request for a last part. It reports whether the part was already
+// requested within minRetention, the time in which it is likely to be used again.
 func (c *Cache) recordLastPart(now time.Time, key Key) bool {
 	if now.Sub(c.seenSweptAt) > minRetention {
 		c.seenSweptAt = now
@@ -339,7 +340,7 @@
 	return c.usedTokens+roundUp(tokens) <= c.params.CapacityTokens && len(c.freeable(now)) > 0
 }
 
-// OnStored records the store's report that a part is complete. weights is the version that
+// OnStored records the store's report that a part is complete. weightsVersion is the one that
 // the part's salt encodes.
 //
 // A run may continue while its replica changes weights. If the run is preempted and its
