--- a/internal/contextstore/ownedstore.go
+++ b/internal/contextstore/ownedstore.go
@@ -325,7 +325,7 @@
 	return s.lease.Epoch()
 }
 
-// retire ends the ownership of the store here and returns the lease.
+// retire marks the store as no longer owned by this daemon and returns its lease.
 func (s *ownedStore) retire() *lease.Lease {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -11,7 +11,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// session is the platform lease of this process, which all its names share.
+// session is the key-value service's lease that all leases held by this process depend on.
 type session struct {
 	id       platform.LeaseID
 	revision platform.Revision // of its key
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -17,7 +17,8 @@
 const (
 	// ringLines bounds the number of buffered lines, which take about 400 bytes each.
 	ringLines = 2048
-	// defaultLinesPerSecond exceeds the number of decisions that a daemon makes in a busy second.
+	// defaultLinesPerSecond is the default limit for lines of one kind. It exceeds the number of
+	// decisions that a daemon makes in a busy second.
 	defaultLinesPerSecond = 200
 	reportInterval        = time.Second
 	// flushTimeout bounds how long a terminating process waits for the reader of the log.
--- a/internal/mirror/group.go
+++ b/internal/mirror/group.go
@@ -186,8 +186,8 @@
 }
 
 // fetch requests a peer's copy and applies it. The peer sends only the changes after the revision
-// up to which this daemon is complete: a requested weight version takes a few bytes, the desired
-// state a megabyte.
+// up to which this daemon is complete, because a complete copy may be far larger: a change of a
+// weight version has a few bytes, the desired state a megabyte.
 func (g *Group) fetch(ctx context.Context, peer, prefix string) {
 	m := g.byPrefix[prefix]
 	defer func() {
--- a/internal/placer/memory.go
+++ b/internal/placer/memory.go
@@ -30,8 +30,8 @@
 	pp.memoryTokens = tokens
 }
 
-// RecordPlacement records what is added to a replica's memory: parts, and other tokens, which are never
-// requested again but use capacity until they are evicted.
+// RecordPlacement records what is added to a replica's memory: parts, and otherTokens, which are
+// never requested again but use capacity until they are evicted.
 func (pp *PromptPlacer) RecordPlacement(r *replicas.Replica, parts []PlacedPart, otherTokens int) {
 	pp.mu.Lock()
 	defer pp.mu.Unlock()
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -40,8 +40,9 @@
 	// costs a round trip.
 	maxSentAttempts = 4
 	// maxUnsentAttempts bounds the replicas to which no connection could be opened. Such an attempt
-	// reaches no replica and is not charged to the retry budget: when a third of the replicas died
-	// at once, requests that had met two of them were refused while other replicas were idle.
+	// reaches no replica and is not charged to the retry budget. When it was charged and a third of
+	// the replicas died at once, requests that tried two dead replicas were refused although others
+	// were idle.
 	maxUnsentAttempts = 8
 )
 
@@ -54,7 +55,8 @@
 	// State returns the effective desired state, nil if none is known, and whether it is
 	// confirmed to be current.
 	State func() (s *routing.Snapshot, current bool)
-	// OutageDuration returns for how long no newer desired state could be read; nil: unknown.
+	// OutageDuration returns how long the desired state could not be read; zero: no outage. Nil: always
+	// zero.
 	OutageDuration func() time.Duration
 	// RetryBudget returns this daemon's share of the retry budget of one service.
 	RetryBudget func() retry.Params
@@ -102,8 +104,8 @@
 	return s
 }
 
-// StartDraining makes each response close its connection. Streams that arrive more than lastStream
-// from now are refused, because they could outlast the process.
+// StartDraining makes each response close its connection. Streams that arrive later than
+// acceptStreamsFor from now are refused, because they could outlast the process.
 func (s *Server) StartDraining(acceptStreamsFor time.Duration) {
 	s.streamCutoff.Set(time.Now().Add(acceptStreamsFor))
 	s.draining.Store(true)
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -52,7 +52,7 @@
 // ResponseMeta holds the response metadata from a replica's headers.
 type ResponseMeta struct {
 	ID             string
-	Signed         bool   // the replica signed the response
+	Signed         bool   // the response has the replica's signature header (Response-Signature); its value is not verified
 	NotRun         bool   // the replica did not run the request
 	WeightsVersion uint64 // weight version that the replica serves; zero: not stated
 	// RateLimit is the number of requests per second that the replica accepts from all daemons
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -48,7 +48,7 @@
 	Objective   time.Duration // latency objective for the answer, or for the first event of a stream
 	MaxEventGap time.Duration // between two events of a healthy stream; zero: unknown
 	Priority    int           // 0 is the most urgent
-	MaxAttempts int           // maximum number of replicas to which one request is sent
+	MaxAttempts int           // maximum number of attempts that may have run the request; the relay bounds those that certainly did not
 	Anonymous   bool          // requests need no key
 	Shares      []Share       // at least one entry
 	Homes       []Region      // regions where requests may go; empty: anywhere
--- a/internal/weights/orders.go
+++ b/internal/weights/orders.go
@@ -38,7 +38,9 @@
 		r = rollout.New(rollout.Params{
 			LoadCap: c.maxLoading(model), MaxUnavailableShare: maxUnavailableShare, OrderTimeout: orderVisibleTimeout,
 			LoadTimeout: 4 * orderVisibleTimeout, DrainTimeout: drainTimeout, PrefillTimeout: prefillTimeout,
-			TakeoverWait: time.Nanosecond, // OrderAfter holds the wait of each replica
+			// Effectively none (zero selects the default): Observed.NoOrderBefore delays each replica's
+			// order instead.
+			TakeoverWait: time.Nanosecond,
 		})
 		c.rollouts[model] = r
 	}
@@ -102,7 +104,8 @@
 }
 
 // unavailableShareAt returns the share of replicas that may be unavailable. It grows as the old
-// weights approach the end of their allowed use, after which a replica that serves them is useless.
+// weights approach the end of their allowed use, after which a replica that serves them may no
+// longer serve requests.
 func unavailableShareAt(outdatedFor time.Duration) float64 {
 	switch {
 	case outdatedFor > veryLateAfter:
@@ -134,8 +137,8 @@
 	return max(1, int(maxLoadingShare*float64(serving)))
 }
 
-// observe returns the desired and the observed state of all replicas that serve the model of the
-// given ones, all of one model. It reads the reports of replicas with a pending order.
+// observe returns the desired and observed states of all replicas that serve the model of outdated,
+// whose elements must share one model. It reads reports only of replicas with a pending order.
 func (c *Controller) observe(ctx context.Context, outdated []outdatedReplica) ([]rollout.Desired, []rollout.Observed, map[request.TargetID]Report) {
 	now := time.Now()
 	reports := c.readReports(ctx, outdated)
@@ -159,7 +162,9 @@
 			o.Reachable = false
 		}
 		if other, has := c.pending[id]; has && other.model != r.model {
-			o.State.Loading = versionOf(r.version) // the replica accepts the order for this model later
+			// The replica is loading another model and accepts one order at a time. It counts as loading
+			// so that no second order is sent.
+			o.State.Loading = versionOf(r.version)
 		}
 		observed = append(observed, o)
 	}
@@ -235,8 +240,8 @@
 // errRestarted reports that the replica's process is not the known one.
 var errRestarted = errors.New("weights: the replica has restarted")
 
-// markBusy extends the time for which a replica receives no requests while its order is pending,
-// and announces it to peers.
+// markBusy keeps new requests away from a replica that is about to load or is loading, for busyTTL
+// from now, and announces it to peers.
 func (c *Controller) markBusy(r outdatedReplica) {
 	now := time.Now()
 	id := r.replica.Info().ID
