--- a/internal/replicas/replicas_test.go
+++ b/internal/replicas/replicas_test.go
@@ -14,7 +14,7 @@
 	return Info{ID: request.TargetID(id), Service: "s", Address: "127.0.0.1:1", Weights: map[request.Model]uint64{"m": 1}}
 }
 
-func count(s *Set) int { return len(s.OfService("s")) }
+func count(s *Set) int { return len(s.ByService("s")) }
 
 // A replica's entry expires in an outage of the key-value service, while the replica is alive. Removing
 // it at once would remove all replicas in every outage.
@@ -57,7 +57,7 @@
 	r.ObserveWeights("m", 3)
 	s.Apply(time.Unix(0, 0), Change{Present: []Info{info("a")}}) // the registry still has version 1
 	r.ObserveWeights("m", 2)
-	if got := r.Weights("m"); got != 3 {
+	if got := r.WeightsVersion("m"); got != 3 {
 		t.Errorf("version %d", got)
 	}
 }
@@ -176,7 +176,7 @@
 	alive := info("alive")
 	alive.Address = l.Addr().String()
 	s.Apply(time.Now(), Change{Present: []Info{alive, info("dead")}})
-	for _, r := range s.All() {
+	for _, r := range s.NotLeaving() {
 		r.Suspect(context.Background())
 		if !r.Health.BackingOff(time.Now()) {
 			t.Errorf("%s is used before it was probed", r.Info().ID)
@@ -198,9 +198,9 @@
 }
 
 // A replica gets an order to load weights and first waits for long outputs to end. It looks idle
-// meanwhile and refuses all requests: 22 in 0.4 s, from daemons that did not share their refusals. One
-// refusal must suffice for all daemons, and must not shorten the longer busy time that the owner of the
-// rollout reported.
+// meanwhile but refuses all requests. Before daemons shared refusals, one such replica refused 22
+// requests in 0.4 s. One refusal must suffice for all daemons, and must not shorten the longer busy time
+// that the holder of the weights lease reported.
 func TestRefusingReplicaIsAvoided(t *testing.T) {
 	s := NewSet()
 	var reported []request.TargetID
@@ -242,19 +242,19 @@
 	s.Apply(now, Change{Present: []Info{started("a", 400)}}) // its clock was set back
 	after := s.Get("a")
 	if after == before || after.Hash() == before.Hash() || s.View().ByHash[before.Hash()] != nil {
-		t.Fatal("the new start is taken for the old one")
+		t.Fatal("the new incarnation is taken for the old one")
 	}
-	if after.Weights("m") != 1 || after.Busy(now) || after.Load.Total(now).Requests != 0 || after.Health.BackingOff(now) {
-		t.Errorf("assumed of the new start: weights %d, busy %t, load %+v", after.Weights("m"), after.Busy(now), after.Load.Total(now))
+	if after.WeightsVersion("m") != 1 || after.Busy(now) || after.Load.Total(now).Requests != 0 || after.Health.BackingOff(now) {
+		t.Errorf("assumed of the new incarnation: weights %d, busy %t, load %+v", after.WeightsVersion("m"), after.Busy(now), after.Load.Total(now))
 	}
 	flight.End()
 	if got := after.Load.Total(now); got != (Work{}) {
-		t.Errorf("the end of an old request reduced the new start's load: %+v", got)
+		t.Errorf("the end of an old request reduced the new incarnation's load: %+v", got)
 	}
 }
 
-// A copy of the registry from before the crash arrives several times after the new start is known. It must
-// not bring back the dead process.
+// A copy of the registry from before the crash arrives several times after the new incarnation is known. It
+// must not bring back the dead process.
 func TestDelayedEntryOfEarlierStartIsIgnored(t *testing.T) {
 	s, now := NewSet(), time.Unix(1000, 0)
 	for _, at := range []int64{500, 300, 900} {
@@ -278,11 +278,11 @@
 		t.Fatal("the same or an unknown start is taken for a new one")
 	}
 	if s.ObserveStart(before, 600) || s.Get("a") == before {
-		t.Fatal("the new start is taken for the old one")
+		t.Fatal("the new incarnation is taken for the old one")
 	}
 	after := s.Get("a")
 	s.Apply(now, Change{Present: []Info{started("a", 600)}})
-	if s.Get("a") != after || len(s.OfService("s")) != 1 {
+	if s.Get("a") != after || len(s.ByService("s")) != 1 {
 		t.Error("the entry of the known start made another Replica")
 	}
 }
@@ -306,8 +306,8 @@
 	ghost := info("ghost")
 	ghost.Service = "nowhere"
 	s.Apply(now, Change{Full: true, Present: []Info{info("a"), ghost}})
-	if len(s.All()) != 1 || len(s.View().ByHash) != 1 {
-		t.Errorf("%d replicas are used", len(s.All()))
+	if len(s.NotLeaving()) != 1 || len(s.View().ByHash) != 1 {
+		t.Errorf("%d replicas are used", len(s.NotLeaving()))
 	}
 	r := s.Get("a")
 	s.Apply(now, Change{Full: true, Present: []Info{ghost}, Unreadable: []request.TargetID{"a", "b"}})
@@ -315,7 +315,7 @@
 		t.Error("unreadable entries changed the known replicas")
 	}
 	s.SetServices(map[routing.ServiceID]bool{"s": true, "nowhere": true})
-	if len(s.All()) != 2 {
+	if len(s.NotLeaving()) != 2 {
 		t.Error("a service that was added later has no replicas")
 	}
 }
--- a/internal/weights/orders.go
+++ b/internal/weights/orders.go
@@ -38,7 +38,9 @@
 		r = rollout.New(rollout.Params{
 			LoadCap: c.maxLoading(model), MaxUnavailableShare: maxUnavailableShare, OrderTimeout: orderVisibleTimeout,
 			LoadTimeout: 4 * orderVisibleTimeout, DrainTimeout: drainTimeout, PrefillTimeout: prefillTimeout,
-			TakeoverWait: time.Nanosecond, // OrderAfter holds the wait of each replica
+			// Effectively none (zero selects the default): Observed.NoOrderBefore delays each replica's
+			// order instead.
+			TakeoverWait: time.Nanosecond,
 		})
 		c.rollouts[model] = r
 	}
@@ -94,7 +96,7 @@
 func (c *Controller) longestOutdated(outdated []outdatedReplica) time.Duration {
 	var longest time.Duration
 	for _, r := range outdated {
-		if since, outdated := c.o.OutdatedSince(r.model, r.replica.Weights(r.model)); outdated {
+		if since, ok := c.o.OutdatedSince(r.model, r.replica.WeightsVersion(r.model)); ok {
 			longest = max(longest, time.Since(since))
 		}
 	}
@@ -102,12 +104,13 @@
 }
 
 // unavailableShareAt returns the share of replicas that may be unavailable. It grows as the old
-// weights approach the end of their allowed use, after which a replica that serves them is useless.
-func unavailableShareAt(delay time.Duration) float64 {
+// weights approach the end of their allowed use, after which a replica that serves them may no
+// longer serve requests.
+func unavailableShareAt(outdatedFor time.Duration) float64 {
 	switch {
-	case delay > veryLateAfter:
+	case outdatedFor > veryLateAfter:
 		return veryLateUnavailableShare
-	case delay > lateAfter:
+	case outdatedFor > lateAfter:
 		return lateUnavailableShare
 	}
 	return maxUnavailableShare
@@ -125,17 +128,17 @@
 }
 
 func (c *Controller) maxLoading(model request.Model) int {
-	all := 0
-	for _, r := range c.o.Set.All() {
+	serving := 0
+	for _, r := range c.o.Set.NotLeaving() {
 		if _, serves := r.Info().Weights[model]; serves {
-			all++
+			serving++
 		}
 	}
-	return max(1, int(maxLoadingShare*float64(all)))
+	return max(1, int(maxLoadingShare*float64(serving)))
 }
 
-// observe returns the desired and the observed state of all replicas that serve the model of the
-// given ones, all of one model. It reads the reports of replicas with a pending order.
+// observe returns the desired and observed states of all replicas that serve the model of outdated,
+// whose elements must share one model. It reads reports only of replicas with a pending order.
 func (c *Controller) observe(ctx context.Context, outdated []outdatedReplica) ([]rollout.Desired, []rollout.Observed, map[request.TargetID]Report) {
 	now := time.Now()
 	reports := c.readReports(ctx, outdated)
@@ -149,7 +152,7 @@
 			Target: id, ReadAt: now, Reachable: !r.replica.Health.BackingOff(now),
 			InFlight: work.Requests, PrefillTokens: work.Prefill, NoOrderBefore: c.inheritedUntil[id],
 		}
-		o.State.Version = versionOf(r.replica.Weights(r.model))
+		o.State.Version = versionOf(r.replica.WeightsVersion(r.model))
 		if report, reported := reports[id]; reported {
 			o.State.Version = versionOf(report.Weights[r.model])
 			if report.Busy {
@@ -159,7 +162,9 @@
 			o.Reachable = false
 		}
 		if other, has := c.pending[id]; has && other.model != r.model {
-			o.State.Loading = versionOf(r.version) // the replica accepts the order for this model later
+			// The replica is loading another model and accepts one order at a time. It counts as loading
+			// so that no second order is sent.
+			o.State.Loading = versionOf(r.version)
 		}
 		observed = append(observed, o)
 	}
@@ -170,8 +175,8 @@
 // addUpToDate adds the replicas that are up to date, since the shares are shares of all replicas.
 func (c *Controller) addUpToDate(desired []rollout.Desired, observed []rollout.Observed, outdated []outdatedReplica, now time.Time) ([]rollout.Desired, []rollout.Observed) {
 	model, version := outdated[0].model, outdated[0].version
-	for _, r := range c.o.Set.All() {
-		if _, serves := r.Info().Weights[model]; !serves || r.Weights(model) < version {
+	for _, r := range c.o.Set.NotLeaving() {
+		if _, serves := r.Info().Weights[model]; !serves || r.WeightsVersion(model) < version {
 			continue
 		}
 		id := r.Info().ID
@@ -235,8 +240,8 @@
 // errRestarted reports that the replica's process is not the known one.
 var errRestarted = errors.New("weights: the replica has restarted")
 
-// markBusy extends the time for which a replica receives no requests while its order is pending,
-// and announces it to peers.
+// markBusy keeps new requests away from a replica that is about to load or is loading, for busyTTL
+// from now, and announces it to peers.
 func (c *Controller) markBusy(r outdatedReplica) {
 	now := time.Now()
 	id := r.replica.Info().ID
