--- a/cmd/benchfair/admitters.go
+++ b/cmd/benchfair/admitters.go
@@ -57,7 +57,7 @@
 	for i := range engines {
 		s.targets = append(s.targets, admission.New(admission.Params{
 			Target:           request.TargetID(fmt.Sprintf("t%d", i)),
-			Instance:         "bench",
+			GrantPrefix:      "bench",
 			MaxRunning:       sc.slots,
 			Reserve:          reserved,
 			MaxPrefillTokens: int64(2 * sc.chunkTokens),
--- a/internal/controlbench/scaling_test.go
+++ b/internal/controlbench/scaling_test.go
@@ -122,7 +122,7 @@
 			limits := limit.Limits{RequestsPerSecond: 1000, Burst: 1000, Concurrency: 100, TokensPerSecond: 1e7}
 			now := time.Unix(1_700_000_000, 0)
 			before := heapBytes()
-			home := limit.NewHome(limit.Params{}, 390)
+			home := limit.NewLocalLimiter(limit.Params{}, 390)
 			for i := range organisations {
 				home.Admit(now, request.OrgID(fmt.Sprintf("org-%05d", i)), limits, 1000)
 			}
@@ -184,7 +184,7 @@
 	ids := []request.TargetID{"engine-0001"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if len(s.Look(ctx, ids, coordinator.Prompt{Org: "org-00001", Tokens: 1000})) != 1 {
+		if len(s.Views(ctx, ids, coordinator.Prompt{Org: "org-00001", Tokens: 1000})) != 1 {
 			b.Fatal("no view")
 		}
 	}
--- a/internal/coordinator/actor.go
+++ b/internal/coordinator/actor.go
@@ -95,10 +95,10 @@
 		residency: newResidency(),
 		waiting:   map[request.ID][]replyChan{},
 		admission: admission.New(admission.Params{
-			Target:     row.ID,
-			Instance:   s.grantPrefix(row.ID),
-			MaxRunning: capacity,
-			MaxQueue:   s.opts.QueueLimit,
+			Target:      row.ID,
+			GrantPrefix: s.grantPrefix(row.ID),
+			MaxRunning:  capacity,
+			MaxQueue:    s.opts.QueueLimit,
 
 			MaxPrefillTokens: maxPrefill,
 			GrantTTL:         grantTTL,
--- a/internal/coordinator/server.go
+++ b/internal/coordinator/server.go
@@ -26,8 +26,8 @@
 	if r.Target == "" || r.RequestId == "" {
 		return nil, twirp.RequiredArgumentError("target and request_id")
 	}
-	leg := time.NewTimer(longPollDuration)
-	defer leg.Stop()
+	pollTimer := time.NewTimer(longPollDuration)
+	defer pollTimer.Stop()
 	grant, refusal, waiting := s.service.acquireLocalUntil(ctx, gateway.AcquireRequest{
 		Request:  request.ID(r.RequestId),
 		Target:   request.TargetID(r.Target),
@@ -37,7 +37,7 @@
 		Suspect:  r.Suspect,
 
 		Fingerprint: quarantine.Fingerprint(r.Fingerprint),
-	}, r.From, leg.C)
+	}, r.From, pollTimer.C)
 	if waiting {
 		return &peer.AcquireResponse{Waiting: true}, nil
 	}
--- a/internal/coordinator/views.go
+++ b/internal/coordinator/views.go
@@ -53,9 +53,9 @@
 	Version        request.Version // empty if not reported yet
 }
 
-// Look returns the coordinators' views of targets for one prompt. Targets whose
+// Views returns the coordinators' views of targets for one prompt. Targets whose
 // coordinator did not reply are missing from the result.
-func (s *Service) Look(ctx context.Context, ids []request.TargetID, p Prompt) map[request.TargetID]View {
+func (s *Service) Views(ctx context.Context, ids []request.TargetID, p Prompt) map[request.TargetID]View {
 	probed := newProbe(p.Chain)
 	byCoordinator := map[string][]request.TargetID{}
 	members := map[string]*peer.Member{}
@@ -179,7 +179,7 @@
 			ids = append(ids, t.ID)
 		}
 	}
-	views := s.Look(ctx, ids, Prompt{})
+	views := s.Views(ctx, ids, Prompt{})
 	rows = slices.DeleteFunc(rows, func(t table.Target) bool {
 		v := views[t.ID]
 		return v.Down || v.Leaving
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -150,14 +150,14 @@
 	return &cli.DurationFlag{Name: flagTimeout, Value: defaultTimeout, Usage: "time limit of the command"}
 }
 
-// checkedFile is the JSON output of check.
-type checkedFile struct {
+// checkOutput is the JSON output of check.
+type checkOutput struct {
 	File  string `json:"file"`
 	Valid bool   `json:"valid"`
 }
 
-// toolVersion is the JSON output of version.
-type toolVersion struct {
+// versionOutput is the JSON output of version.
+type versionOutput struct {
 	Version string `json:"version"`
 }
 
@@ -175,7 +175,7 @@
 			if err := t.deps.CheckConfig(path); err != nil {
 				return err
 			}
-			return t.printLine(c, checkedFile{File: path, Valid: true}, path+": valid")
+			return t.printLine(c, checkOutput{File: path, Valid: true}, path+": valid")
 		},
 	}
 }
@@ -186,7 +186,7 @@
 		Description: "Example:\n  bluebellctl version -o json",
 		Flags:       []cli.Flag{outputFlag()},
 		Action: func(c *cli.Context) error {
-			return t.printLine(c, toolVersion{Version: t.deps.Version}, t.deps.Version)
+			return t.printLine(c, versionOutput{Version: t.deps.Version}, t.deps.Version)
 		},
 	}
 }
--- a/internal/daemon/quorum.go
+++ b/internal/daemon/quorum.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// maxFreshProofAge is the age up to which a proof that the table is current shows that this
+// maxFreshStaleness is the age up to which a proof that the table is current shows that this
 // daemon reaches the key-value service, directly or through peers.
-const maxFreshProofAge = 8 * time.Second
+const maxFreshStaleness = 8 * time.Second
 
 // quorum distinguishes an outage of the key-value service from a network partition that
 // isolates this daemon.
@@ -30,8 +30,8 @@
 
 // observe records the number of live daemons if the proof is fresh. With an older proof
 // a partition may already hide peers, so the number would be too low.
-func (q *quorum) observe(now time.Time, live int, proofAge time.Duration) {
-	if proofAge > maxFreshProofAge {
+func (q *quorum) observe(now time.Time, live int, staleness time.Duration) {
+	if staleness > maxFreshStaleness {
 		return
 	}
 	if now.Sub(q.windowStart) > q.window {
@@ -49,12 +49,12 @@
 	live := len(d.members.Live())
 	d.quorumMu.Lock()
 	defer d.quorumMu.Unlock()
-	d.quorum.observe(now, live, d.table.ProofAge(now))
+	d.quorum.observe(now, live, d.table.Staleness(now))
 }
 
 // tableStale reports whether this daemon's table is too old to start requests with.
 func (d *Daemon) tableStale() bool {
-	age := d.table.ProofAge(time.Now())
+	age := d.table.Staleness(time.Now())
 	if age <= d.config.Table.StaleAfter {
 		return false
 	}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -138,20 +138,20 @@
 		w.Header().Set(headerReplayed, "true")
 	}
 	w.WriteHeader(r.Status)
-	writeBounded(w, r.Body, g.opts.WriteTimeout)
+	writeWithTimeout(w, r.Body, g.opts.WriteTimeout)
 }
 
-// maxWrite is the number of bytes written to a caller under one deadline.
-const maxWrite = 64 << 10
+// maxChunk is the number of bytes written to a caller under one deadline.
+const maxChunk = 64 << 10
 
-// writeBounded writes a body until the caller stops accepting it. Each write has its own
+// writeWithTimeout writes a body until the caller stops accepting it. Each write has its own
 // deadline, because a caller that stops reading without closing its connection would
 // otherwise hold a credit indefinitely. A slow reader of a large body is not disconnected.
-func writeBounded(w http.ResponseWriter, body []byte, timeout time.Duration) {
+func writeWithTimeout(w http.ResponseWriter, body []byte, timeout time.Duration) {
 	control := http.NewResponseController(w)
 	for len(body) > 0 {
 		_ = control.SetWriteDeadline(time.Now().Add(timeout))
-		n := min(len(body), maxWrite)
+		n := min(len(body), maxChunk)
 		if _, err := w.Write(body[:n]); err != nil {
 			return
 		}
--- a/internal/gateway/fakes_test.go
+++ b/internal/gateway/fakes_test.go
@@ -149,7 +149,7 @@
 	return []Choice{{Target: table.Target{ID: "engine-1"}}}
 }
 
-func (e *testEnv) Serving(context.Context, request.Model) (request.Version, bool) { return "", false }
+func (e *testEnv) Version(context.Context, request.Model) (request.Version, bool) { return "", false }
 
 func (e *testEnv) RankInstances(context.Context, string, map[request.TargetID]bool) []table.Target {
 	return []table.Target{{ID: "cards-1"}}
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -23,14 +23,14 @@
 	retryWhenSuspect  = time.Second
 )
 
-// limit enforces the limits of the organisation.
-type limit struct{ g *Gateway }
+// limitFilter enforces the limits of the organisation.
+type limitFilter struct{ g *Gateway }
 
 // Name implements pipeline.Filter.
-func (f *limit) Name() string { return "limit" }
+func (f *limitFilter) Name() string { return "limit" }
 
 // Process implements pipeline.Filter.
-func (f *limit) Process(j *Job) pipeline.Decision {
+func (f *limitFilter) Process(j *Job) pipeline.Decision {
 	return pipeline.Await(func(ctx context.Context) pipeline.Decision {
 		refusal := f.g.opts.Limiter.Admit(ctx, j.org, int64(j.context.Tokens))
 		if refusal != nil {
@@ -41,17 +41,17 @@
 	})
 }
 
-// place ranks the targets that may serve the job.
-type place struct{ g *Gateway }
+// placeFilter ranks the targets that may serve the job.
+type placeFilter struct{ g *Gateway }
 
 // Name implements pipeline.Filter.
-func (f *place) Name() string { return filterPlace }
+func (f *placeFilter) Name() string { return filterPlace }
 
 // filterPlace is the filter at which a retried job restarts.
 const filterPlace = "place"
 
 // Process implements pipeline.Filter.
-func (f *place) Process(j *Job) pipeline.Decision {
+func (f *placeFilter) Process(j *Job) pipeline.Decision {
 	return pipeline.Await(func(ctx context.Context) pipeline.Decision {
 		decision := f.g.opts.Quarantine.Gate(ctx, j.fingerprint)
 		if refusal := quarantineRefusal(decision); refusal != nil {
@@ -74,12 +74,12 @@
 // rollout of a new default version, targets are updated one by one. Until the first target
 // has the new version, an organisation that requests no specific version is served with
 // the version that is loaded, under the cache salt of that version.
-func (f *place) rankEngines(ctx context.Context, j *Job) []Choice {
+func (f *placeFilter) rankEngines(ctx context.Context, j *Job) []Choice {
 	choices := f.g.opts.Contexts.Choose(ctx, j.context, j.exclude)
 	if len(choices) > 0 || j.org.Models[j.model] != "" {
 		return choices
 	}
-	version, ok := f.g.opts.Contexts.Serving(ctx, j.model)
+	version, ok := f.g.opts.Contexts.Version(ctx, j.model)
 	if !ok || version == j.context.Scope.Version {
 		return choices
 	}
@@ -110,7 +110,7 @@
 	return slices.DeleteFunc(choices, func(c Choice) bool { return c.Target.ID != t })
 }
 
-func (f *place) rankTargets(ctx context.Context, j *Job) []Choice {
+func (f *placeFilter) rankTargets(ctx context.Context, j *Job) []Choice {
 	if j.kind == kindCompletion {
 		return f.rankEngines(ctx, j)
 	}
@@ -121,22 +121,22 @@
 	return out
 }
 
-// queue waits for a grant from the coordinator of a target.
-type queue struct{ g *Gateway }
+// queueFilter waits for a grant from the coordinator of a target.
+type queueFilter struct{ g *Gateway }
 
 // Name implements pipeline.Filter.
-func (f *queue) Name() string { return "queue" }
+func (f *queueFilter) Name() string { return "queue" }
 
 // maxAcquireTargets is the number of targets at which a grant is requested before a job is
 // refused.
 const maxAcquireTargets = 2
 
 // Process implements pipeline.Filter.
-func (f *queue) Process(j *Job) pipeline.Decision {
+func (f *queueFilter) Process(j *Job) pipeline.Decision {
 	return pipeline.Await(func(ctx context.Context) pipeline.Decision { return f.acquire(ctx, j) })
 }
 
-func (f *queue) acquire(ctx context.Context, j *Job) pipeline.Decision {
+func (f *queueFilter) acquire(ctx context.Context, j *Job) pipeline.Decision {
 	var refusal *request.Error
 	for i, c := range j.choices {
 		if i == maxAcquireTargets {
@@ -168,21 +168,21 @@
 	}
 }
 
-// once records in the journal the intent of a call that must run at most once.
-type once struct{ g *Gateway }
+// journalFilter records in the journal the intent of a call that must run at most once.
+type journalFilter struct{ g *Gateway }
 
 // Name implements pipeline.Filter.
-func (f *once) Name() string { return "once" }
+func (f *journalFilter) Name() string { return "once" }
 
 // Process implements pipeline.Filter.
-func (f *once) Process(j *Job) pipeline.Decision {
+func (f *journalFilter) Process(j *Job) pipeline.Decision {
 	if j.kind != kindService || j.call.repeatable {
 		return pipeline.Pass()
 	}
 	return pipeline.Await(func(ctx context.Context) pipeline.Decision { return f.begin(ctx, j) })
 }
 
-func (f *once) begin(ctx context.Context, j *Job) pipeline.Decision {
+func (f *journalFilter) begin(ctx context.Context, j *Job) pipeline.Decision {
 	call := journal.Call{
 		Org:     j.org.ID,
 		Service: j.call.service,
@@ -238,14 +238,14 @@
 	}
 }
 
-// dispatch prepares the chosen target for the request, which the relay then sends.
-type dispatch struct{ g *Gateway }
+// dispatchFilter prepares the chosen target for the request, which the relay then sends.
+type dispatchFilter struct{ g *Gateway }
 
 // Name implements pipeline.Filter.
-func (f *dispatch) Name() string { return "dispatch" }
+func (f *dispatchFilter) Name() string { return "dispatch" }
 
 // Process implements pipeline.Filter.
-func (f *dispatch) Process(j *Job) pipeline.Decision {
+func (f *dispatchFilter) Process(j *Job) pipeline.Decision {
 	if !f.g.opts.Quarantine.Begin(j.fingerprint, attemptID(j), j.choice.Target.ID, j.suspect) {
 		return pipeline.Finish(suspectRunningRefusal())
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -80,13 +80,13 @@
 
 // Import describes leading blocks to import from a copy in a store.
 type Import struct {
-	Copy   Copy
-	Blocks int // number of leading blocks that the copy provides
+	Copy Copy
+	To   int // number of leading blocks that the copy provides
 	// From is the first block to import. If it is not 0, the target computes the preceding
 	// blocks in the meantime, and RunImport returns immediately.
-	From     int
-	Bytes    int64         // size of the blocks that are not estimated to be cached at the target
-	Deadline time.Duration // time after which the target prefills instead
+	From    int
+	Bytes   int64         // size of the blocks that are not estimated to be cached at the target
+	Timeout time.Duration // time after which the target prefills instead
 }
 
 // Copy identifies a committed manifest in a store.
@@ -117,8 +117,8 @@
 type Contexts interface {
 	// Choose ranks the targets that may serve the prompt, best first.
 	Choose(ctx context.Context, c Context, exclude map[request.TargetID]bool) []Choice
-	// Serving returns the weight version that most of a model's targets have loaded.
-	Serving(ctx context.Context, model request.Model) (request.Version, bool)
+	// Version returns the weight version that most of a model's targets have loaded.
+	Version(ctx context.Context, model request.Model) (request.Version, bool)
 	// RunImport executes the import of a choice. If it fails, the target prefills instead.
 	RunImport(ctx context.Context, c Context, choice Choice)
 	// OnAnswer updates the estimates from a target's answer and decides what to store.
@@ -240,12 +240,12 @@
 
 func (g *Gateway) filters() []pipeline.Filter[*Job] {
 	return []pipeline.Filter[*Job]{
-		&identify{g},
-		&limit{g},
-		&place{g},
-		&queue{g},
-		&once{g},
-		&dispatch{g},
+		&identifyFilter{g},
+		&limitFilter{g},
+		&placeFilter{g},
+		&queueFilter{g},
+		&journalFilter{g},
+		&dispatchFilter{g},
 	}
 }
 
--- a/internal/gateway/hop.go
+++ b/internal/gateway/hop.go
@@ -197,7 +197,7 @@
 func (g *Gateway) serveAfterHopFailure(out *sink, j *Job) {
 	j.forwardTo = nil
 	j.serveLocally = true
-	g.pipeline.Resubmit(j, filterIdentify)
+	g.pipeline.Resubmit(j, identifyFilterName)
 	if err := <-j.decided; err != nil {
 		g.fail(out, g.refusalOf(j, err))
 		return
@@ -285,7 +285,7 @@
 		}
 	}
 	w.WriteHeader(answer.StatusCode)
-	writeBounded(w, body, g.opts.WriteTimeout)
+	writeWithTimeout(w, body, g.opts.WriteTimeout)
 }
 
 // readComplete reads an answer to its end. It fails if the answer exceeds the limit,
--- a/internal/gateway/identify.go
+++ b/internal/gateway/identify.go
@@ -24,18 +24,18 @@
 	retryWhenNoHolder = time.Second
 )
 
-// identify determines the caller's organisation, checks its permissions, and decides
+// identifyFilter determines the caller's organisation, checks its permissions, and decides
 // whether a peer serves the request.
-type identify struct{ g *Gateway }
+type identifyFilter struct{ g *Gateway }
 
 // Name implements pipeline.Filter.
-func (f *identify) Name() string { return filterIdentify }
+func (f *identifyFilter) Name() string { return identifyFilterName }
 
-// filterIdentify is the filter at which a job restarts if a peer failed to serve it.
-const filterIdentify = "identify"
+// identifyFilterName is the filter at which a job restarts if a peer failed to serve it.
+const identifyFilterName = "identify"
 
 // Process implements pipeline.Filter.
-func (f *identify) Process(j *Job) pipeline.Decision {
+func (f *identifyFilter) Process(j *Job) pipeline.Decision {
 	// A daemon partitioned from the key-value service and from its peers would continue
 	// to apply rules that operators have changed, and callers would get different answers
 	// from different daemons. Refusing limits the time for which an old rule is applied.
@@ -49,9 +49,9 @@
 			"the bearer key belongs to no organisation"))
 	}
 	if j.kind == kindService {
-		return f.service(j)
+		return f.identifyService(j)
 	}
-	return f.completion(j)
+	return f.identifyCompletion(j)
 }
 
 func (g *Gateway) organisationOf(bearer string) *table.Organisation {
@@ -66,13 +66,13 @@
 	return org
 }
 
-func (f *identify) completion(j *Job) pipeline.Decision {
-	sheet := f.g.opts.Tables.Current()
+func (f *identifyFilter) identifyCompletion(j *Job) pipeline.Decision {
+	snapshot := f.g.opts.Tables.Current()
 	j.model = request.Model(j.completion.Model)
-	if _, known := sheet.Model(j.model); !known {
+	if _, known := snapshot.Model(j.model); !known {
 		return pipeline.Finish(request.Refuse(request.CodeUnknownModel, http.StatusNotFound, 0, "no model %q", j.model))
 	}
-	version, allowed := sheet.VersionFor(j.org.ID, j.model)
+	version, allowed := snapshot.VersionFor(j.org.ID, j.model)
 	if !allowed {
 		return pipeline.Finish(request.Refuse(request.CodeForbidden, http.StatusForbidden, 0,
 			"organisation %s may not use model %s", j.org.ID, j.model))
@@ -87,16 +87,16 @@
 
 // hash computes the block hashes and the fingerprint of a prompt. It runs outside the
 // filter's actor, since hashing a long prompt takes milliseconds.
-func (f *identify) hash(j *Job) pipeline.Decision {
+func (f *identifyFilter) hash(j *Job) pipeline.Decision {
 	prompt := []byte(j.completion.Prompt)
 	j.context.Chain = block.Chain(j.context.Scope.Salt(), prompt)
 	j.fingerprint = quarantine.Of(j.org.ID, []byte(j.model), prompt)
 	return pipeline.Pass()
 }
 
-func (f *identify) service(j *Job) pipeline.Decision {
-	sheet := f.g.opts.Tables.Current()
-	instances := sheet.ServiceTargets(j.call.service)
+func (f *identifyFilter) identifyService(j *Job) pipeline.Decision {
+	snapshot := f.g.opts.Tables.Current()
+	instances := snapshot.ServiceTargets(j.call.service)
 	if len(instances) == 0 {
 		return pipeline.Finish(request.Refuse(request.CodeUnknownService, http.StatusNotFound, 0, "no service %q", j.call.service))
 	}
@@ -117,7 +117,7 @@
 
 // routeToHolder routes a call that must run at most once to the daemon that holds its
 // journal partition.
-func (f *identify) routeToHolder(ctx context.Context, j *Job) pipeline.Decision {
+func (f *identifyFilter) routeToHolder(ctx context.Context, j *Job) pipeline.Decision {
 	j.partition = f.g.opts.Journal.Partition(j.org.ID, j.call.key)
 	h, err := f.g.opts.Journal.Holder(ctx, j.partition)
 	if errors.Is(err, journal.ErrNoHolder) {
--- a/internal/journal/commit.go
+++ b/internal/journal/commit.go
@@ -17,7 +17,7 @@
 	commit       uint64          // commit number of the head
 	waiters      []pendingWaiter // receive a reply once this write is confirmed
 	outcomes     []attempt       // become durable with this write
-	retiredCount int             // number of retired pages that this head no longer refers to
+	removedCount int             // number of retired pages that this head no longer refers to
 }
 
 // nextWrite starts the next write if one is due and none is in flight. A head write is a
@@ -54,7 +54,7 @@
 		value:        encode(h),
 		commit:       p.commit,
 		waiters:      p.pending,
-		retiredCount: len(p.retiredPages),
+		removedCount: len(p.removedPages),
 	}
 	for a := range p.outcomes {
 		w.outcomes = append(w.outcomes, a)
@@ -84,8 +84,8 @@
 		return nil
 	}
 	p.revision, p.epochClaimed = revision, true
-	p.obsoletePages = append(p.obsoletePages, p.retiredPages[:w.retiredCount]...)
-	p.retiredPages = p.retiredPages[w.retiredCount:]
+	p.pagesToDelete = append(p.pagesToDelete, p.removedPages[:w.removedCount]...)
+	p.removedPages = p.removedPages[w.removedCount:]
 	for _, a := range w.outcomes {
 		delete(p.outcomes, a)
 	}
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -110,7 +110,7 @@
 			p.removeEntry(inHead)
 		}
 	}
-	p.retiredPages = append(p.retiredPages, p.pages[s.from:s.until]...)
+	p.removedPages = append(p.removedPages, p.pages[s.from:s.until]...)
 	pages := append([]loadedPage{}, p.pages[:s.from]...)
 	pages = append(pages, s.page)
 	p.pages = append(pages, p.pages[s.until:]...)
@@ -134,7 +134,7 @@
 			continue
 		}
 		p.unindexPage(page)
-		p.retiredPages = append(p.retiredPages, page)
+		p.removedPages = append(p.removedPages, page)
 	}
 	if len(kept) < len(p.pages) {
 		p.pages = kept
@@ -201,10 +201,10 @@
 	return max(until, minRetryAfter)
 }
 
-// takeObsoletePages returns the pages to delete and clears the list. A page whose deletion
+// takePagesToDelete returns the pages to delete and clears the list. A page whose deletion
 // fails is found as an orphan when the partition is loaded again.
-func (p *partition) takeObsoletePages() []loadedPage {
-	out := p.obsoletePages
-	p.obsoletePages = nil
+func (p *partition) takePagesToDelete() []loadedPage {
+	out := p.pagesToDelete
+	p.pagesToDelete = nil
 	return out
 }
--- a/internal/journal/partition.go
+++ b/internal/journal/partition.go
@@ -72,8 +72,8 @@
 	paged         map[keyID]*entry
 	keysByOrg     map[orgID]int // number of keys of each organisation, in the head and in pages
 	pages         []loadedPage
-	retiredPages  []loadedPage // removed in memory, still referred to by the stored head
-	obsoletePages []loadedPage // no longer referred to by the stored head: to be deleted
+	removedPages  []loadedPage // removed in memory, still referred to by the stored head
+	pagesToDelete []loadedPage // no longer referred to by the stored head: to be deleted
 
 	epochClaimed bool // the head was written under this epoch
 	dirty        bool
@@ -102,14 +102,14 @@
 
 // load starts an epoch from the stored record. The first write claims the epoch and
 // contains all entries that are pending by then.
-func (p *partition) load(epoch uint64, revision platform.Revision, h head, pages []loadedPage, orphans []loadedPage) {
+func (p *partition) load(epoch uint64, revision platform.Revision, h head, pages []loadedPage, unreferenced []loadedPage) {
 	p.loaded = true
 	p.epoch, p.revision = epoch, revision
 	p.epochClaimed = false
 	p.headEntries, p.headBytes = map[keyID]*entry{}, 0
 	p.paged, p.keysByOrg = map[keyID]*entry{}, map[orgID]int{}
-	p.pages, p.obsoletePages = pages, orphans
-	p.retiredPages, p.inFlight, p.pending = nil, nil, nil
+	p.pages, p.pagesToDelete = pages, unreferenced
+	p.removedPages, p.inFlight, p.pending = nil, nil, nil
 	p.dirty = true
 	for i := range h.Entries {
 		p.addEntry(&h.Entries[i])
@@ -188,7 +188,7 @@
 	}
 	p.loaded, p.dirty = false, false
 	p.pending, p.inFlight = nil, nil
-	p.pages, p.retiredPages, p.obsoletePages = nil, nil, nil
+	p.pages, p.removedPages, p.pagesToDelete = nil, nil, nil
 	return out
 }
 
--- a/internal/journal/partition_test.go
+++ b/internal/journal/partition_test.go
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	m.epoch++
-	m.procs[i].load(m.epoch, r.revision, r.head, r.pages, r.orphans)
+	m.procs[i].load(m.epoch, r.revision, r.head, r.pages, r.unreferenced)
 }
 
 func (m *machine) begin(t *rapid.T) {
@@ -196,7 +196,7 @@
 func (m *machine) confirmWrite(t *rapid.T, i int, revision platform.Revision) {
 	p := m.procs[i]
 	m.handleReplies(t, i, p.confirmWrite(revision))
-	for _, page := range p.takeObsoletePages() {
+	for _, page := range p.takePagesToDelete() {
 		delete(m.kv.entries, pageKey(0, page.ref.Name))
 	}
 }
@@ -276,7 +276,7 @@
 		t.Fatal(err)
 	}
 	p := newPartition("reader", smallLimits)
-	p.load(m.epoch+1, r.revision, r.head, r.pages, r.orphans)
+	p.load(m.epoch+1, r.revision, r.head, r.pages, r.unreferenced)
 	for id, k := range m.keys {
 		if !m.isRetained(k) {
 			continue
--- a/internal/journal/worker.go
+++ b/internal/journal/worker.go
@@ -187,7 +187,7 @@
 	if w.lease != l {
 		return progressNone
 	}
-	w.core.load(l.Epoch(), r.revision, r.head, r.pages, r.orphans)
+	w.core.load(l.Epoch(), r.revision, r.head, r.pages, r.unreferenced)
 	w.signal()
 	w.j.logger.Info("Journal partition loaded", "partition", w.index, "epoch", l.Epoch(), "keys", len(w.core.headEntries)+len(w.core.paged))
 	return progressPrepare
@@ -223,12 +223,12 @@
 	}
 	w.unconfirmed = false
 	w.deliverRepliesLocked(w.core.confirmWrite(revision))
-	obsolete := w.core.takeObsoletePages()
+	toDelete := w.core.takePagesToDelete()
 	if w.core.dirty {
 		w.signal()
 	}
 	w.mu.Unlock()
-	for _, page := range obsolete {
+	for _, page := range toDelete {
 		if err := w.j.opts.KV.Delete(ctx, pageKey(w.index, page.ref.Name), page.revision); err != nil {
 			w.j.logger.Debug("Failed to delete obsolete journal page", "partition", w.index, "page", page.ref.Name, "error", err)
 		}
@@ -296,10 +296,10 @@
 
 // loadedRecord is a partition as read from the KV service.
 type loadedRecord struct {
-	head     head
-	revision platform.Revision
-	pages    []loadedPage
-	orphans  []loadedPage // pages that the head does not refer to, such as those of a replaced holder
+	head         head
+	revision     platform.Revision
+	pages        []loadedPage
+	unreferenced []loadedPage // pages that the head does not refer to, such as those of a replaced holder
 }
 
 func parseRecord(index int, entries []platform.Entry) (loadedRecord, error) {
@@ -331,7 +331,7 @@
 	for _, e := range entries {
 		name := strings.TrimPrefix(e.Key, pageKey(index, ""))
 		if _, ok := found[name]; ok {
-			r.orphans = append(r.orphans, loadedPage{ref: pageRef{Name: name}, revision: e.Revision})
+			r.unreferenced = append(r.unreferenced, loadedPage{ref: pageRef{Name: name}, revision: e.Revision})
 		}
 	}
 	return r, nil
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -64,7 +64,7 @@
 	fetches sync.WaitGroup
 
 	mu          sync.Mutex
-	home        *limit.Home
+	local       *limit.LocalLimiter
 	coordinator *limit.Coordinator
 	changed     map[request.OrgID]chan struct{} // closed when a slice request has succeeded or failed
 	live        []*peer.Member                  // as of the last tick
@@ -79,7 +79,7 @@
 	return &Limiter{
 		opts:        opts,
 		log:         opts.Logger.Named("limiter"),
-		home:        limit.NewHome(opts.Params, 1),
+		local:       limit.NewLocalLimiter(opts.Params, 1),
 		coordinator: limit.NewCoordinator(time.Now(), opts.Params),
 		changed:     map[request.OrgID]chan struct{}{},
 	}
@@ -117,7 +117,7 @@
 func (l *Limiter) tryAdmit(org *table.Organisation, tokens int64) (limit.Decision, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	decision := l.home.Admit(time.Now(), org.ID, limitsOf(org), tokens)
+	decision := l.local.Admit(time.Now(), org.ID, limitsOf(org), tokens)
 	changed, ok := l.changed[org.ID]
 	if !ok {
 		changed = make(chan struct{})
@@ -138,9 +138,9 @@
 	defer l.mu.Unlock()
 	if err != nil {
 		l.log.Debug("Slice request to the limit coordinator failed", "organisation", req.Org, "error", err)
-		l.home.OnSliceFailed(time.Now(), req.Org)
+		l.local.OnSliceFailed(time.Now(), req.Org)
 	} else {
-		l.home.OnSlice(time.Now(), req.Org, slice)
+		l.local.OnSlice(time.Now(), req.Org, slice)
 	}
 	l.wakeWaiters(req.Org)
 }
@@ -192,7 +192,7 @@
 func (l *Limiter) Done(org request.OrgID, outputTokens int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.home.Done(time.Now(), org, outputTokens)
+	l.local.Done(time.Now(), org, outputTokens)
 }
 
 // Slice serves peer.Steward.
@@ -238,7 +238,7 @@
 	now := time.Now()
 	l.updateMembership(now, live, known)
 	l.coordinator.Tick(now)
-	for _, req := range l.home.Tick(now) {
+	for _, req := range l.local.Tick(now) {
 		l.fetches.Go(func() { l.fetchSlice(req) })
 	}
 }
@@ -251,7 +251,7 @@
 		return
 	}
 	l.live, l.known = live, known
-	l.home.OnMembershipChange(known)
+	l.local.OnMembershipChange(known)
 	l.coordinator.OnMembershipChange(now, len(live), known)
 	l.coordinator.OnAssignmentsChanged(now)
 	self := l.opts.Members.Self().Id
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -53,7 +53,7 @@
 	}
 	c.self = proto.CloneOf(self)
 	c.self.State = alive
-	c.broadcast(c.self.Id)
+	c.queueUpdate(c.self.Id)
 	return c
 }
 
@@ -87,7 +87,7 @@
 	}
 	c.self = proto.CloneOf(c.self)
 	c.self.State = leaving
-	c.broadcast(c.self.Id)
+	c.queueUpdate(c.self.Id)
 	c.urgent = true
 	c.changes++
 }
@@ -160,7 +160,7 @@
 	}
 	e.record = suspectCopy(e.record)
 	e.suspicionSentAt = now
-	c.broadcast(e.record.Id)
+	c.queueUpdate(e.record.Id)
 }
 
 // pick returns the next n members of a shuffled order in which each member appears once
@@ -238,18 +238,18 @@
 
 func peerOf(e *entry) Peer { return Peer{ID: e.record.Id, Address: e.record.PeerAddress} }
 
-// broadcast queues a member's record for the next outgoing messages. An update that each
+// queueUpdate queues a member's record for the next outgoing messages. An update that each
 // daemon sends slightly more often than the logarithm of the fleet size reaches nearly all
 // daemons; the digests deliver it to the rest.
-func (c *Core) broadcast(id string) {
+func (c *Core) queueUpdate(id string) {
 	c.updates.add(id, bits.Len(uint(c.entries.len()+1))+2)
 }
 
-// SetVMs takes the peer addresses of the entry VMs in the platform's VM list. The list lags
+// SetListedAddresses takes the peer addresses of the entry VMs in the platform's VM list. The list lags
 // behind the fleet, so it is only a hint: the Core contacts the listed addresses, and it
 // removes a member that is missing from the list for ForgetUnlistedAfter sooner than
 // others, but only if the member does not answer either.
-func (c *Core) SetVMs(now time.Time, addresses []string) {
+func (c *Core) SetListedAddresses(now time.Time, addresses []string) {
 	c.seeds = mergeSeeds(c.seeds, addresses)
 	hosts := make(map[string]bool, len(addresses))
 	for _, address := range addresses {
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -187,7 +187,7 @@
 	rebroadcast := len(records) <= maxUpdates
 	for _, m := range records {
 		if c.merge(now, m) && rebroadcast {
-			c.broadcast(m.Id)
+			c.queueUpdate(m.Id)
 		}
 	}
 }
@@ -258,5 +258,5 @@
 	c.self = replacing
 	c.replaced = false
 	c.changes++
-	c.broadcast(c.self.Id)
+	c.queueUpdate(c.self.Id)
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -13,8 +13,8 @@
 	PagesNewerThan(have []*peer.PageDigest) []*peer.Page
 	IsBehind(theirs []*peer.PageDigest) bool
 	Merge(pages []*peer.Page) int
-	ProofAge(now time.Time) time.Duration
-	AdoptPeerProof(sent time.Time, p table.PeerProof) bool
+	Staleness(now time.Time) time.Duration
+	ConfirmFromPeer(sent time.Time, p table.PeerConfirmation) bool
 	Changed() <-chan struct{}
 }
 
@@ -25,9 +25,9 @@
 	Merge(records []*peer.Finding) int // returns the number of new records
 }
 
-// proofPage is a reserved page name. The revision of a digest entry with this name is the
+// stalenessPage is a reserved page name. The revision of a digest entry with this name is the
 // age, in milliseconds, of the sender's proof that its table is current.
-const proofPage = "proof-age-ms"
+const stalenessPage = "proof-age-ms"
 
 // crashRecordSends is the number of exchanges that carry the crash records after a change.
 const crashRecordSends = 12
@@ -99,9 +99,9 @@
 	if hash != r.TableHash && follow == nil {
 		response.Pages = pages
 	}
-	if age := n.table.ProofAge(now); age != table.NeverConfirmed {
-		proof := &peer.PageDigest{Page: proofPage, Revision: uint64(age.Milliseconds()) + 1} // rounded up
-		response.Pages = append(response.Pages, proof)
+	if age := n.table.Staleness(now); age != table.NeverConfirmed {
+		stalenessDigest := &peer.PageDigest{Page: stalenessPage, Revision: uint64(age.Milliseconds()) + 1} // rounded up
+		response.Pages = append(response.Pages, stalenessDigest)
 	}
 	return response, follow
 }
@@ -134,8 +134,8 @@
 	if n.table == nil || r.From == n.core.self.Id {
 		return follow
 	}
-	pages, proof := splitProof(r)
-	n.table.AdoptPeerProof(sent, proof)
+	pages, confirmation := splitConfirmation(r)
+	n.table.ConfirmFromPeer(sent, confirmation)
 	if n.table.IsBehind(pages) {
 		follow.pull = &pull{from: to, want: pages}
 	}
@@ -151,17 +151,17 @@
 	return follow
 }
 
-// splitProof separates the page digests of a response from the proof sent with them.
-func splitProof(r *peer.ExchangeResponse) ([]*peer.PageDigest, table.PeerProof) {
-	proof := table.PeerProof{Age: table.NeverConfirmed, Hash: r.TableHash}
+// splitConfirmation separates the page digests of a response from the proof sent with them.
+func splitConfirmation(r *peer.ExchangeResponse) ([]*peer.PageDigest, table.PeerConfirmation) {
+	confirmation := table.PeerConfirmation{Age: table.NeverConfirmed, Hash: r.TableHash}
 	for _, d := range r.Pages {
-		if d.Page == proofPage {
-			proof.Age = time.Duration(d.Revision) * time.Millisecond
+		if d.Page == stalenessPage {
+			confirmation.Age = time.Duration(d.Revision) * time.Millisecond
 			continue
 		}
-		proof.Pages = append(proof.Pages, d)
+		confirmation.Pages = append(confirmation.Pages, d)
 	}
-	return proof.Pages, proof
+	return confirmation.Pages, confirmation
 }
 
 // newerThan returns the digest of the local pages that are newer than the peer's.
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -8,10 +8,10 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// proofLimit is the age of a proof above which these daemons would reject new requests.
-const proofLimit = 500 * time.Millisecond
+// stalenessLimit is the age of a proof above which these daemons would reject new requests.
+const stalenessLimit = 500 * time.Millisecond
 
-func (d *daemon) fresh() bool { return d.replica.ProofAge(time.Now()) < proofLimit }
+func (d *daemon) fresh() bool { return d.replica.Staleness(time.Now()) < stalenessLimit }
 
 func (d *daemon) loadCap() int {
 	m, ok := d.replica.Current().Model("verdict")
@@ -97,7 +97,7 @@
 	fleet[1].stop()
 	restarted := e.start(t, fleet[1].Self().Id, fleet[0].Self().PeerAddress)
 	eventually(t, "the row applied", func() bool { return restarted.loadCap() == 1 })
-	eventually(t, "a proof from a peer", func() bool { return restarted.replica.ProofAge(time.Now()) != table.NeverConfirmed })
+	eventually(t, "a proof from a peer", func() bool { return restarted.replica.Staleness(time.Now()) != table.NeverConfirmed })
 	if restarted.fresh() {
 		t.Fatal("the restart renewed an expired proof")
 	}
@@ -116,7 +116,7 @@
 	e := newEnvironment()
 	fleet := e.startFleet(t, size)
 	e.timing.FirstReadDelay = time.Hour // a daemon on a busy machine would read from the service
-	e.timing.MaxProofAge = time.Hour
+	e.timing.MaxStaleness = time.Hour
 	e.firstContactTimeout = time.Hour
 	for i, d := range fleet {
 		watching := d.RanksInRegion("table", 2)
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -62,14 +62,14 @@
 		var oldest time.Duration
 		for range int(span / time.Second) {
 			s.runFor(time.Second)
-			oldest = max(oldest, s.oldestProof())
+			oldest = max(oldest, s.maxStaleness())
 		}
 		rate := float64(s.bytes()-before) / span.Seconds() / float64(f.size)
 		rates[f.size] = rate
 		calls := float64(s.reads-reads) / span.Seconds()
 		t.Logf("daemons=%d bytes_per_daemon_s=%.0f table_calls_s=%.2f oldest_proof=%v", f.size, rate, calls, oldest)
-		if oldest >= timing.MaxProofAge {
-			t.Errorf("%d daemons: proof age %v in a healthy fleet, want below %v", f.size, oldest, timing.MaxProofAge)
+		if oldest >= timing.MaxStaleness {
+			t.Errorf("%d daemons: proof age %v in a healthy fleet, want below %v", f.size, oldest, timing.MaxStaleness)
 		}
 		if rate > budget {
 			t.Errorf("%d daemons: %.0f bytes/s per daemon, want at most %d", f.size, rate, budget)
@@ -80,11 +80,11 @@
 	}
 }
 
-// oldestProof returns the age of the oldest proof that a table is current.
-func (s *sim) oldestProof() time.Duration {
+// maxStaleness returns the age of the oldest proof that a table is current.
+func (s *sim) maxStaleness() time.Duration {
 	var oldest time.Duration
 	for _, n := range s.nodes {
-		oldest = max(oldest, n.replica.ProofAge(s.now))
+		oldest = max(oldest, n.replica.Staleness(s.now))
 	}
 	return oldest
 }
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -137,7 +137,7 @@
 	killed.pause()
 	for range 6 {
 		for _, n := range s.nodes {
-			n.core.SetVMs(s.now, list)
+			n.core.SetListedAddresses(s.now, list)
 		}
 		s.runFor(5 * time.Second)
 	}
@@ -147,7 +147,7 @@
 	// A daemon that answers stays a member past ForgetUnlistedAfter.
 	for range 30 {
 		for _, n := range s.nodes {
-			n.core.SetVMs(s.now, list)
+			n.core.SetListedAddresses(s.now, list)
 		}
 		s.runFor(5 * time.Second)
 	}
--- a/internal/membership/service_test.go
+++ b/internal/membership/service_test.go
@@ -107,7 +107,7 @@
 // tableTiming shortens the periods in which a daemon reads the table.
 var tableTiming = table.Timing{
 	WatchWait: 10 * time.Millisecond, PollInterval: time.Millisecond, FirstReadDelay: 20 * time.Millisecond,
-	MaxProofAge: 100 * time.Millisecond, BackoffMin: time.Millisecond, BackoffMax: 5 * time.Millisecond,
+	MaxStaleness: 100 * time.Millisecond, BackoffMin: time.Millisecond, BackoffMax: 5 * time.Millisecond,
 }
 
 func (e *environment) start(t *testing.T, id string, seeds ...string) *daemon {
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -141,7 +141,7 @@
 // once per WatchWait, other daemons read if their proof is too old.
 func (n *simNode) poll() {
 	watched := n.isWatcher() && n.sim.now.Sub(n.lastRead) >= timing.WatchWait
-	if watched || n.replica.ProofAge(n.sim.now) >= timing.MaxProofAge {
+	if watched || n.replica.Staleness(n.sim.now) >= timing.MaxStaleness {
 		n.readTable()
 	}
 	n.schedule(timing.PollInterval, n.poll)
--- a/internal/membership/vms.go
+++ b/internal/membership/vms.go
@@ -25,7 +25,7 @@
 func (s *Service) updateVMs(vms []platform.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.node.core.SetVMs(s.now(), peerAddresses(vms, s.options.Self.PeerAddress))
+	s.node.core.SetListedAddresses(s.now(), peerAddresses(vms, s.options.Self.PeerAddress))
 	s.refresh()
 }
 
--- a/internal/planner/env_test.go
+++ b/internal/planner/env_test.go
@@ -121,7 +121,7 @@
 	waits map[request.TargetID]time.Duration
 }
 
-func (l fakeCoordinators) Look(_ context.Context, ids []request.TargetID, _ coordinator.Prompt) map[request.TargetID]coordinator.View {
+func (l fakeCoordinators) Views(_ context.Context, ids []request.TargetID, _ coordinator.Prompt) map[request.TargetID]coordinator.View {
 	out := map[request.TargetID]coordinator.View{}
 	for _, id := range ids {
 		out[id] = coordinator.View{Target: id, Wait: l.waits[id], Version: "v1"}
@@ -221,7 +221,7 @@
 	env.t.Helper()
 	before := env.engines[1].Stats().ImportedBlocks
 	if choice := env.planImport(p, c); choice != nil {
-		choice.Import.Deadline = testTimeout
+		choice.Import.Timeout = testTimeout
 		p.RunImport(env.ctx, c, *choice)
 	}
 	return int(env.engines[1].Stats().ImportedBlocks - before)
--- a/internal/planner/export.go
+++ b/internal/planner/export.go
@@ -50,16 +50,16 @@
 }
 
 func (p *Planner) export(ctx context.Context, c gateway.Context, on request.TargetID) error {
-	sheet := p.opts.Tables.Current()
-	row, ok := sheet.Target(on)
+	snapshot := p.opts.Tables.Current()
+	row, ok := snapshot.Target(on)
 	if !ok || len(c.Chain) == 0 {
 		return nil
 	}
-	order, worthwhile := p.exportOrder(ctx, sheet, c)
+	order, worthwhile := p.exportOrder(ctx, snapshot, c)
 	if !worthwhile {
 		return nil
 	}
-	address, ok := storeAddress(sheet, order.Store)
+	address, ok := storeAddress(snapshot, order.Store)
 	if !ok {
 		return nil
 	}
@@ -148,12 +148,12 @@
 	return p.deleteExport(ctx, client, m, retained...)
 }
 
-func (p *Planner) exportOrder(ctx context.Context, sheet *table.Snapshot, c gateway.Context) (retention.ExportOrder, bool) {
-	spaces := p.storeSpace(ctx, sheet)
+func (p *Planner) exportOrder(ctx context.Context, snapshot *table.Snapshot, c gateway.Context) (retention.ExportOrder, bool) {
+	spaces := p.storeSpace(ctx, snapshot)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.directory.Lookup(c.Scope, c.Chain)
-	model, ok := sheet.Model(c.Scope.Model)
+	model, ok := snapshot.Model(c.Scope.Model)
 	if !ok {
 		return retention.ExportOrder{}, false
 	}
@@ -164,9 +164,9 @@
 }
 
 // storeSpace reads the used and total space of all store VMs.
-func (p *Planner) storeSpace(ctx context.Context, sheet *table.Snapshot) []retention.StoreUsage {
+func (p *Planner) storeSpace(ctx context.Context, snapshot *table.Snapshot) []retention.StoreUsage {
 	var out []retention.StoreUsage
-	for _, s := range sheet.Stores() {
+	for _, s := range snapshot.Stores() {
 		status, err := p.stores.status(ctx, s)
 		space := spaceOf(s.ID, status)
 		space.Down = err != nil
@@ -182,8 +182,8 @@
 	return time.Duration(float64(s.LinkQueueBytes) / float64(s.LinkBytesPerSec) * float64(time.Second))
 }
 
-func storeAddress(sheet *table.Snapshot, id request.StoreID) (string, bool) {
-	for _, s := range sheet.Stores() {
+func storeAddress(snapshot *table.Snapshot, id request.StoreID) (string, bool) {
+	for _, s := range snapshot.Stores() {
 		if s.ID == id {
 			return s.Address, true
 		}
--- a/internal/planner/import.go
+++ b/internal/planner/import.go
@@ -48,7 +48,7 @@
 
 func (p *Planner) runImport(ctx context.Context, c gateway.Context, choice gateway.Choice) {
 	im := choice.Import
-	ctx, cancel := context.WithTimeout(ctx, im.Deadline)
+	ctx, cancel := context.WithTimeout(ctx, im.Timeout)
 	defer cancel()
 	id := p.startTransfer(im.Copy, im.Bytes)
 	defer p.releaseBytes(im.Copy.Store, retention.Caller, im.Bytes)
@@ -91,13 +91,13 @@
 	if err != nil {
 		return 0, err
 	}
-	n := len(matchingBlocks(manifest, c.Chain, im.Blocks))
+	n := len(matchingBlocks(manifest, c.Chain, im.To))
 	// Pinned blocks are not deleted while the engine reads them. If they are deleted
 	// nevertheless, the engine stops at the first missing or foreign block.
 	if n <= im.From {
 		return 0, nil
 	}
-	if err := client.Pin(ctx, manifest.BlockNames()[im.From:n], im.Deadline+pinSlack); err != nil {
+	if err := client.Pin(ctx, manifest.BlockNames()[im.From:n], im.Timeout+pinSlack); err != nil {
 		return 0, err
 	}
 	return p.importRuns(ctx, c, choice, manifest, n)
--- a/internal/planner/import_test.go
+++ b/internal/planner/import_test.go
@@ -60,7 +60,7 @@
 	p := env.planner()
 	env.export(p, text("context", 10))
 	choice := env.planImport(p, contextOf(testOrg, text("context", 10)))
-	choice.Import.Deadline = testTimeout
+	choice.Import.Timeout = testTimeout
 	for name, c := range map[string]gateway.Context{
 		"organisation": contextOf("temper", text("context", 10)),
 		"context":      contextOf(testOrg, text("other", 10)),
@@ -117,7 +117,7 @@
 			if choice == nil {
 				t.Fatal("no import was planned before the fault")
 			}
-			choice.Import.Deadline = tc.deadline
+			choice.Import.Timeout = tc.deadline
 			tc.injectFault(env, c, p)
 
 			p.RunImport(env.ctx, c, *choice)
@@ -148,7 +148,7 @@
 	defer full.Close()
 	choice := env.planImport(p, c)
 	choice.Target.Address = full.Listener.Addr().String()
-	choice.Import.Deadline = testTimeout
+	choice.Import.Timeout = testTimeout
 	p.RunImport(env.ctx, c, *choice)
 	if copies := p.locate(c).Copies; len(copies) != 1 {
 		t.Fatal("the directory dropped the copy")
@@ -211,7 +211,7 @@
 	c := env.export(p, text("context", 16)) // two runs
 	choice := env.planImport(p, c)
 	choice.Import.From = 7
-	choice.Import.Deadline = testTimeout
+	choice.Import.Timeout = testTimeout
 	p.RunImport(env.ctx, c, *choice)
 	env.await("the last blocks", func() bool { return env.engines[1].Stats().ImportedBlocks == 9 })
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -39,7 +39,7 @@
 
 // Coordinators provides the coordinators' views of targets.
 type Coordinators interface {
-	Look(ctx context.Context, ids []request.TargetID, p coordinator.Prompt) map[request.TargetID]coordinator.View
+	Views(ctx context.Context, ids []request.TargetID, p coordinator.Prompt) map[request.TargetID]coordinator.View
 }
 
 // Tables provides the operators' effective table.
@@ -131,29 +131,29 @@
 
 // Choose implements gateway.Contexts.
 func (p *Planner) Choose(ctx context.Context, c gateway.Context, exclude map[request.TargetID]bool) []gateway.Choice {
-	sheet := p.opts.Tables.Current()
-	rows := p.engines(sheet, c, exclude)
+	snapshot := p.opts.Tables.Current()
+	rows := p.engines(snapshot, c, exclude)
 	if len(rows) == 0 {
 		return nil
 	}
 	located := p.locate(c)
 	if located.KnownBlocks == 0 {
-		located = p.recover(ctx, sheet, c)
+		located = p.recover(ctx, snapshot, c)
 	}
-	rows = p.sample(sheet, c.Scope.Version, rows, located)
+	rows = p.sample(snapshot, c.Scope.Version, rows, located)
 	var queues sync.WaitGroup
-	queues.Go(func() { p.readQueues(ctx, sheet, located) })
-	views := p.opts.Coordinators.Look(ctx, targetIDs(rows), coordinator.Prompt{Org: c.Scope.Org, Chain: c.Chain, Tokens: c.Tokens})
+	queues.Go(func() { p.readQueues(ctx, snapshot, located) })
+	views := p.opts.Coordinators.Views(ctx, targetIDs(rows), coordinator.Prompt{Org: c.Scope.Org, Chain: c.Chain, Tokens: c.Tokens})
 	queues.Wait()
-	plan := p.plan(sheet, c, rows, located, views)
-	return choicesOf(sheet, plan, located)
+	plan := p.plan(snapshot, c, rows, located, views)
+	return choicesOf(snapshot, plan, located)
 }
 
 // engines returns the model's engines. The version that an engine has loaded is known only
 // to its coordinator: during a rollout it differs from the table.
-func (p *Planner) engines(sheet *table.Snapshot, c gateway.Context, exclude map[request.TargetID]bool) []*table.Target {
+func (p *Planner) engines(snapshot *table.Snapshot, c gateway.Context, exclude map[request.TargetID]bool) []*table.Target {
 	var out []*table.Target
-	for _, t := range sheet.EnginesFor(c.Scope.Model) {
+	for _, t := range snapshot.EnginesFor(c.Scope.Model) {
 		if !exclude[t.ID] {
 			out = append(out, t)
 		}
@@ -161,16 +161,16 @@
 	return out
 }
 
-// Serving implements gateway.Contexts. It returns the version that most of a model's
+// Version implements gateway.Contexts. It returns the version that most of a model's
 // engines have loaded.
-func (p *Planner) Serving(ctx context.Context, model request.Model) (request.Version, bool) {
+func (p *Planner) Version(ctx context.Context, model request.Model) (request.Version, bool) {
 	rows := p.opts.Tables.Current().EnginesFor(model)
 	if len(rows) > maxCandidates {
 		rows = rows[:maxCandidates]
 	}
 	count := map[request.Version]int{}
 	var best request.Version
-	for _, v := range p.opts.Coordinators.Look(ctx, targetIDs(rows), coordinator.Prompt{}) {
+	for _, v := range p.opts.Coordinators.Views(ctx, targetIDs(rows), coordinator.Prompt{}) {
 		if v.Down || v.Leaving || v.Version == "" {
 			continue
 		}
@@ -194,11 +194,11 @@
 // Imports of other daemons are visible only there. With a value that is a second old, two
 // daemons would plan for the same idle link, and both imports would take twice as long as
 // planned.
-func (p *Planner) readQueues(ctx context.Context, sheet *table.Snapshot, l contextdir.LookupResult) {
+func (p *Planner) readQueues(ctx context.Context, snapshot *table.Snapshot, l contextdir.LookupResult) {
 	ctx, cancel := context.WithTimeout(ctx, queueTimeout)
 	defer cancel()
 	var reads sync.WaitGroup
-	for _, s := range sheet.Stores() {
+	for _, s := range snapshot.Stores() {
 		if !slices.ContainsFunc(l.Copies, func(c contextdir.Copy) bool { return c.Store == s.ID }) {
 			continue
 		}
@@ -224,7 +224,7 @@
 // sample returns at most maxCandidates targets, which bounds the cost of one placement.
 // Targets with the requested version and those that hold the context come first.
 func (p *Planner) sample(
-	sheet *table.Snapshot, version request.Version, rows []*table.Target, located contextdir.LookupResult,
+	snapshot *table.Snapshot, version request.Version, rows []*table.Target, located contextdir.LookupResult,
 ) []*table.Target {
 	if len(rows) <= maxCandidates {
 		return rows
@@ -234,7 +234,7 @@
 		holders[r.Target] = true
 	}
 	rank := func(t *table.Target) int {
-		return 2*zeroIf(sheet.TargetVersion(t) == version) + zeroIf(holders[t.ID])
+		return 2*zeroIf(snapshot.TargetVersion(t) == version) + zeroIf(holders[t.ID])
 	}
 	p.mu.Lock()
 	p.random.Shuffle(len(rows), func(i, j int) { rows[i], rows[j] = rows[j], rows[i] })
@@ -261,7 +261,7 @@
 }
 
 func (p *Planner) plan(
-	sheet *table.Snapshot,
+	snapshot *table.Snapshot,
 	c gateway.Context,
 	rows []*table.Target,
 	located contextdir.LookupResult,
@@ -273,12 +273,12 @@
 	for _, t := range rows {
 		v, reported := views[t.ID]
 		if v.Version == "" {
-			v.Version = sheet.TargetVersion(t)
+			v.Version = snapshot.TargetVersion(t)
 		}
 		candidates = append(candidates, p.candidate(t, v, reported, located))
 	}
 	r := placement.Request{Tokens: c.Tokens, Version: c.Scope.Version, TieBreak: p.random.Uint64()}
-	if model, ok := sheet.Model(c.Scope.Model); ok {
+	if model, ok := snapshot.Model(c.Scope.Model); ok {
 		r.BytesPerToken = model.BytesPerToken
 	}
 	return placement.Choose(p.opts.Params, r, candidates, p.copies(located, time.Now()))
@@ -331,27 +331,27 @@
 	return out
 }
 
-func choicesOf(sheet *table.Snapshot, plan placement.Plan, l contextdir.LookupResult) []gateway.Choice {
+func choicesOf(snapshot *table.Snapshot, plan placement.Plan, l contextdir.LookupResult) []gateway.Choice {
 	if !plan.Found {
 		return nil
 	}
 	out := make([]gateway.Choice, 0, 1+len(plan.Alternatives))
 	for i, o := range append([]placement.Option{plan.Option}, plan.Alternatives...) {
-		t, ok := sheet.Target(o.Target)
+		t, ok := snapshot.Target(o.Target)
 		if !ok {
 			continue
 		}
 		choice := gateway.Choice{Target: *t, Recompute: o.Recomputed}
 		if o.ImportBlocks > 0 && i == 0 {
-			choice.Import = importOf(sheet, o, plan.ImportDeadline, l)
+			choice.Import = importOf(snapshot, o, plan.ImportDeadline, l)
 		}
 		out = append(out, choice)
 	}
 	return out
 }
 
-func importOf(sheet *table.Snapshot, o placement.Option, deadline time.Duration, l contextdir.LookupResult) *gateway.Import {
-	for _, s := range sheet.Stores() {
+func importOf(snapshot *table.Snapshot, o placement.Option, deadline time.Duration, l contextdir.LookupResult) *gateway.Import {
+	for _, s := range snapshot.Stores() {
 		if s.ID != o.Store {
 			continue
 		}
@@ -359,11 +359,11 @@
 			if c.Store == o.Store {
 				from, to := importRange(o, c.Blocks)
 				return &gateway.Import{
-					Copy:     gateway.Copy{Store: s.ID, Address: s.Address, Manifest: c.Manifest, Tier: c.Tier},
-					From:     from,
-					Blocks:   to,
-					Bytes:    o.LinkBytes,
-					Deadline: deadline,
+					Copy:    gateway.Copy{Store: s.ID, Address: s.Address, Manifest: c.Manifest, Tier: c.Tier},
+					From:    from,
+					To:      to,
+					Bytes:   o.LinkBytes,
+					Timeout: deadline,
 				}
 			}
 		}
--- a/internal/planner/recover.go
+++ b/internal/planner/recover.go
@@ -33,7 +33,7 @@
 // days. By then the daemon that exported a context may have been terminated, or the
 // context may have been assigned to another daemon. Without the search the export would
 // stay unused and the complete context would be recomputed.
-func (p *Planner) recover(ctx context.Context, sheet *table.Snapshot, c gateway.Context) contextdir.LookupResult {
+func (p *Planner) recover(ctx context.Context, snapshot *table.Snapshot, c gateway.Context) contextdir.LookupResult {
 	if len(c.Chain) == 0 {
 		return contextdir.LookupResult{}
 	}
@@ -46,7 +46,7 @@
 	var mu sync.Mutex
 	var exports []foundExport
 	var searches sync.WaitGroup
-	for _, s := range sheet.Stores() {
+	for _, s := range snapshot.Stores() {
 		searches.Go(func() {
 			if f, ok := p.searchStore(ctx, s, c, positions); ok {
 				mu.Lock()
--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -43,9 +43,9 @@
 // defaults above.
 type Params struct {
 	Target request.TargetID
-	// Instance distinguishes this coordinator's grant ids from those of any other
+	// GrantPrefix distinguishes this coordinator's grant ids from those of any other
 	// coordinator, for example the daemon's id and incarnation.
-	Instance string
+	GrantPrefix string
 	// MaxRunning is the number of slots: the requests that the target runs
 	// concurrently. Values below 1 count as 1.
 	MaxRunning int
--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -19,7 +19,7 @@
 func TestCoordinatorInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := Params{
-			Instance:         "d1",
+			GrantPrefix:      "d1",
 			MaxRunning:       rapid.IntRange(1, 4).Draw(rt, "running"),
 			MaxPrefillTokens: rapid.Int64Range(0, 3000).Draw(rt, "prefill"),
 			PrefillRate:      1000,
@@ -135,7 +135,7 @@
 	const slots, each, hold = 4, 400, time.Second
 	prompts := map[request.OrgID]int64{"large": 1000, "short": 10}
 	naive := fairqueue.New(fairqueue.Params{MaxItems: 2 * each, MaxPerOrg: each})
-	s := New(Params{Instance: "d1", MaxRunning: slots, MaxQueue: 2 * each, MaxQueuePerOrg: each})
+	s := New(Params{GrantPrefix: "d1", MaxRunning: slots, MaxQueue: 2 * each, MaxQueuePerOrg: each})
 	var running []Grant
 	take := func(actions []Action) {
 		for _, action := range actions {
@@ -217,8 +217,8 @@
 	const steps, conflictStart, conflictEnd = 900, 200, 400
 	var naive, coordinated slowTarget
 	coordinators := []*Coordinator{
-		New(Params{Instance: "d1", MaxRunning: simSlots, MaxQueue: 1000, MaxQueuePerOrg: 1000}),
-		New(Params{Instance: "d2", MaxRunning: simSlots, MaxQueue: 1000, MaxQueuePerOrg: 1000}),
+		New(Params{GrantPrefix: "d1", MaxRunning: simSlots, MaxQueue: 1000, MaxQueuePerOrg: 1000}),
+		New(Params{GrantPrefix: "d2", MaxRunning: simSlots, MaxQueue: 1000, MaxQueuePerOrg: 1000}),
 	}
 	ending := make(map[time.Time][]Grant)
 	naiveMax, conflictMax, laterMax, answered, asked, naiveQueue := 0, 0, 0, 0, 0, 0
--- a/internal/policy/admission/grants.go
+++ b/internal/policy/admission/grants.go
@@ -37,7 +37,7 @@
 	c.seq++
 	g := &grant{
 		req:       req,
-		id:        c.params.Instance + "." + strconv.FormatUint(c.seq, 10),
+		id:        c.params.GrantPrefix + "." + strconv.FormatUint(c.seq, 10),
 		exclusive: alone,
 		cost:      c.cost(req),
 		overShare: c.usage.isOverShare(now, req.Org, req.Weight),
--- a/internal/policy/admission/table_test.go
+++ b/internal/policy/admission/table_test.go
@@ -28,7 +28,7 @@
 			var actions []Action
 			switch d.Cmd {
 			case "new":
-				p := Params{Target: "t1", Instance: "d1", PrefillRate: 1000}
+				p := Params{Target: "t1", GrantPrefix: "d1", PrefillRate: 1000}
 				d.MaybeScanArgs(t, "running", &p.MaxRunning)
 				d.MaybeScanArgs(t, "prefill", &p.MaxPrefillTokens)
 				d.MaybeScanArgs(t, "queue", &p.MaxQueue)
--- a/internal/policy/limit/coordinator.go
+++ b/internal/policy/limit/coordinator.go
@@ -142,9 +142,9 @@
 }
 
 func (l *ledger) pruneSlots(now time.Time) {
-	for home, lease := range l.slots {
+	for daemon, lease := range l.slots {
 		if !lease.expires.After(now) {
-			delete(l.slots, home)
+			delete(l.slots, daemon)
 		}
 	}
 }
@@ -194,8 +194,8 @@
 	}
 	l.pruneSlots(now)
 	free := max(1, int64(float64(limits.Concurrency)*c.share())) - req.Used
-	for home, lease := range l.slots {
-		if home != from {
+	for daemon, lease := range l.slots {
+		if daemon != from {
 			free -= lease.slots
 		}
 	}
--- a/internal/policy/limit/fallback.go
+++ b/internal/policy/limit/fallback.go
@@ -17,12 +17,12 @@
 	tokens    bucket
 }
 
-func (h *Home) enterFallback(now time.Time, a *account) {
+func (l *LocalLimiter) enterFallback(now time.Time, a *account) {
 	a.endRequest()
 	if a.fallback != nil {
 		return
 	}
-	share := a.limits.scaled(1 / float64(h.daemons))
+	share := a.limits.scaled(1 / float64(l.daemons))
 	a.fallback = &fallback{
 		startedAt: now,
 		requests:  bucket{level: 1, filledAt: now},
@@ -32,20 +32,20 @@
 
 // admitInFallback decides without the coordinator, and retries the coordinator once per
 // SliceTTL.
-func (h *Home) admitInFallback(now time.Time, org request.OrgID, a *account, tokens int64) Decision {
+func (l *LocalLimiter) admitInFallback(now time.Time, org request.OrgID, a *account, tokens int64) Decision {
 	var d Decision
-	if !a.requesting && now.Sub(a.requestedAt) >= h.params.SliceTTL {
-		d.SliceRequest = h.requestSlice(now, org, a)
+	if !a.requesting && now.Sub(a.requestedAt) >= l.params.SliceTTL {
+		d.SliceRequest = l.requestSlice(now, org, a)
 	}
 	f := a.fallback
-	share := a.limits.scaled(1 / float64(h.daemons))
-	if now.Sub(f.startedAt) >= h.params.FallbackTTL {
-		share = share.scaled(h.params.FloorShare)
+	share := a.limits.scaled(1 / float64(l.daemons))
+	if now.Sub(f.startedAt) >= l.params.FallbackTTL {
+		share = share.scaled(l.params.FloorShare)
 	}
 	f.requests.fill(now, share.RequestsPerSecond, share.burst())
 	f.tokens.fill(now, share.TokensPerSecond, share.tokenBurst())
-	f.tokens.level -= float64(a.debt)
-	a.debt = 0
+	f.tokens.level -= float64(a.uncoveredTokens)
+	a.uncoveredTokens = 0
 
 	var wait time.Duration
 	if share.RequestsPerSecond > 0 && f.requests.level < 1 {
@@ -55,10 +55,10 @@
 		wait = max(wait, f.tokens.timeToReach(1, share.TokensPerSecond))
 	}
 	if share.Concurrency > 0 && a.running >= int64(share.Concurrency) {
-		wait = max(wait, h.params.SliceTTL)
+		wait = max(wait, l.params.SliceTTL)
 	}
 	if wait > 0 {
-		d.Outcome, d.RetryAfter = Refused, h.params.clamp(wait)
+		d.Outcome, d.RetryAfter = Refused, l.params.clamp(wait)
 		return d
 	}
 	f.requests.level--
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -22,7 +22,7 @@
 // message is a slice request in transit to a coordinator, or its answer in transit back.
 type message struct {
 	at          int // step of arrival
-	home        int
+	daemon      int
 	coordinator int
 	request     SliceRequest
 	slice       *Slice // nil: a slice request
@@ -39,7 +39,7 @@
 type fleet struct {
 	limits        Limits
 	rng           *rand.Rand
-	homes         []*Home
+	limiters      []*LocalLimiter
 	coordinators  []*Coordinator
 	partitioned   []bool // homes that cannot reach any coordinator
 	coordinatorOf []int  // the coordinator that each home uses
@@ -54,17 +54,17 @@
 }
 
 type running struct {
-	home int
-	ends int
+	daemon int
+	ends   int
 }
 
-func newFleet(seed int64, homes int, limits Limits) *fleet {
-	f := &fleet{limits: limits, rng: rand.New(rand.NewSource(seed)), partitioned: make([]bool, homes), coordinatorOf: make([]int, homes)}
-	f.waiting = make([][]pendingCall, homes)
-	for range homes {
-		f.homes = append(f.homes, NewHome(Params{}, homes))
+func newFleet(seed int64, daemons int, limits Limits) *fleet {
+	f := &fleet{limits: limits, rng: rand.New(rand.NewSource(seed)), partitioned: make([]bool, daemons), coordinatorOf: make([]int, daemons)}
+	f.waiting = make([][]pendingCall, daemons)
+	for range daemons {
+		f.limiters = append(f.limiters, NewLocalLimiter(Params{}, daemons))
 		s := NewCoordinator(epoch.Add(-time.Hour), Params{})
-		s.OnMembershipChange(epoch.Add(-time.Hour), homes, homes)
+		s.OnMembershipChange(epoch.Add(-time.Hour), daemons, daemons)
 		f.coordinators = append(f.coordinators, s)
 	}
 	return f
@@ -72,13 +72,13 @@
 
 func (f *fleet) now(step int) time.Time { return epoch.Add(time.Duration(step) * simStep) }
 
-func (f *fleet) send(step, home int, req *SliceRequest) {
+func (f *fleet) send(step, daemon int, req *SliceRequest) {
 	if req == nil {
 		return
 	}
 	f.maxTokens = max(f.maxTokens, req.Tokens)
-	m := message{at: step + 1 + f.rng.Intn(simMaxDelay), home: home, coordinator: f.coordinatorOf[home], request: *req}
-	if f.partitioned[home] {
+	m := message{at: step + 1 + f.rng.Intn(simMaxDelay), daemon: daemon, coordinator: f.coordinatorOf[daemon], request: *req}
+	if f.partitioned[daemon] {
 		m.failed = true
 		m.slice = &Slice{}
 	}
@@ -94,39 +94,39 @@
 		case m.at > step:
 			f.inTransit = append(f.inTransit, m)
 		case m.failed:
-			f.homes[m.home].OnSliceFailed(now, "a")
-			f.retry(step, m.home)
+			f.limiters[m.daemon].OnSliceFailed(now, "a")
+			f.retry(step, m.daemon)
 		case m.slice == nil:
-			from := request.DaemonID(fmt.Sprint(m.home))
+			from := request.DaemonID(fmt.Sprint(m.daemon))
 			slice := f.coordinators[m.coordinator].Slice(now, from, "a", f.limits, m.request)
 			m.slice, m.at = &slice, step+1+f.rng.Intn(simMaxDelay)
 			f.inTransit = append(f.inTransit, m)
 		default:
-			f.homes[m.home].OnSlice(now, "a", *m.slice)
-			f.retry(step, m.home)
+			f.limiters[m.daemon].OnSlice(now, "a", *m.slice)
+			f.retry(step, m.daemon)
 		}
 	}
 }
 
-func (f *fleet) retry(step, home int) {
-	calls := f.waiting[home]
-	f.waiting[home] = nil
+func (f *fleet) retry(step, daemon int) {
+	calls := f.waiting[daemon]
+	f.waiting[daemon] = nil
 	for _, c := range calls {
-		f.call(step, home, c)
+		f.call(step, daemon, c)
 	}
 }
 
-func (f *fleet) call(step, home int, c pendingCall) {
-	d := f.homes[home].Admit(f.now(step), "a", f.limits, c.tokens)
-	f.send(step, home, d.SliceRequest)
+func (f *fleet) call(step, daemon int, c pendingCall) {
+	d := f.limiters[daemon].Admit(f.now(step), "a", f.limits, c.tokens)
+	f.send(step, daemon, d.SliceRequest)
 	switch d.Outcome {
 	case Admitted:
 		f.admitted = append(f.admitted, f.now(step))
 		f.tokens = append(f.tokens, c.tokens)
-		f.running = append(f.running, running{home: home, ends: step + 5 + f.rng.Intn(60)})
+		f.running = append(f.running, running{daemon: daemon, ends: step + 5 + f.rng.Intn(60)})
 		f.peak = max(f.peak, len(f.running))
 	case Pending:
-		f.waiting[home] = append(f.waiting[home], c)
+		f.waiting[daemon] = append(f.waiting[daemon], c)
 	case Refused:
 		f.refused++
 	}
@@ -140,15 +140,15 @@
 			remaining = append(remaining, r)
 			continue
 		}
-		f.homes[r.home].Done(f.now(step), "a", 0)
+		f.limiters[r.daemon].Done(f.now(step), "a", 0)
 	}
 	f.running = remaining
 	for n := callsPerStep; f.rng.Float64() < n; n-- {
-		home := f.rng.Intn(len(f.homes))
-		f.call(step, home, pendingCall{tokens: 1 + f.rng.Int63n(2000), since: step})
+		daemon := f.rng.Intn(len(f.limiters))
+		f.call(step, daemon, pendingCall{tokens: 1 + f.rng.Int63n(2000), since: step})
 	}
-	for i, h := range f.homes {
-		for _, req := range h.Tick(f.now(step)) {
+	for i, l := range f.limiters {
+		for _, req := range l.Tick(f.now(step)) {
 			f.send(step, i, &req)
 		}
 		f.coordinators[i].Tick(f.now(step))
@@ -177,14 +177,14 @@
 // are partitioned and reconnected and the coordinator changes.
 func TestLimitsHoldWithinStatedError(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		homes := rapid.IntRange(1, 8).Draw(rt, "homes")
+		daemons := rapid.IntRange(1, 8).Draw(rt, "homes")
 		limits := Limits{
 			RequestsPerSecond: float64(rapid.IntRange(1, 40).Draw(rt, "rate")),
 			Burst:             rapid.IntRange(1, 20).Draw(rt, "burst"),
 			Concurrency:       rapid.IntRange(1, 30).Draw(rt, "concurrency"),
 			TokensPerSecond:   float64(rapid.IntRange(100, 20000).Draw(rt, "tokens")),
 		}
-		f := newFleet(rapid.Int64().Draw(rt, "seed"), homes, limits)
+		f := newFleet(rapid.Int64().Draw(rt, "seed"), daemons, limits)
 		calls := rapid.Float64Range(0.01, 3).Draw(rt, "calls")
 		partitioning := rapid.Bool().Draw(rt, "cuts")
 		changing := rapid.Bool().Draw(rt, "changes")
@@ -192,12 +192,12 @@
 		const steps, settle = 800, 100
 		for i := range steps {
 			if partitioning && i%100 == 50 {
-				home := f.rng.Intn(homes)
-				if f.partitioned[home] = !f.partitioned[home]; f.partitioned[home] {
+				daemon := f.rng.Intn(daemons)
+				if f.partitioned[daemon] = !f.partitioned[daemon]; f.partitioned[daemon] {
 					partitions++
 				}
 			}
-			if changing && i%400 == 200 && homes > 1 {
+			if changing && i%400 == 200 && daemons > 1 {
 				changedAt = i
 				changes++
 				for s := range f.coordinators {
@@ -206,8 +206,8 @@
 			}
 			if changedAt >= 0 && i-changedAt <= settle { // the homes detect the change one after another
 				for h := range f.coordinatorOf {
-					if i-changedAt >= settle*h/homes {
-						f.coordinatorOf[h] = changes % homes
+					if i-changedAt >= settle*h/daemons {
+						f.coordinatorOf[h] = changes % daemons
 					}
 				}
 			}
@@ -215,7 +215,7 @@
 		}
 		p := Params{}
 		p.setDefaults()
-		n := float64(homes)
+		n := float64(daemons)
 		// Slice requests in transit when a home detects the change still reach the previous
 		// coordinator.
 		ttl, split := p.SliceTTL.Seconds(), (settle+simMaxDelay)*simStep.Seconds()
@@ -248,15 +248,15 @@
 // organisation limited to 10 requests a second gets 80, at the expense of others. The naive
 // baseline is such a set of local buckets.
 func TestOneLimitOverAllDaemons(t *testing.T) {
-	const homes, steps = 8, 2000
+	const daemons, steps = 8, 2000
 	limits := Limits{RequestsPerSecond: 10, Burst: 10}
-	f := newFleet(1, homes, limits)
+	f := newFleet(1, daemons, limits)
 	naive := 0
-	local := make([]bucket, homes)
+	local := make([]bucket, daemons)
 	for i := range steps {
 		f.step(i, 2)
 		for range 2 {
-			b := &local[f.rng.Intn(homes)]
+			b := &local[f.rng.Intn(daemons)]
 			b.fill(f.now(i), limits.RequestsPerSecond, limits.burst())
 			if b.level >= 1 {
 				b.level--
@@ -278,19 +278,19 @@
 // One daemon is partitioned from the others for half a minute. It still serves its callers
 // at its share of the limit, so that the organisation in total gets no more than its limit
 // plus that share. Failing closed would refuse all requests, failing open would admit all.
-func TestPartitionedHomeAdmitsItsShare(t *testing.T) {
+func TestPartitionedDaemonAdmitsItsShare(t *testing.T) {
 	limits := Limits{RequestsPerSecond: 80, Burst: 8, Concurrency: 800}
-	h := NewHome(Params{}, 8)
+	l := NewLocalLimiter(Params{}, 8)
 	admitted := map[bool]int{}
 	for i := range 6000 {
 		now := epoch.Add(time.Duration(i) * simStep)
-		d := h.Admit(now, "a", limits, 1)
+		d := l.Admit(now, "a", limits, 1)
 		if d.SliceRequest != nil {
-			h.OnSliceFailed(now, "a")
+			l.OnSliceFailed(now, "a")
 		}
 		if d.Outcome == Admitted {
 			admitted[now.Sub(epoch) < DefaultFallbackTTL]++
-			h.Done(now, "a", 0)
+			l.Done(now, "a", 0)
 		}
 		if d.Outcome == Refused && d.RetryAfter <= 0 {
 			t.Fatal("refused without a retry time")
--- a/internal/policy/limit/home.go
+++ b/internal/policy/limit/local.go
@@ -29,8 +29,8 @@
 	SliceRequest *SliceRequest
 }
 
-// Home admits requests of organisations on one daemon.
-type Home struct {
+// LocalLimiter admits requests of organisations on one daemon.
+type LocalLimiter struct {
 	params   Params
 	daemons  int
 	accounts map[request.OrgID]*account
@@ -41,10 +41,10 @@
 	limits Limits
 	slices []heldSlice // earliest expiry first
 
-	slots       int64
-	slotsExpire time.Time
-	running     int64
-	debt        int64 // output tokens that no slice has covered yet
+	slots           int64
+	slotsExpire     time.Time
+	running         int64
+	uncoveredTokens int64 // output tokens that no slice has covered yet
 
 	requesting    bool
 	requestedAt   time.Time
@@ -63,41 +63,41 @@
 	expires  time.Time
 }
 
-// NewHome returns the home of one daemon. daemons is the size of the fleet.
-func NewHome(params Params, daemons int) *Home {
+// NewLocalLimiter returns the home of one daemon. daemons is the size of the fleet.
+func NewLocalLimiter(params Params, daemons int) *LocalLimiter {
 	params.setDefaults()
-	return &Home{params: params, daemons: max(daemons, 1), accounts: make(map[request.OrgID]*account)}
+	return &LocalLimiter{params: params, daemons: max(daemons, 1), accounts: make(map[request.OrgID]*account)}
 }
 
 // OnMembershipChange updates the size of the fleet, counted as for
 // Coordinator.OnMembershipChange.
-func (h *Home) OnMembershipChange(known int) { h.daemons = max(known, 1) }
+func (l *LocalLimiter) OnMembershipChange(known int) { l.daemons = max(known, 1) }
 
 // Admit decides whether a request with the given number of prompt tokens may run.
-func (h *Home) Admit(now time.Time, org request.OrgID, limits Limits, tokens int64) Decision {
-	a := h.account(now, org, limits)
+func (l *LocalLimiter) Admit(now time.Time, org request.OrgID, limits Limits, tokens int64) Decision {
+	a := l.account(now, org, limits)
 	if limits == (Limits{}) {
 		a.running++
 		return Decision{Outcome: Admitted}
 	}
-	h.checkTimeout(now, a)
+	l.checkTimeout(now, a)
 	if a.fallback != nil {
-		return h.admitInFallback(now, org, a, tokens)
+		return l.admitInFallback(now, org, a, tokens)
 	}
 	if a.covers(now, tokens) {
 		a.charge(tokens)
 		a.demand.add(now, tokens)
-		return Decision{Outcome: Admitted, SliceRequest: h.requestSliceAhead(now, org, a)}
+		return Decision{Outcome: Admitted, SliceRequest: l.requestSliceAhead(now, org, a)}
 	}
 	if now.Before(a.refusedUntil) {
-		return Decision{Outcome: Refused, RetryAfter: h.params.clamp(a.refusedUntil.Sub(now))}
+		return Decision{Outcome: Refused, RetryAfter: l.params.clamp(a.refusedUntil.Sub(now))}
 	}
 	a.pending++
 	a.pendingTokens += tokens
 	if a.requesting {
 		return Decision{Outcome: Pending}
 	}
-	return Decision{Outcome: Pending, SliceRequest: h.requestSlice(now, org, a)}
+	return Decision{Outcome: Pending, SliceRequest: l.requestSlice(now, org, a)}
 }
 
 // OnSlice applies the coordinator's answer. The TTL of the slice starts at the time of the
@@ -107,8 +107,8 @@
 // change a coordinator leases one slot at a time. A home that requests one slot ahead and
 // receives only the slot that it needs would otherwise refuse its next requests with
 // nothing running.
-func (h *Home) OnSlice(now time.Time, org request.OrgID, slice Slice) {
-	a, ok := h.accounts[org]
+func (l *LocalLimiter) OnSlice(now time.Time, org request.OrgID, slice Slice) {
+	a, ok := l.accounts[org]
 	if !ok || !a.requesting {
 		return
 	}
@@ -117,7 +117,7 @@
 	expires := a.requestedAt.Add(slice.TTL)
 	a.slices = append(a.slices, heldSlice{requests: slice.Requests, tokens: slice.Tokens, expires: expires})
 	a.slots, a.slotsExpire = slice.Concurrency, expires
-	a.payDebt()
+	a.chargeUncovered()
 	a.refusedUntil = time.Time{}
 	if slice.RetryAfter > 0 && !a.covers(now, 1) {
 		a.refusedUntil = now.Add(slice.RetryAfter)
@@ -125,53 +125,53 @@
 }
 
 // OnSliceFailed handles a failed slice request.
-func (h *Home) OnSliceFailed(now time.Time, org request.OrgID) {
-	if a, ok := h.accounts[org]; ok && a.requesting {
-		h.enterFallback(now, a)
+func (l *LocalLimiter) OnSliceFailed(now time.Time, org request.OrgID) {
+	if a, ok := l.accounts[org]; ok && a.requesting {
+		l.enterFallback(now, a)
 	}
 }
 
 // Done ends an admitted request. output is its number of output tokens, which are charged
 // to the next slices.
-func (h *Home) Done(now time.Time, org request.OrgID, output int64) {
-	a, ok := h.accounts[org]
+func (l *LocalLimiter) Done(now time.Time, org request.OrgID, output int64) {
+	a, ok := l.accounts[org]
 	if !ok {
 		return
 	}
 	a.lastUsed = now
 	a.running = max(0, a.running-1)
 	if a.limits.TokensPerSecond > 0 {
-		a.debt += max(output, 0)
+		a.uncoveredTokens += max(output, 0)
 		a.pruneSlices(now)
-		a.payDebt()
+		a.chargeUncovered()
 	}
 }
 
 // Tick returns the slice requests that are due independently of new requests: renewals of
 // slots in use before they expire, and payments for output tokens. It removes idle
 // organisations. Call it several times per SliceTTL.
-func (h *Home) Tick(now time.Time) []SliceRequest {
+func (l *LocalLimiter) Tick(now time.Time) []SliceRequest {
 	var requests []SliceRequest
-	for org, a := range h.accounts {
-		h.checkTimeout(now, a)
-		due := a.limits.Concurrency > 0 && a.running > 0 && a.slotsExpire.Sub(now) < h.params.SliceTTL/2
-		due = due || (a.debt > 0 && !now.Before(a.refusedUntil))
+	for org, a := range l.accounts {
+		l.checkTimeout(now, a)
+		due := a.limits.Concurrency > 0 && a.running > 0 && a.slotsExpire.Sub(now) < l.params.SliceTTL/2
+		due = due || (a.uncoveredTokens > 0 && !now.Before(a.refusedUntil))
 		if a.fallback == nil && !a.requesting && due {
-			requests = append(requests, *h.requestSlice(now, org, a))
+			requests = append(requests, *l.requestSlice(now, org, a))
 		}
-		if a.running == 0 && a.debt == 0 && !a.requesting && now.Sub(a.lastUsed) > h.params.FallbackTTL {
-			delete(h.accounts, org)
+		if a.running == 0 && a.uncoveredTokens == 0 && !a.requesting && now.Sub(a.lastUsed) > l.params.FallbackTTL {
+			delete(l.accounts, org)
 		}
 	}
 	sortSliceRequests(requests)
 	return requests
 }
 
-func (h *Home) account(now time.Time, org request.OrgID, limits Limits) *account {
-	a, ok := h.accounts[org]
+func (l *LocalLimiter) account(now time.Time, org request.OrgID, limits Limits) *account {
+	a, ok := l.accounts[org]
 	if !ok {
 		a = &account{}
-		h.accounts[org] = a
+		l.accounts[org] = a
 	}
 	a.limits = limits
 	a.lastUsed = now
@@ -181,22 +181,22 @@
 
 // checkTimeout treats a slice request as failed after SliceTTL without an answer, so that a
 // caller that omits OnSliceFailed does not block its organisation.
-func (h *Home) checkTimeout(now time.Time, a *account) {
-	if a.requesting && now.Sub(a.requestedAt) > h.params.SliceTTL {
-		h.enterFallback(now, a)
+func (l *LocalLimiter) checkTimeout(now time.Time, a *account) {
+	if a.requesting && now.Sub(a.requestedAt) > l.params.SliceTTL {
+		l.enterFallback(now, a)
 	}
 }
 
-func (h *Home) requestSlice(now time.Time, org request.OrgID, a *account) *SliceRequest {
+func (l *LocalLimiter) requestSlice(now time.Time, org request.OrgID, a *account) *SliceRequest {
 	a.requesting = true
 	a.requestedAt = now
-	requests, tokens := a.demand.expected(now, h.params.SliceTTL)
+	requests, tokens := a.demand.expected(now, l.params.SliceTTL)
 	spare := min(requests, 1+a.running/4)
 	haveRequests, haveTokens := a.available()
 	req := &SliceRequest{
 		Org:         org,
 		Requests:    max(0, a.pending+requests-haveRequests),
-		Tokens:      max(0, a.pendingTokens+tokens+a.debt-haveTokens),
+		Tokens:      max(0, a.pendingTokens+tokens+a.uncoveredTokens-haveTokens),
 		Concurrency: a.running + a.pending + spare,
 		Used:        a.running,
 	}
@@ -208,8 +208,8 @@
 // requestSliceAhead requests a slice before a busy organisation exhausts its slices, so that
 // its requests do not wait for the coordinator. For an organisation with little demand the
 // home requests a slice only when a request needs one.
-func (h *Home) requestSliceAhead(now time.Time, org request.OrgID, a *account) *SliceRequest {
-	requests, _ := a.demand.expected(now, h.params.SliceTTL)
+func (l *LocalLimiter) requestSliceAhead(now time.Time, org request.OrgID, a *account) *SliceRequest {
+	requests, _ := a.demand.expected(now, l.params.SliceTTL)
 	if a.requesting || requests < 1 || now.Before(a.refusedUntil) {
 		return nil
 	}
@@ -218,7 +218,7 @@
 	if enough && (a.limits.Concurrency <= 0 || a.running < a.slots) {
 		return nil
 	}
-	return h.requestSlice(now, org, a)
+	return l.requestSlice(now, org, a)
 }
 
 func (a *account) endRequest() {
@@ -248,7 +248,7 @@
 	if a.limits.RequestsPerSecond > 0 && requests < 1 {
 		return false
 	}
-	if a.limits.TokensPerSecond > 0 && have < tokens+a.debt {
+	if a.limits.TokensPerSecond > 0 && have < tokens+a.uncoveredTokens {
 		return false
 	}
 	return a.limits.Concurrency <= 0 || (a.running < a.slots && now.Before(a.slotsExpire))
@@ -263,19 +263,19 @@
 		a.slices[i].requests -= used
 		requests -= used
 	}
-	a.debt += tokens
-	a.payDebt()
+	a.uncoveredTokens += tokens
+	a.chargeUncovered()
 }
 
-// payDebt charges the token debt to the slices.
-func (a *account) payDebt() {
+// chargeUncovered charges the token debt to the slices.
+func (a *account) chargeUncovered() {
 	for i := range a.slices {
-		used := min(a.debt, a.slices[i].tokens)
+		used := min(a.uncoveredTokens, a.slices[i].tokens)
 		a.slices[i].tokens -= used
-		a.debt -= used
+		a.uncoveredTokens -= used
 	}
 	if a.limits.TokensPerSecond <= 0 {
-		a.debt = 0
+		a.uncoveredTokens = 0
 	}
 }
 
--- a/internal/policy/limit/membership_test.go
+++ b/internal/policy/limit/membership_test.go
@@ -48,11 +48,11 @@
 	now := epoch
 	s := NewCoordinator(now, Params{})
 	s.OnMembershipChange(now, 2, 2)
-	h := NewHome(Params{}, 2)
+	l := NewLocalLimiter(Params{}, 2)
 	admit := func() Decision {
-		d := h.Admit(now, "a", limits, 100)
+		d := l.Admit(now, "a", limits, 100)
 		if d.SliceRequest != nil {
-			h.OnSlice(now, "a", s.Slice(now, "d1", "a", limits, *d.SliceRequest))
+			l.OnSlice(now, "a", s.Slice(now, "d1", "a", limits, *d.SliceRequest))
 		}
 		return d
 	}
@@ -66,6 +66,6 @@
 			t.Fatalf("prompt %d is %s, retry after %s", n, d.Outcome, d.RetryAfter)
 		}
 		now = now.Add(took)
-		h.Done(now, "a", 4)
+		l.Done(now, "a", 4)
 	}
 }
--- a/internal/policy/limit/table_test.go
+++ b/internal/policy/limit/table_test.go
@@ -12,7 +12,7 @@
 
 func TestTable(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var h *Home
+		var l *LocalLimiter
 		var s *Coordinator
 		var limits Limits
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -23,8 +23,8 @@
 			d.MaybeScanArgs(t, "places", &slots)
 			d.MaybeScanArgs(t, "used", &used)
 			now := epoch.Add(time.Duration(ms) * time.Millisecond)
-			home := "d1"
-			d.MaybeScanArgs(t, "home", &home)
+			daemon := "d1"
+			d.MaybeScanArgs(t, "home", &daemon)
 			switch d.Cmd {
 			case "limits":
 				limits = Limits{}
@@ -32,7 +32,7 @@
 				d.MaybeScanArgs(t, "burst", &limits.Burst)
 				d.MaybeScanArgs(t, "concurrency", &limits.Concurrency)
 				d.MaybeScanArgs(t, "token-rate", &limits.TokensPerSecond)
-				h = NewHome(Params{}, 4)
+				l = NewLocalLimiter(Params{}, 4)
 				started := epoch
 				if d.HasArg("settled") {
 					started = epoch.Add(-time.Hour)
@@ -41,24 +41,24 @@
 				s.OnMembershipChange(started, 4, 4)
 				return ""
 			case "admit":
-				return describe(h.Admit(now, "a", limits, tokens))
+				return describe(l.Admit(now, "a", limits, tokens))
 			case "answer":
-				slice := s.Slice(now, request.DaemonID(home), "a", limits, SliceRequest{
+				slice := s.Slice(now, request.DaemonID(daemon), "a", limits, SliceRequest{
 					Org: "a", Requests: want, Tokens: tokens, Concurrency: slots, Used: used,
 				})
-				h.OnSlice(now, "a", slice)
+				l.OnSlice(now, "a", slice)
 				return describeSlice(slice)
 			case "slice":
-				return describeSlice(s.Slice(now, request.DaemonID(home), "a", limits, SliceRequest{
+				return describeSlice(s.Slice(now, request.DaemonID(daemon), "a", limits, SliceRequest{
 					Org: "a", Requests: want, Tokens: tokens, Concurrency: slots, Used: used,
 				}))
 			case "failed":
-				h.OnSliceFailed(now, "a")
+				l.OnSliceFailed(now, "a")
 			case "done":
-				h.Done(now, "a", tokens)
+				l.Done(now, "a", tokens)
 			case "tick":
 				var out strings.Builder
-				for _, w := range h.Tick(now) {
+				for _, w := range l.Tick(now) {
 					out.WriteString(describeWant(w))
 				}
 				return out.String()
--- a/internal/policy/placement/choose.go
+++ b/internal/policy/placement/choose.go
@@ -199,9 +199,9 @@
 		return cost{}, false
 	}
 	consider(limit)
-	crossing := reuse + e.crossing(c, reuse, wait, start, perBlock)
+	readyHead := reuse + e.blocksUntilReady(c, reuse, wait, start, perBlock)
 	serial := reuse + e.serialLimit(c, reuse, start, perBlock)
-	for _, head := range [...]int{crossing, crossing + 1, serial} {
+	for _, head := range [...]int{readyHead, readyHead + 1, serial} {
 		if head > reuse && head < limit {
 			consider(head)
 		}
@@ -219,9 +219,9 @@
 	return int(max(0, (e.importLimit-start-e.prefill(c, reuse))/netPerBlock))
 }
 
-// crossing returns the number of blocks to import so that the import ends when the
+// blocksUntilReady returns the number of blocks to import so that the import ends when the
 // target is ready for them.
-func (e *estimator) crossing(c *Candidate, reuse int, wait, start, perBlock float64) int {
+func (e *estimator) blocksUntilReady(c *Candidate, reuse int, wait, start, perBlock float64) int {
 	if !e.params.Overlap {
 		return int((wait - start) / perBlock)
 	}
--- a/internal/schedules/scripted_test.go
+++ b/internal/schedules/scripted_test.go
@@ -28,7 +28,7 @@
 		}{
 			{"journal", newRealJournal},
 			{"check then run", newCheckThenRun},
-			{"intent in memory", newIntentInMemory},
+			{"intent in memory", newMemoryIntentJournal},
 		} {
 			fmt.Fprintf(&out, "%s: %s\n", v.name, runScript(t, d.Input, v.build))
 		}
@@ -36,25 +36,25 @@
 	})
 }
 
-// intentInMemory relies on its lease: the holder records started calls only in memory and
+// memoryIntentJournal relies on its lease: the holder records started calls only in memory and
 // writes only results. It checks its lease once, when a call starts.
-type intentInMemory struct {
+type memoryIntentJournal struct {
 	checkThenRun
 	real    *realJournal
 	started map[string]bool
 }
 
-func newIntentInMemory(kv platform.KV, clock *daemonClock, id request.DaemonID) journalAPI {
-	return &intentInMemory{
+func newMemoryIntentJournal(kv platform.KV, clock *daemonClock, id request.DaemonID) journalAPI {
+	return &memoryIntentJournal{
 		checkThenRun: checkThenRun{kv: kv},
 		real:         newRealJournal(kv, clock, id).(*realJournal),
 		started:      map[string]bool{},
 	}
 }
 
-func (n *intentInMemory) Heartbeat(ctx context.Context) { n.real.Heartbeat(ctx) }
+func (n *memoryIntentJournal) Heartbeat(ctx context.Context) { n.real.Heartbeat(ctx) }
 
-func (n *intentInMemory) Start(key string) (pendingStart, *journal.Result, error) {
+func (n *memoryIntentJournal) Start(key string) (pendingStart, *journal.Result, error) {
 	if _, err := n.real.leases.Acquire(context.Background(), key); err != nil {
 		return nil, nil, journal.ErrNotHolder
 	}
@@ -66,7 +66,7 @@
 	return s, result, err
 }
 
-func (n *intentInMemory) Abort(_ context.Context, ticket any) {
+func (n *memoryIntentJournal) Abort(_ context.Context, ticket any) {
 	delete(n.started, string(ticket.(naiveTicket)))
 }
 
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -118,20 +118,20 @@
 	work     sync.WaitGroup
 	wake     chan struct{}
 
-	mu            sync.Mutex
-	cache         *cache
-	events        eventLog
-	streams       map[request.ID]*stream
-	queue         []*stream // by priority, then arrival
-	running       []*stream // by priority, then arrival
-	arrivals      uint64
-	swappedFrames map[request.ID]engineapi.Frame // by lending stream: the frame that it sends in exchange
-	state         engineapi.State
-	appliedOrders map[string]struct{}
-	load          engineapi.Load
-	loadAt        time.Time
-	cancelLoad    context.CancelFunc
-	stats         Stats
+	mu               sync.Mutex
+	cache            *cache
+	events           eventLog
+	streams          map[request.ID]*stream
+	queue            []*stream // by priority, then arrival
+	running          []*stream // by priority, then arrival
+	arrivals         uint64
+	swappedFrames    map[request.ID]engineapi.Frame // by lending stream: the frame that it sends in exchange
+	state            engineapi.State
+	appliedOrders    map[string]struct{}
+	load             engineapi.Load
+	loadAt           time.Time
+	cancelWeightLoad context.CancelFunc
+	stats            Stats
 }
 
 // New starts a replica.
@@ -139,17 +139,17 @@
 	o = o.withDefaults()
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Engine{
-		opts:          o,
-		switches:      o.Switches,
-		client:        newStoreClient(),
-		ctx:           ctx,
-		stop:          stop,
-		wake:          make(chan struct{}, 1),
-		cache:         newCache(o.TotalBlocks),
-		streams:       make(map[request.ID]*stream),
-		swappedFrames: make(map[request.ID]engineapi.Frame),
-		appliedOrders: make(map[string]struct{}),
-		cancelLoad:    func() {},
+		opts:             o,
+		switches:         o.Switches,
+		client:           newStoreClient(),
+		ctx:              ctx,
+		stop:             stop,
+		wake:             make(chan struct{}, 1),
+		cache:            newCache(o.TotalBlocks),
+		streams:          make(map[request.ID]*stream),
+		swappedFrames:    make(map[request.ID]engineapi.Frame),
+		appliedOrders:    make(map[string]struct{}),
+		cancelWeightLoad: func() {},
 		state: engineapi.State{
 			Incarnation: o.Incarnation,
 			Model:       o.Model,
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -47,9 +47,9 @@
 
 // startLoadLocked starts to load a version and cancels a load in progress.
 func (e *Engine) startLoadLocked(o engineapi.Order) {
-	e.cancelLoad()
+	e.cancelWeightLoad()
 	ctx, cancel := context.WithCancel(e.ctx)
-	e.cancelLoad = cancel
+	e.cancelWeightLoad = cancel
 	e.state.Loading = o.Version
 	e.work.Add(1)
 	go e.loadVersion(ctx, o)
--- a/internal/standin/store/handler.go
+++ b/internal/standin/store/handler.go
@@ -191,7 +191,7 @@
 		status = http.StatusNotFound
 	case errors.Is(err, errFreed):
 		status = http.StatusGone
-	case errors.Is(err, errExists), errors.Is(err, errPinned):
+	case errors.Is(err, errContentMismatch), errors.Is(err, errPinned):
 		status = http.StatusConflict
 	case errors.Is(err, errFull):
 		status = http.StatusInsufficientStorage
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -19,11 +19,11 @@
 
 // Errors of Store. HTTP responses carry their texts.
 var (
-	errAbsent = errors.New("store: no such object")
-	errFreed  = errors.New("store: name was freed")
-	errExists = errors.New("store: name holds other content")
-	errFull   = errors.New("store: full")
-	errPinned = errors.New("store: pinned")
+	errAbsent          = errors.New("store: no such object")
+	errFreed           = errors.New("store: name was freed")
+	errContentMismatch = errors.New("store: name holds other content")
+	errFull            = errors.New("store: full")
+	errPinned          = errors.New("store: pinned")
 )
 
 // Options configures New.
@@ -106,7 +106,7 @@
 	}
 	if old, ok := s.objects[name]; ok {
 		if old.digest != digest || old.length != length {
-			return errExists
+			return errContentMismatch
 		}
 		return nil
 	}
--- a/internal/table/replica.go
+++ b/internal/table/replica.go
@@ -44,9 +44,9 @@
 
 	current atomic.Pointer[Snapshot]
 
-	mu      sync.Mutex // guards the fields below and replacement of current
-	changed chan struct{}
-	proof   time.Time // time of the freshness proof; zero: none
+	mu          sync.Mutex // guards the fields below and replacement of current
+	changed     chan struct{}
+	confirmedAt time.Time // time of the freshness proof; zero: none
 }
 
 // NewReplica returns an empty replica without a freshness proof.
@@ -169,31 +169,31 @@
 	return false
 }
 
-// ProofAge returns the age of the freshness proof, or NeverConfirmed. A daemon accepts no new
+// Staleness returns the age of the freshness proof, or NeverConfirmed. A daemon accepts no new
 // requests while its proof is older than its settings allow, because it may have missed an
 // accepted edit.
-func (r *Replica) ProofAge(now time.Time) time.Duration {
+func (r *Replica) Staleness(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.proof.IsZero() {
+	if r.confirmedAt.IsZero() {
 		return NeverConfirmed
 	}
-	return max(0, now.Sub(r.proof))
+	return max(0, now.Sub(r.confirmedAt))
 }
 
-// PeerProof is a peer's freshness proof as its response to a request carries it.
-type PeerProof struct {
+// PeerConfirmation is a peer's freshness proof as its response to a request carries it.
+type PeerConfirmation struct {
 	Age   time.Duration // age of the peer's own proof when it responded
 	Hash  uint64
 	Pages []*peer.PageDigest // may be empty if the hashes are equal
 }
 
-// AdoptPeerProof adopts the proof in a peer's response to a request that was sent at sent, and
+// ConfirmFromPeer adopts the proof in a peer's response to a request that was sent at sent, and
 // reports whether it did. The proof is valid for this replica only if the replica has every
 // page revision that the peer has. The age counts from the sending of the request, so that
 // network delay makes the proof older, never younger. Proofs in a peer's requests are not
 // adopted, since their time in transit is unknown.
-func (r *Replica) AdoptPeerProof(sent time.Time, p PeerProof) bool {
+func (r *Replica) ConfirmFromPeer(sent time.Time, p PeerConfirmation) bool {
 	if p.Age == NeverConfirmed {
 		return false
 	}
@@ -209,7 +209,7 @@
 }
 
 func (r *Replica) confirm(at time.Time) {
-	if at.After(r.proof) {
-		r.proof = at
+	if at.After(r.confirmedAt) {
+		r.confirmedAt = at
 	}
 }
--- a/internal/table/replica_test.go
+++ b/internal/table/replica_test.go
@@ -78,7 +78,7 @@
 		_, have := restarted.Digest()
 		restarted.Merge(from.PagesNewerThan(have))
 		hash, pages := from.Digest()
-		restarted.AdoptPeerProof(now, PeerProof{Age: from.ProofAge(now), Hash: hash, Pages: pages})
+		restarted.ConfirmFromPeer(now, PeerConfirmation{Age: from.Staleness(now), Hash: hash, Pages: pages})
 	}
 	naive := map[string][]byte{}
 	for _, from := range []*Replica{old, current, old} {
@@ -94,14 +94,14 @@
 	if decoded, err := decodePageRows(name, 1, naive[name]); err != nil || decoded.organisations["acme"].Weight == 77 {
 		t.Fatal("the naive copy did not revert; the test no longer shows the fault")
 	}
-	if age := restarted.ProofAge(now); age != 20*time.Second {
+	if age := restarted.Staleness(now); age != 20*time.Second {
 		t.Fatalf("proof is %v old, want 20s", age)
 	}
-	if age := old.ProofAge(now); age != 30*time.Second {
+	if age := old.Staleness(now); age != 30*time.Second {
 		t.Fatalf("proof of the daemon that missed the edit is %v old, want 30s", age)
 	}
 	hash, pages := restarted.Digest()
-	if old.AdoptPeerProof(now, PeerProof{Age: 0, Hash: hash, Pages: pages}) {
+	if old.ConfirmFromPeer(now, PeerConfirmation{Age: 0, Hash: hash, Pages: pages}) {
 		t.Fatal("a daemon that is behind its peer adopted the peer's proof")
 	}
 }
@@ -130,7 +130,7 @@
 
 // TestUndecodablePageKeepsRowsAndProof: a page that a newer version of the program wrote can't
 // be decoded. The replica must keep the earlier rows and must not renew its proof.
-func TestUndecodablePageKeepsRowsAndProof(t *testing.T) {
+func TestUndecodablePageKeepsRowsAndConfirmation(t *testing.T) {
 	kv := newTestKV()
 	applySample(t, kv)
 	now := time.Unix(1000, 0)
@@ -154,7 +154,7 @@
 	if _, ok := replica.Current().Organisation("acme"); !ok {
 		t.Fatal("acme was removed")
 	}
-	if age := replica.ProofAge(now); age != time.Minute {
+	if age := replica.Staleness(now); age != time.Minute {
 		t.Fatalf("proof is %v old, want 1m", age)
 	}
 }
--- a/internal/table/run.go
+++ b/internal/table/run.go
@@ -23,7 +23,7 @@
 	CallTimeout    time.Duration // timeout of a call, added to WatchWait; default 3 s
 	PollInterval   time.Duration // interval at which a daemon checks whether it is a watcher; default 250 ms
 	FirstReadDelay time.Duration // a daemon without a proof from its peers reads the table itself after this time; default 2 s
-	MaxProofAge    time.Duration // a daemon whose proof is older reads the table itself; default 8 s
+	MaxStaleness   time.Duration // a daemon whose proof is older reads the table itself; default 8 s
 	RereadInterval time.Duration // interval at which every daemon reads the table itself, before jitter; default 10 min
 	BackoffMin     time.Duration // first backoff after a failed read; default 200 ms
 	BackoffMax     time.Duration // maximum backoff after a failed read; default 10 s
@@ -42,7 +42,7 @@
 	set(&t.CallTimeout, 3*time.Second)
 	set(&t.PollInterval, 250*time.Millisecond)
 	set(&t.FirstReadDelay, 2*time.Second)
-	set(&t.MaxProofAge, 8*time.Second)
+	set(&t.MaxStaleness, 8*time.Second)
 	set(&t.RereadInterval, 10*time.Minute)
 	set(&t.BackoffMin, 200*time.Millisecond)
 	set(&t.BackoffMax, 10*time.Second)
@@ -115,11 +115,11 @@
 
 // needsRead reports whether a daemon that is not a watcher should read the table itself.
 func (l *runLoop) needsRead(now time.Time) bool {
-	age := l.replica.ProofAge(now)
+	age := l.replica.Staleness(now)
 	if age == NeverConfirmed {
 		return now.Sub(l.started) >= l.replica.timing.FirstReadDelay
 	}
-	return age >= l.replica.timing.MaxProofAge || now.Sub(l.lastRead) >= l.rereadAfter
+	return age >= l.replica.timing.MaxStaleness || now.Sub(l.lastRead) >= l.rereadAfter
 }
 
 // read applies the changes in the key-value service since the last read. The new proof carries
--- a/internal/table/state.go
+++ b/internal/table/state.go
@@ -17,12 +17,12 @@
 
 // State describes the version of the table that a daemon has applied.
 type State struct {
-	Revision   uint64      `json:"revision"`
-	Hash       uint64      `json:"hash"`
-	Confirmed  bool        `json:"confirmed"`    // the replica has a freshness proof
-	ProofAgeMS int64       `json:"proof_age_ms"` // age of the freshness proof
-	Pages      []PageState `json:"pages"`        // ordered by name
-	Rows       RowCounts   `json:"rows"`         // rows that are not removed
+	Revision    uint64      `json:"revision"`
+	Hash        uint64      `json:"hash"`
+	Confirmed   bool        `json:"confirmed"`    // the replica has a freshness proof
+	StalenessMS int64       `json:"proof_age_ms"` // age of the freshness proof
+	Pages       []PageState `json:"pages"`        // ordered by name
+	Rows        RowCounts   `json:"rows"`         // rows that are not removed
 }
 
 // RowCounts counts the rows of each sheet.
@@ -37,9 +37,9 @@
 func (r *Replica) State(now time.Time) State {
 	s := r.Current()
 	state := State{Revision: s.revision, Hash: s.hash, Pages: []PageState{}}
-	if age := r.ProofAge(now); age != NeverConfirmed {
+	if age := r.Staleness(now); age != NeverConfirmed {
 		state.Confirmed = true
-		state.ProofAgeMS = age.Milliseconds()
+		state.StalenessMS = age.Milliseconds()
 	}
 	for _, p := range sortedValues(s.pages) {
 		state.Pages = append(state.Pages, PageState{Page: p.name, Revision: p.revision})
--- a/internal/table/tableschedule/schedule.go
+++ b/internal/table/tableschedule/schedule.go
@@ -52,8 +52,8 @@
 	Merge(pages []*peer.Page) int
 	PagesNewerThan(have []*peer.PageDigest) []*peer.Page
 	Digest() (uint64, []*peer.PageDigest)
-	ProofAge(now time.Time) time.Duration
-	AdoptPeerProof(sent time.Time, p table.PeerProof) bool
+	Staleness(now time.Time) time.Duration
+	ConfirmFromPeer(sent time.Time, p table.PeerConfirmation) bool
 	Current() *table.Snapshot
 }
 
@@ -289,12 +289,12 @@
 		s.delayedPages = append(s.delayedPages, all)
 	}
 	hash, digest := from.replica.Digest()
-	proof := table.PeerProof{Age: from.replica.ProofAge(s.now), Hash: hash, Pages: digest}
+	confirmation := table.PeerConfirmation{Age: from.replica.Staleness(s.now), Hash: hash, Pages: digest}
 	s.now = s.now.Add(time.Duration(s.rng.Int64N(int64(time.Second))))
 	if s.rng.IntN(4) > 0 { // otherwise only the proof arrives
 		to.replica.Merge(pages)
 	}
-	to.replica.AdoptPeerProof(sent, proof)
+	to.replica.ConfirmFromPeer(sent, confirmation)
 }
 
 func (s *simulation) deliverDelayed(d *daemon) {
@@ -355,7 +355,7 @@
 // requiredEdits returns the index of the last edit of each cell that a daemon's proof covers.
 func (s *simulation) requiredEdits(d *daemon) map[cell]int {
 	required := make(map[cell]int)
-	age := d.replica.ProofAge(s.now)
+	age := d.replica.Staleness(s.now)
 	if age == table.NeverConfirmed {
 		return required
 	}
