--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -1,5 +1,5 @@
 // Package limiter enforces the limits of organisations across all daemons. It runs the pure
-// parts of policy/limit: the home, which admits requests against slices, and the
+// parts of policy/limit: the LocalLimiter, which admits requests against slices, and the
 // coordinator, which leases slices for the organisations that are assigned to this daemon.
 package limiter
 
@@ -28,7 +28,7 @@
 	sliceTimeout = 500 * time.Millisecond
 )
 
-// Tables provides the operators' effective table.
+// Tables provides the current snapshot of the table that operators edit.
 type Tables interface {
 	Current() *table.Snapshot
 }
@@ -243,8 +243,8 @@
 	}
 }
 
-// updateMembership notifies the home and the coordinator of membership changes. The caller
-// holds l.mu.
+// updateMembership notifies the LocalLimiter and the Coordinator of membership changes. The
+// caller holds l.mu.
 func (l *Limiter) updateMembership(now time.Time, live []*peer.Member, known int) {
 	previous := l.live
 	if known == l.known && sameIncarnations(previous, live) {
--- a/internal/policy/limit/coordinator.go
+++ b/internal/policy/limit/coordinator.go
@@ -6,7 +6,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// Coordinator leases slices of organisations' limits to homes.
+// Coordinator leases slices of organisations' limits to the LocalLimiters of the daemons.
 type Coordinator struct {
 	params    Params
 	changedAt time.Time // last membership or assignment change
@@ -27,7 +27,7 @@
 	cautiousUntil time.Time
 }
 
-// slotLease is the number of slots leased to one home.
+// slotLease is the number of slots leased to one daemon.
 type slotLease struct {
 	slots   int64
 	expires time.Time
@@ -80,7 +80,7 @@
 // Orgs returns the number of organisations that have a ledger.
 func (c *Coordinator) Orgs() int { return len(c.ledgers) }
 
-// Slice answers a home's slice request. Requests and tokens are taken from the
+// Slice answers a daemon's slice request. Requests and tokens are taken from the
 // organisation's buckets; an amount that expires unused is lost and never granted twice.
 func (c *Coordinator) Slice(now time.Time, from request.DaemonID, org request.OrgID, limits Limits, req SliceRequest) Slice {
 	l := c.ledger(now, org, limits)
@@ -150,7 +150,7 @@
 }
 
 // grantRequests grants at most half of the available requests, and at least one, so that
-// one home's reserve does not starve the other homes.
+// one daemon's reserve does not starve the other daemons.
 func (c *Coordinator) grantRequests(now time.Time, l *ledger, limits Limits, want int64) (int64, time.Duration) {
 	if limits.RequestsPerSecond <= 0 || want <= 0 {
 		return max(want, 0), 0
@@ -184,7 +184,7 @@
 	return want, 0
 }
 
-// leaseSlots leases slots up to the limit, less the slots held by other homes. A home gets
+// leaseSlots leases slots up to the limit, less the slots held by other daemons. A daemon gets
 // at most half of the free slots in addition to those in use. It keeps the slots that it
 // holds unless it requests fewer, because it may have admitted requests since it sent the
 // slice request.
--- a/internal/policy/limit/fallback.go
+++ b/internal/policy/limit/fallback.go
@@ -7,9 +7,9 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
-// fallback is the state of a home that admits requests by its own share of the limits
+// fallback is the state of a daemon that admits requests by its own share of the limits
 // while the coordinator is unreachable. The share is limit/daemons for FallbackTTL, then
-// FloorShare of that. If all homes lose their coordinators at the same time, they
+// FloorShare of that. If all daemons lose their coordinators at the same time, they
 // together admit at most the limits.
 type fallback struct {
 	startedAt time.Time
--- a/internal/policy/limit/limit.go
+++ b/internal/policy/limit/limit.go
@@ -2,14 +2,14 @@
 // requests, tokens a second) across all daemons.
 //
 // Each organisation has one limit coordinator, chosen by rendezvous hash. The
-// coordinator leases slices of the limits to the homes, which are the daemons that
+// coordinator leases slices of the limits to the LocalLimiters of the daemons that
 // admit the organisation's requests. A slice consists of an amount of requests and
-// tokens and a number of slots for concurrent requests, and expires after a TTL. A home
+// tokens and a number of slots for concurrent requests, and expires after a TTL. A daemon
 // that cannot reach the coordinator admits its share of the limits for FallbackTTL, then
 // a floor. docs/design/limits.md states the error bounds and the reasons for the design.
 //
-// The package is pure: it has no clock, I/O, goroutine or randomness. Homes and
-// coordinators are not safe for concurrent use.
+// The package is pure: it has no clock, I/O, goroutine or randomness. LocalLimiters
+// and Coordinators are not safe for concurrent use.
 package limit
 
 import (
@@ -52,10 +52,10 @@
 	// SettleTTL is the time after a membership change during which two daemons may both
 	// act as coordinator.
 	SettleTTL time.Duration
-	// FallbackTTL is the time for which a home admits its full share of the limits after
+	// FallbackTTL is the time for which a daemon admits its full share of the limits after
 	// losing contact with the coordinator.
 	FallbackTTL time.Duration
-	// FloorShare is the fraction of that share that the home admits afterwards.
+	// FloorShare is the fraction of that share that the daemon admits afterwards.
 	FloorShare    float64
 	MinRetryAfter time.Duration
 	MaxRetryAfter time.Duration
@@ -86,7 +86,7 @@
 	return min(max(d, p.MinRetryAfter), p.MaxRetryAfter)
 }
 
-// SliceRequest is a home's request to a coordinator. It corresponds to
+// SliceRequest is a daemon's request to a coordinator. It corresponds to
 // peer.SliceRequest.
 type SliceRequest struct {
 	Org         request.OrgID
--- a/internal/policy/limit/limit_test.go
+++ b/internal/policy/limit/limit_test.go
@@ -34,15 +34,15 @@
 	since  int
 }
 
-// fleet simulates homes and coordinators for one organisation, with message delays, network
-// partitions and changes of the coordinator.
+// fleet simulates LocalLimiters and Coordinators for one organisation, with message delays,
+// network partitions and changes of the coordinator.
 type fleet struct {
 	limits        Limits
 	rng           *rand.Rand
 	limiters      []*LocalLimiter
 	coordinators  []*Coordinator
-	partitioned   []bool // homes that cannot reach any coordinator
-	coordinatorOf []int  // the coordinator that each home uses
+	partitioned   []bool // daemons that cannot reach any coordinator
+	coordinatorOf []int  // the coordinator that each daemon uses
 	waiting       [][]pendingCall
 	inTransit     []message
 	running       []running
@@ -173,8 +173,8 @@
 
 func one(int) float64 { return 1 }
 
-// Checks the error bounds stated in docs/design/limits.md over any time window, while homes
-// are partitioned and reconnected and the coordinator changes.
+// Checks the error bounds stated in docs/design/limits.md over any time window, while
+// daemons are partitioned and reconnected and the coordinator changes.
 func TestLimitsHoldWithinStatedError(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		daemons := rapid.IntRange(1, 8).Draw(rt, "homes")
@@ -204,7 +204,7 @@
 					f.coordinators[s].OnAssignmentsChanged(f.now(i))
 				}
 			}
-			if changedAt >= 0 && i-changedAt <= settle { // the homes detect the change one after another
+			if changedAt >= 0 && i-changedAt <= settle { // the daemons detect the change one after another
 				for h := range f.coordinatorOf {
 					if i-changedAt >= settle*h/daemons {
 						f.coordinatorOf[h] = changes % daemons
@@ -216,7 +216,7 @@
 		p := Params{}
 		p.setDefaults()
 		n := float64(daemons)
-		// Slice requests in transit when a home detects the change still reach the previous
+		// Slice requests in transit when a daemon detects the change still reach the previous
 		// coordinator.
 		ttl, split := p.SliceTTL.Seconds(), (settle+simMaxDelay)*simStep.Seconds()
 		total := float64(steps) * simStep.Seconds()
--- a/internal/policy/limit/local.go
+++ b/internal/policy/limit/local.go
@@ -13,14 +13,14 @@
 const (
 	// Admitted means that the request may run. The caller must call Done when it ends.
 	Admitted Outcome = "admitted"
-	// Pending means that the home needs a slice first. The caller must call Admit again
+	// Pending means that the LocalLimiter needs a slice first. The caller must call Admit again
 	// after OnSlice or OnSliceFailed.
 	Pending Outcome = "pending"
 	// Refused is final and means that the organisation exceeds its limit.
 	Refused Outcome = "refused"
 )
 
-// Decision is the answer of Home.Admit.
+// Decision is the answer of LocalLimiter.Admit.
 type Decision struct {
 	Outcome    Outcome
 	RetryAfter time.Duration // set with Refused
@@ -29,14 +29,15 @@
 	SliceRequest *SliceRequest
 }
 
-// LocalLimiter admits requests of organisations on one daemon.
+// LocalLimiter admits one daemon's requests against slices that it obtains from the
+// coordinator.
 type LocalLimiter struct {
 	params   Params
 	daemons  int
 	accounts map[request.OrgID]*account
 }
 
-// account is a home's state of one organisation's limits.
+// account is a LocalLimiter's state of one organisation's limits.
 type account struct {
 	limits Limits
 	slices []heldSlice // earliest expiry first
@@ -44,11 +45,11 @@
 	slots           int64
 	slotsExpire     time.Time
 	running         int64
-	uncoveredTokens int64 // output tokens that no slice has covered yet
+	uncoveredTokens int64 // prompt and output tokens not yet charged to a slice
 
 	requesting    bool
 	requestedAt   time.Time
-	pending       int64 // pending requests not covered by an answered slice request
+	pending       int64 // requests that got Pending since the last slice request ended
 	pendingTokens int64 // tokens of the pending requests
 
 	refusedUntil time.Time
@@ -63,13 +64,14 @@
 	expires  time.Time
 }
 
-// NewLocalLimiter returns the home of one daemon. daemons is the size of the fleet.
+// NewLocalLimiter returns the LocalLimiter of one daemon. daemons is the size of the fleet.
 func NewLocalLimiter(params Params, daemons int) *LocalLimiter {
 	params.setDefaults()
 	return &LocalLimiter{params: params, daemons: max(daemons, 1), accounts: make(map[request.OrgID]*account)}
 }
 
-// OnMembershipChange updates the size of the fleet, counted as for
+// OnMembershipChange sets the number of daemons in the fleet: the larger of the number of
+// daemons alive in the last minute and the number on the VM list, as in
 // Coordinator.OnMembershipChange.
 func (l *LocalLimiter) OnMembershipChange(known int) { l.daemons = max(known, 1) }
 
@@ -101,12 +103,12 @@
 }
 
 // OnSlice applies the coordinator's answer. The TTL of the slice starts at the time of the
-// slice request, so that the slice expires at the home before it expires at the coordinator.
+// slice request, so that the slice expires here before it expires at the coordinator.
 //
-// Slice.RetryAfter causes refusals only while no slice covers a request. After a membership
-// change a coordinator leases one slot at a time. A home that requests one slot ahead and
-// receives only the slot that it needs would otherwise refuse its next requests with
-// nothing running.
+// Slice.RetryAfter takes effect only if the held slices and slots admit no further request.
+// After a membership change a coordinator leases one slot at a time, and it sets RetryAfter
+// if the LocalLimiter requested one more ahead. Without the check the LocalLimiter would
+// then refuse its next requests although its slot is free.
 func (l *LocalLimiter) OnSlice(now time.Time, org request.OrgID, slice Slice) {
 	a, ok := l.accounts[org]
 	if !ok || !a.requesting {
@@ -124,15 +126,16 @@
 	}
 }
 
-// OnSliceFailed handles a failed slice request.
+// OnSliceFailed switches the organisation to the fallback limits until the coordinator
+// answers a slice request.
 func (l *LocalLimiter) OnSliceFailed(now time.Time, org request.OrgID) {
 	if a, ok := l.accounts[org]; ok && a.requesting {
 		l.enterFallback(now, a)
 	}
 }
 
-// Done ends an admitted request. output is its number of output tokens, which are charged
-// to the next slices.
+// Done ends an admitted request. output is its number of output tokens. They are charged to
+// the held slices; tokens that these do not cover are charged to later ones.
 func (l *LocalLimiter) Done(now time.Time, org request.OrgID, output int64) {
 	a, ok := l.accounts[org]
 	if !ok {
@@ -148,8 +151,8 @@
 }
 
 // Tick returns the slice requests that are due independently of new requests: renewals of
-// slots in use before they expire, and payments for output tokens. It removes idle
-// organisations. Call it several times per SliceTTL.
+// slots in use before they expire, and requests for tokens to cover earlier prompts and
+// output. It removes idle organisations. Call it several times per SliceTTL.
 func (l *LocalLimiter) Tick(now time.Time) []SliceRequest {
 	var requests []SliceRequest
 	for org, a := range l.accounts {
@@ -200,14 +203,14 @@
 		Concurrency: a.running + a.pending + spare,
 		Used:        a.running,
 	}
-	// The coordinator relies on this home not exceeding the requested slots.
+	// The coordinator relies on this daemon not exceeding the requested slots.
 	a.slots = min(a.slots, req.Concurrency)
 	return req
 }
 
 // requestSliceAhead requests a slice before a busy organisation exhausts its slices, so that
 // its requests do not wait for the coordinator. For an organisation with little demand the
-// home requests a slice only when a request needs one.
+// LocalLimiter requests a slice only when a request needs one.
 func (l *LocalLimiter) requestSliceAhead(now time.Time, org request.OrgID, a *account) *SliceRequest {
 	requests, _ := a.demand.expected(now, l.params.SliceTTL)
 	if a.requesting || requests < 1 || now.Before(a.refusedUntil) {
@@ -267,7 +270,7 @@
 	a.chargeUncovered()
 }
 
-// chargeUncovered charges the token debt to the slices.
+// chargeUncovered charges the uncovered tokens to the slices, in order of expiry.
 func (a *account) chargeUncovered() {
 	for i := range a.slices {
 		used := min(a.uncoveredTokens, a.slices[i].tokens)
@@ -279,7 +282,7 @@
 	}
 }
 
-// demand is a decaying average of an organisation's demand at this home.
+// demand is a decaying average of an organisation's demand at this daemon.
 type demand struct {
 	requests  float64 // a second
 	tokens    float64 // a second
--- a/internal/policy/limit/membership_test.go
+++ b/internal/policy/limit/membership_test.go
@@ -40,9 +40,9 @@
 // Guards against refusals caused by a slot that was requested ahead. The fleet has just
 // started, an organisation sends prompts one at a time, far below its limits, and the fourth
 // takes a second, so that its slices expire. The coordinator still leases one slot at a time;
-// the home requests a slot for the next prompt and one ahead. The coordinator leased the
-// first and answered with a retry time for the second, and the home then refused further
-// prompts as over the limit although nothing was running.
+// the LocalLimiter requests a slot for the next prompt and one ahead. The coordinator leased
+// the first and answered with a retry time for the second, and the LocalLimiter then refused
+// further prompts as over the limit although nothing was running.
 func TestSlotRequestedAheadDoesNotCauseRefusals(t *testing.T) {
 	limits := Limits{RequestsPerSecond: 1000, Burst: 1000, Concurrency: 500, TokensPerSecond: 100_000_000}
 	now := epoch
