--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -56,7 +56,7 @@
 // Table sets how a daemon follows the operators' table.
 type Table struct {
 	Watchers   int           // number of daemons that watch the key-value service
-	StaleAfter time.Duration // a partitioned daemon without proof for this long that its table is current refuses new requests
+	StaleAfter time.Duration // a partitioned daemon whose table was not confirmed as current for this long refuses new requests
 	// OutageLimit replaces StaleAfter while most daemons are live, which shows that the
 	// key-value service is down.
 	OutageLimit time.Duration
@@ -187,7 +187,7 @@
 	}
 }
 
-// minStaleAfter must stay well above the age that proofs of the table reach in a healthy
+// minStaleAfter must stay well above the staleness that the table reaches in a healthy
 // fleet (5.6 s in a simulation of 390 daemons).
 const minStaleAfter = 10 * time.Second
 
--- a/internal/daemon/quorum.go
+++ b/internal/daemon/quorum.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// maxFreshStaleness is the age up to which a proof that the table is current shows that this
-// daemon reaches the key-value service, directly or through peers.
+// maxFreshStaleness is the staleness of the table up to which the confirmation shows that
+// this daemon reaches the key-value service, directly or through peers.
 const maxFreshStaleness = 8 * time.Second
 
 // quorum distinguishes an outage of the key-value service from a network partition that
 // isolates this daemon.
 //
-// In both cases the daemon has no proof that its table is current. In an outage operators
-// can't edit the table, so the daemons' copies are current, and refusing prompts for the
-// length of the outage would only harm callers. A partitioned daemon may miss edits that
-// other daemons apply, and callers would get different answers from different daemons.
-// The daemon decides by its peers: while it sees more than half of the daemons that it
-// saw when it last had a fresh proof, it assumes an outage; otherwise it assumes that it
-// is partitioned.
+// In both cases the daemon has no recent confirmation that its table is current. In an
+// outage operators can't edit the table, so the daemons' copies are current, and refusing
+// prompts for the length of the outage would only harm callers. A partitioned daemon may
+// miss edits that other daemons apply, and callers would get different answers from
+// different daemons. The daemon decides by its peers: while it sees more than half of the
+// daemons that it saw when it last had a fresh confirmation, it assumes an outage;
+// otherwise it assumes that it is partitioned.
 //
 // The quorum can't detect a partition that separates more than half of the daemons from
 // the service while operators still reach the service. These daemons continue to serve
@@ -28,7 +28,7 @@
 
 func newQuorum(window time.Duration) *quorum { return &quorum{window: window} }
 
-// observe records the number of live daemons if the proof is fresh. With an older proof
+// observe records the number of live daemons if the confirmation is fresh. With an older one
 // a partition may already hide peers, so the number would be too low.
 func (q *quorum) observe(now time.Time, live int, staleness time.Duration) {
 	if staleness > maxFreshStaleness {
--- a/internal/daemon/quorum_test.go
+++ b/internal/daemon/quorum_test.go
@@ -6,7 +6,7 @@
 )
 
 // The key-value service is down for an hour. Every daemon refused all prompts once its last
-// proof was five minutes old, so callers had an outage of 55 minutes although operators
+// confirmation was five minutes old, so callers had an outage of 55 minutes although operators
 // could not edit the table. A daemon that is also partitioned from its peers must still
 // refuse prompts, since other daemons may apply edits that it misses.
 func TestQuorumDistinguishesOutageFromNetworkPartition(t *testing.T) {
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -92,10 +92,11 @@
 	c.changes++
 }
 
-// MarkUrgent makes the next call of TakeUrgent return exchanges.
+// MarkUrgent makes the next call of TakeUrgent return peers.
 func (c *Core) MarkUrgent() { c.urgent = true }
 
-// TakeUrgent returns exchanges for updates that must not wait for the next tick.
+// TakeUrgent returns the peers to exchange with now, because an update must not wait for the
+// next tick. It returns none if no update is urgent.
 func (c *Core) TakeUrgent() []Peer {
 	if !c.urgent {
 		return nil
@@ -104,7 +105,7 @@
 	return c.pick(urgentFanout)
 }
 
-// Tick evaluates the timeouts and returns the exchanges of this interval.
+// Tick evaluates the timeouts and returns the peers to exchange with in this interval.
 func (c *Core) Tick(now time.Time) []Peer {
 	c.ticks++
 	c.expire(now)
@@ -238,17 +239,17 @@
 
 func peerOf(e *entry) Peer { return Peer{ID: e.record.Id, Address: e.record.PeerAddress} }
 
-// queueUpdate queues a member's record for the next outgoing messages. An update that each
-// daemon sends slightly more often than the logarithm of the fleet size reaches nearly all
-// daemons; the digests deliver it to the rest.
+// queueUpdate queues a member's record for the next outgoing messages. If each daemon sends
+// an update slightly more than log2(n) times in a fleet of n, it reaches nearly all daemons;
+// the digests deliver it to the rest.
 func (c *Core) queueUpdate(id string) {
 	c.updates.add(id, bits.Len(uint(c.entries.len()+1))+2)
 }
 
-// SetListedAddresses takes the peer addresses of the entry VMs in the platform's VM list. The list lags
-// behind the fleet, so it is only a hint: the Core contacts the listed addresses, and it
-// removes a member that is missing from the list for ForgetUnlistedAfter sooner than
-// others, but only if the member does not answer either.
+// SetListedAddresses sets the peer addresses of the VMs in the platform's VM list. The list
+// lags behind the fleet, so it is only a hint: the Core contacts the listed addresses, and
+// it removes an unresponsive member earlier if the list has lacked it for
+// ForgetUnlistedAfter.
 func (c *Core) SetListedAddresses(now time.Time, addresses []string) {
 	c.seeds = mergeSeeds(c.seeds, addresses)
 	hosts := make(map[string]bool, len(addresses))
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -26,7 +26,7 @@
 }
 
 // stalenessPage is a reserved page name. The revision of a digest entry with this name is the
-// age, in milliseconds, of the sender's proof that its table is current.
+// staleness, in milliseconds, of the sender's table.
 const stalenessPage = "proof-age-ms"
 
 // crashRecordSends is the number of exchanges that carry the crash records after a change.
@@ -151,7 +151,7 @@
 	return follow
 }
 
-// splitConfirmation separates the page digests of a response from the proof sent with them.
+// splitConfirmation separates the page digests of a response from the confirmation sent with them.
 func splitConfirmation(r *peer.ExchangeResponse) ([]*peer.PageDigest, table.PeerConfirmation) {
 	confirmation := table.PeerConfirmation{Age: table.NeverConfirmed, Hash: r.TableHash}
 	for _, d := range r.Pages {
--- a/internal/membership/partition_test.go
+++ b/internal/membership/partition_test.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/table"
 )
 
-// stalenessLimit is the age of a proof above which these daemons would reject new requests.
+// stalenessLimit is the staleness above which these daemons would reject new requests.
 const stalenessLimit = 500 * time.Millisecond
 
 func (d *daemon) fresh() bool { return d.replica.Staleness(time.Now()) < stalenessLimit }
@@ -35,8 +35,8 @@
 	}
 }
 
-// startFleet starts daemons and waits until each has applied the model's row and holds a
-// fresh proof.
+// startFleet starts daemons and waits until each has applied the model's row and has a
+// fresh confirmation.
 func (e *environment) startFleet(t *testing.T, size int) []*daemon {
 	t.Helper()
 	e.setLoadCap(t, 1)
@@ -45,7 +45,7 @@
 		fleet = append(fleet, e.start(t, fmt.Sprintf("daemon-%d", i), fleet[0].Self().PeerAddress))
 	}
 	for _, d := range fleet {
-		eventually(t, "all daemons live with the row and a fresh proof", func() bool { return len(d.Live()) == size && d.loadCap() == 1 && d.fresh() })
+		eventually(t, "all daemons live with the row and a fresh confirmation", func() bool { return len(d.Live()) == size && d.loadCap() == 1 && d.fresh() })
 	}
 	return fleet
 }
@@ -53,8 +53,8 @@
 // TestPartitionOfOneDaemon separates one daemon from the key-value service, from its peers,
 // or from both. With one side reachable, the daemon learns of an edit there and stays
 // current. With neither, it cannot detect the edit, and a daemon that accepted further
-// requests would use the old row indefinitely. Its proof must expire, and must be fresh
-// again soon after the partition heals.
+// requests would use the old row indefinitely. Its confirmation must expire, and must be
+// fresh again soon after the partition heals.
 func TestPartitionOfOneDaemon(t *testing.T) {
 	const size = 4
 	for _, partition := range []struct{ service, peers bool }{{true, false}, {false, true}, {true, true}} {
@@ -65,7 +65,7 @@
 			e.keyValue.Partition(isolated.Self().Id, partition.service)
 			e.network.setPartitioned(isolated.Self().PeerAddress, partition.peers)
 			if partition.service && partition.peers {
-				eventually(t, "an expired proof on the partitioned daemon", func() bool { return !isolated.fresh() })
+				eventually(t, "an expired confirmation on the partitioned daemon", func() bool { return !isolated.fresh() })
 			}
 			e.setLoadCap(t, 2)
 			for _, d := range fleet[:size-1] {
@@ -85,21 +85,22 @@
 
 // TestRestartDuringKeyValueOutage restarts a daemon without state while the key-value
 // service is down. The daemon must apply the row from its peers without having reached the
-// service. Its proof must be as old as theirs, because no daemon can know of later edits.
+// service. Its confirmation must be as old as theirs, because no daemon can know of later
+// edits.
 func TestRestartDuringKeyValueOutage(t *testing.T) {
 	const size = 3
 	e := newEnvironment()
 	fleet := e.startFleet(t, size)
 	e.keyValue.SetDown(true)
 	for _, d := range fleet {
-		eventually(t, "expired proofs", func() bool { return !d.fresh() })
+		eventually(t, "expired confirmations", func() bool { return !d.fresh() })
 	}
 	fleet[1].stop()
 	restarted := e.start(t, fleet[1].Self().Id, fleet[0].Self().PeerAddress)
 	eventually(t, "the row applied", func() bool { return restarted.loadCap() == 1 })
-	eventually(t, "a proof from a peer", func() bool { return restarted.replica.Staleness(time.Now()) != table.NeverConfirmed })
+	eventually(t, "a confirmation from a peer", func() bool { return restarted.replica.Staleness(time.Now()) != table.NeverConfirmed })
 	if restarted.fresh() {
-		t.Fatal("the restart renewed an expired proof")
+		t.Fatal("the restart renewed an expired confirmation")
 	}
 	e.keyValue.SetDown(false)
 	e.setLoadCap(t, 3)
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -69,7 +69,7 @@
 		calls := float64(s.reads-reads) / span.Seconds()
 		t.Logf("daemons=%d bytes_per_daemon_s=%.0f table_calls_s=%.2f oldest_proof=%v", f.size, rate, calls, oldest)
 		if oldest >= timing.MaxStaleness {
-			t.Errorf("%d daemons: proof age %v in a healthy fleet, want below %v", f.size, oldest, timing.MaxStaleness)
+			t.Errorf("%d daemons: staleness %v in a healthy fleet, want below %v", f.size, oldest, timing.MaxStaleness)
 		}
 		if rate > budget {
 			t.Errorf("%d daemons: %.0f bytes/s per daemon, want at most %d", f.size, rate, budget)
@@ -80,7 +80,7 @@
 	}
 }
 
-// maxStaleness returns the age of the oldest proof that a table is current.
+// maxStaleness returns the greatest staleness of any daemon's table.
 func (s *sim) maxStaleness() time.Duration {
 	var oldest time.Duration
 	for _, n := range s.nodes {
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -186,7 +186,8 @@
 // TestBothWatchersStall stalls both daemons that watch the table, with their watches open,
 // just before an operator edits a row. The key-value service then notifies no running
 // daemon, and the stalled daemons remain the watchers until they are dead. The others must
-// detect by the age of their proofs that their tables may be stale, and read the service.
+// detect by the age of their confirmations that their tables may be stale, and read the
+// service.
 func TestBothWatchersStall(t *testing.T) {
 	const size = 8
 	s := newSim(14, size, 1)
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -138,7 +138,7 @@
 var timing = table.DefaultTiming()
 
 // poll reads the key-value service as the Run method of table.Replica does: a watcher reads
-// once per WatchWait, other daemons read if their proof is too old.
+// once per WatchWait, other daemons read if their confirmation is too old.
 func (n *simNode) poll() {
 	watched := n.isWatcher() && n.sim.now.Sub(n.lastRead) >= timing.WatchWait
 	if watched || n.replica.Staleness(n.sim.now) >= timing.MaxStaleness {
--- a/internal/membership/vms.go
+++ b/internal/membership/vms.go
@@ -29,7 +29,7 @@
 	s.refresh()
 }
 
-// peerAddresses returns the peer addresses of the entry VMs. The VM list holds IP addresses,
+// peerAddresses returns the peer addresses of the listed VMs. The VM list holds IP addresses,
 // to which peerAddresses adds the peer port of this daemon, as all daemons of a deployment
 // use the same one. An address with a port keeps that port.
 func peerAddresses(vms []platform.VM, self string) []string {
--- a/internal/table/replica.go
+++ b/internal/table/replica.go
@@ -14,7 +14,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/platform"
 )
 
-// NeverConfirmed is the age that ProofAge returns before the first freshness proof.
+// NeverConfirmed is the value that Staleness returns before the first confirmation.
 const NeverConfirmed = time.Duration(math.MaxInt64)
 
 // maxResponseBytes bounds the pages in one response to a peer; the peer requests the rest.
@@ -33,8 +33,8 @@
 // from the key-value service or from a peer, so that an older copy never reverts an accepted
 // edit that the replica has applied. It is safe for concurrent use.
 //
-// The replica's freshness proof is the latest time at which its table was known to equal the
-// one in the key-value service.
+// The replica is confirmed at the latest time at which its table was known to equal the one
+// in the key-value service.
 type Replica struct {
 	kv      platform.KV
 	log     hclog.Logger
@@ -46,10 +46,10 @@
 
 	mu          sync.Mutex // guards the fields below and replacement of current
 	changed     chan struct{}
-	confirmedAt time.Time // time of the freshness proof; zero: none
+	confirmedAt time.Time // zero: never
 }
 
-// NewReplica returns an empty replica without a freshness proof.
+// NewReplica returns an empty replica that has never been confirmed.
 func NewReplica(o ReplicaOptions) *Replica {
 	r := &Replica{kv: o.KV, log: o.Logger, metrics: o.Metrics, now: o.Now, timing: o.Timing.withDefaults()}
 	if r.log == nil {
@@ -135,8 +135,8 @@
 	return digest
 }
 
-// PagesNewerThan returns pages of which the replica has a higher revision than have lists.
-// The result is bounded in bytes; a caller merges it and calls again for the rest.
+// PagesNewerThan returns the replica's pages whose revisions are higher than those listed in
+// have. The result is bounded in bytes; a caller merges it and calls again for the rest.
 func (r *Replica) PagesNewerThan(have []*peer.PageDigest) []*peer.Page {
 	known := make(map[string]uint64, len(have))
 	for _, d := range have {
@@ -169,9 +169,9 @@
 	return false
 }
 
-// Staleness returns the age of the freshness proof, or NeverConfirmed. A daemon accepts no new
-// requests while its proof is older than its settings allow, because it may have missed an
-// accepted edit.
+// Staleness returns the time since the replica was confirmed, or NeverConfirmed. A daemon
+// accepts no new requests while its replica is staler than its settings allow, because it
+// may have missed an accepted edit.
 func (r *Replica) Staleness(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -181,18 +181,18 @@
 	return max(0, now.Sub(r.confirmedAt))
 }
 
-// PeerConfirmation is a peer's freshness proof as its response to a request carries it.
+// PeerConfirmation is a peer's latest confirmation as its response to a request carries it.
 type PeerConfirmation struct {
-	Age   time.Duration // age of the peer's own proof when it responded
+	Age   time.Duration // staleness of the peer's replica when it responded
 	Hash  uint64
 	Pages []*peer.PageDigest // may be empty if the hashes are equal
 }
 
-// ConfirmFromPeer adopts the proof in a peer's response to a request that was sent at sent, and
-// reports whether it did. The proof is valid for this replica only if the replica has every
-// page revision that the peer has. The age counts from the sending of the request, so that
-// network delay makes the proof older, never younger. Proofs in a peer's requests are not
-// adopted, since their time in transit is unknown.
+// ConfirmFromPeer adopts the confirmation in a peer's response to a request that was sent at
+// sent, and reports whether it is valid. The confirmation is valid for this replica only if
+// the replica has every page revision that the peer has. Its age counts from the sending of
+// the request, so that network delay makes the confirmation older, never younger.
+// Confirmations in a peer's requests are not adopted, since their time in transit is unknown.
 func (r *Replica) ConfirmFromPeer(sent time.Time, p PeerConfirmation) bool {
 	if p.Age == NeverConfirmed {
 		return false
--- a/internal/table/replica_test.go
+++ b/internal/table/replica_test.go
@@ -43,7 +43,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(time.Millisecond): // a new proof does not signal Changed
+		case <-time.After(time.Millisecond): // a new confirmation does not signal Changed
 		case <-t.Context().Done():
 			t.Fatal("condition not met")
 		}
@@ -53,7 +53,7 @@
 // TestRestartDuringOutageLearnsFromPeers: a daemon restarts with an empty replica while the
 // key-value service is down. Its first peer has missed the last edit. The daemon must merge
 // the newer pages of the second peer, keep them when the first peer sends its old pages again,
-// and adopt a proof that is no younger than that of the up-to-date peer.
+// and adopt a confirmation that is no younger than that of the up-to-date peer.
 func TestRestartDuringOutageLearnsFromPeers(t *testing.T) {
 	kv := newTestKV()
 	editor := applySample(t, kv)
@@ -95,14 +95,14 @@
 		t.Fatal("the naive copy did not revert; the test no longer shows the fault")
 	}
 	if age := restarted.Staleness(now); age != 20*time.Second {
-		t.Fatalf("proof is %v old, want 20s", age)
+		t.Fatalf("confirmation is %v old, want 20s", age)
 	}
 	if age := old.Staleness(now); age != 30*time.Second {
-		t.Fatalf("proof of the daemon that missed the edit is %v old, want 30s", age)
+		t.Fatalf("confirmation of the daemon that missed the edit is %v old, want 30s", age)
 	}
 	hash, pages := restarted.Digest()
 	if old.ConfirmFromPeer(now, PeerConfirmation{Age: 0, Hash: hash, Pages: pages}) {
-		t.Fatal("a daemon that is behind its peer adopted the peer's proof")
+		t.Fatal("a daemon that is behind its peer adopted the peer's confirmation")
 	}
 }
 
@@ -128,8 +128,9 @@
 	waitFor(t, replica, func() bool { return weight() == 55 })
 }
 
-// TestUndecodablePageKeepsRowsAndProof: a page that a newer version of the program wrote can't
-// be decoded. The replica must keep the earlier rows and must not renew its proof.
+// TestUndecodablePageKeepsRowsAndConfirmation checks that the replica keeps the earlier rows
+// and its earlier confirmation if it can't decode a page, as when a newer version of the
+// program wrote it.
 func TestUndecodablePageKeepsRowsAndConfirmation(t *testing.T) {
 	kv := newTestKV()
 	applySample(t, kv)
@@ -155,7 +156,7 @@
 		t.Fatal("acme was removed")
 	}
 	if age := replica.Staleness(now); age != time.Minute {
-		t.Fatalf("proof is %v old, want 1m", age)
+		t.Fatalf("confirmation is %v old, want 1m", age)
 	}
 }
 
--- a/internal/table/run.go
+++ b/internal/table/run.go
@@ -22,8 +22,8 @@
 	WatchWait      time.Duration // maximum duration of one watch; default 2 s
 	CallTimeout    time.Duration // timeout of a call, added to WatchWait; default 3 s
 	PollInterval   time.Duration // interval at which a daemon checks whether it is a watcher; default 250 ms
-	FirstReadDelay time.Duration // a daemon without a proof from its peers reads the table itself after this time; default 2 s
-	MaxStaleness   time.Duration // a daemon whose proof is older reads the table itself; default 8 s
+	FirstReadDelay time.Duration // a daemon without a confirmation from its peers reads the table itself after this time; default 2 s
+	MaxStaleness   time.Duration // a daemon whose replica is staler reads the table itself; default 8 s
 	RereadInterval time.Duration // interval at which every daemon reads the table itself, before jitter; default 10 min
 	BackoffMin     time.Duration // first backoff after a failed read; default 200 ms
 	BackoffMax     time.Duration // maximum backoff after a failed read; default 10 s
@@ -51,7 +51,7 @@
 
 // Run reads the table from the key-value service until ctx ends. While watcher returns true,
 // the daemon watches the service for changes. Otherwise it reads the table only if its peers
-// provide no recent proof, and at the long RereadInterval. The number of calls to the service
+// provide no recent confirmation, and at the long RereadInterval. The number of calls to the service
 // thus grows with the number of watchers, not of daemons.
 func (r *Replica) Run(ctx context.Context, watcher func() bool) error {
 	loop := &runLoop{replica: r, started: r.now(), backoff: backoff.NewExponentialBackOff()}
@@ -122,11 +122,11 @@
 	return age >= l.replica.timing.MaxStaleness || now.Sub(l.lastRead) >= l.rereadAfter
 }
 
-// read applies the changes in the key-value service since the last read. The new proof carries
-// the time before the call, because the response shows the table at some later moment.
+// read applies the changes in the key-value service since the last read. The new confirmation
+// carries the time before the call, because the response shows the table at some later moment.
 //
 // The call has its own timeout, so that a watch on an unresponsive connection ends and is
-// retried. The proof ages until a call succeeds.
+// retried. The confirmation ages until a call succeeds.
 func (l *runLoop) read(ctx context.Context, wait time.Duration) error {
 	timeout := wait + l.replica.timing.CallTimeout
 	if l.listInParts {
@@ -191,7 +191,7 @@
 }
 
 // mergeEntries merges pages read from the key-value service. If a page can't be decoded, the
-// replica gets no new proof, since the page may contain an accepted edit.
+// replica is not confirmed, since the page may contain an accepted edit.
 func (r *Replica) mergeEntries(entries []platform.Entry, requestedAt time.Time) error {
 	var pages []*peer.Page
 	for _, entry := range entries {
--- a/internal/table/state.go
+++ b/internal/table/state.go
@@ -19,8 +19,8 @@
 type State struct {
 	Revision    uint64      `json:"revision"`
 	Hash        uint64      `json:"hash"`
-	Confirmed   bool        `json:"confirmed"`    // the replica has a freshness proof
-	StalenessMS int64       `json:"proof_age_ms"` // age of the freshness proof
+	Confirmed   bool        `json:"confirmed"`    // the replica has been confirmed
+	StalenessMS int64       `json:"proof_age_ms"` // time since the confirmation
 	Pages       []PageState `json:"pages"`        // ordered by name
 	Rows        RowCounts   `json:"rows"`         // rows that are not removed
 }
--- a/internal/table/tableschedule/schedule.go
+++ b/internal/table/tableschedule/schedule.go
@@ -41,7 +41,7 @@
 	Conflicts int      // edits rejected because of a conflict or because the operator had not read the row
 	Uncertain int      // edits that failed with an error of the key-value service
 	Faults    int      // lost responses, outages, restarts, delayed pages
-	Reverted  int      // checks in which a daemon had an older edit than before or than its proof requires
+	Reverted  int      // checks in which a daemon had an older edit than before or than its confirmation requires
 	Lost      int      // accepted edits that the key-value service no longer has at the end
 	Events    []string // log of the schedule, if any edit was reverted or lost
 }
@@ -229,7 +229,7 @@
 	case 3, 4:
 		s.readRow()
 	case 5, 6:
-		_ = d.replica.Read(context.Background()) // during an outage the daemon gets no new proof
+		_ = d.replica.Read(context.Background()) // during an outage the daemon gets no new confirmation
 	case 7, 8:
 		s.gossip(d, s.daemons[s.rng.IntN(len(s.daemons))])
 	case 9:
@@ -276,8 +276,8 @@
 	}
 }
 
-// gossip transfers pages and the freshness proof from one daemon to another, as an exchange and
-// a pull do. The pages may be delivered a second time later.
+// gossip transfers pages and the confirmation from one daemon to another, as an exchange and a
+// pull do. The pages may be delivered a second time later.
 func (s *simulation) gossip(to, from *daemon) {
 	if to == from {
 		return
@@ -291,7 +291,7 @@
 	hash, digest := from.replica.Digest()
 	confirmation := table.PeerConfirmation{Age: from.replica.Staleness(s.now), Hash: hash, Pages: digest}
 	s.now = s.now.Add(time.Duration(s.rng.Int64N(int64(time.Second))))
-	if s.rng.IntN(4) > 0 { // otherwise only the proof arrives
+	if s.rng.IntN(4) > 0 { // otherwise only the confirmation arrives
 		to.replica.Merge(pages)
 	}
 	to.replica.ConfirmFromPeer(sent, confirmation)
@@ -315,7 +315,8 @@
 }
 
 // checkDaemon compares a daemon's table with the newest edits that the daemon has applied, and
-// with those that its proof requires: every edit accepted before the time of the proof.
+// with those that its confirmation requires: every edit accepted before the replica was
+// confirmed.
 func (s *simulation) checkDaemon(d *daemon) {
 	snapshot := d.replica.Current()
 	required := s.requiredEdits(d)
@@ -330,7 +331,7 @@
 			index := s.editIndex(c, values[j], known)
 			if index < d.newestEdits[c] || index < required[c] {
 				s.outcome.Reverted++
-				s.logEvent("%s has %s %s = %d (edit %d), had edit %d, proof requires edit %d", d.name, c.row, c.column, values[j], index, d.newestEdits[c], required[c])
+				s.logEvent("%s has %s %s = %d (edit %d), had edit %d, confirmation requires edit %d", d.name, c.row, c.column, values[j], index, d.newestEdits[c], required[c])
 			}
 			d.newestEdits[c] = max(d.newestEdits[c], index)
 		}
@@ -352,7 +353,8 @@
 	return -1
 }
 
-// requiredEdits returns the index of the last edit of each cell that a daemon's proof covers.
+// requiredEdits returns the index of the last edit of each cell that a daemon's confirmation
+// covers.
 func (s *simulation) requiredEdits(d *daemon) map[cell]int {
 	required := make(map[cell]int)
 	age := d.replica.Staleness(s.now)
