--- a/internal/coordinator/actor.go
+++ b/internal/coordinator/actor.go
@@ -111,8 +111,8 @@
 
 // grantPrefix returns the prefix of the ids of one actor's grants.
 //
-// The failure it prevents: each actor numbers its grants from one, so without a prefix
-// two targets of one daemon issue the same ids. A peer that holds such a pair has a single
+// The prefix is necessary because each actor numbers its grants from one: without it, two
+// targets of one daemon issue the same ids. A peer that holds such a pair has a single
 // registry entry for both, cannot release the second one, and its slot stays occupied
 // until the grant expires. The prefix holds the target and the actor's number, which a
 // daemon never uses twice, and Instance, which differs between daemons and their starts.
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -29,7 +29,7 @@
 	"github.com/bluebellscale/bluebellscale/internal/target"
 )
 
-// Tables provides the effective operators' table.
+// Tables provides the current snapshot of the table that operators edit.
 type Tables interface {
 	Current() *table.Snapshot
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -38,7 +38,7 @@
 	maxUnavailableShare = 0.34
 )
 
-// Tables provides the operators' effective table.
+// Tables provides the current snapshot of the table that operators edit.
 type Tables interface {
 	Current() *table.Snapshot
 	Changed() <-chan struct{}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -28,7 +28,8 @@
 	readsPerLoad = 3 // reads of its state until an engine has loaded
 )
 
-// engines is a set of fake engines of two models that ignore epochs.
+// engines is a set of fake engines serving two models. They accept orders of any epoch, also
+// outdated ones.
 type engines struct {
 	mu               sync.Mutex
 	states           []engineapi.State
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -141,7 +141,7 @@
 	writeWithTimeout(w, r.Body, g.opts.WriteTimeout)
 }
 
-// maxChunk is the number of bytes written to a caller under one deadline.
+// maxChunk is the maximum number of bytes written to a caller under one deadline.
 const maxChunk = 64 << 10
 
 // writeWithTimeout writes a body until the caller stops accepting it. Each write has its own
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -9,9 +9,9 @@
 // decisions. The steps accept, relay and settle run on the goroutine of the caller's
 // connection, so token bytes never pass through an actor.
 //
-// The journal step (once) follows the queue step. A call that is refused for lack of
-// capacity therefore has no recorded intent: it certainly did not run, and the refusal
-// causes no load on the key-value service.
+// The once step, which records the call in the journal, follows the queue step. A call that
+// is refused for lack of capacity therefore has no recorded intent: it certainly did not
+// run, and the refusal causes no load on the key-value service.
 package gateway
 
 import (
@@ -33,12 +33,13 @@
 	"github.com/bluebellscale/bluebellscale/internal/target"
 )
 
-// Tables provides the effective version of the operators' table.
+// Tables provides the current snapshot of the table that operators edit.
 type Tables interface {
 	Current() *table.Snapshot
 }
 
-// Members provides the live daemons and the hashed assignment of keys to them.
+// Members provides the live daemons and the assignment of keys to them by rendezvous
+// hashing.
 type Members interface {
 	Self() *peer.Member
 	Live() []*peer.Member
@@ -81,7 +82,7 @@
 // Import describes leading blocks to import from a copy in a store.
 type Import struct {
 	Copy Copy
-	To   int // number of leading blocks that the copy provides
+	To   int // end of the range of blocks to import: [From, To)
 	// From is the first block to import. If it is not 0, the target computes the preceding
 	// blocks in the meantime, and RunImport returns immediately.
 	From    int
@@ -104,20 +105,22 @@
 	Tokens int // prompt tokens
 }
 
-// CompletionStats is what a target reported about a finished completion.
+// CompletionStats describes a finished completion, for the planner's estimates.
 type CompletionStats struct {
 	Target       request.TargetID
 	CachedTokens int
 	PromptTokens int
 	FirstToken   time.Duration // from dispatch to the first frame
-	QueuedTokens int64         // prefill work queued ahead of it at placement
+	QueuedTokens int64         // prefill tokens queued at the target ahead of the prompt when it was placed
 }
 
 // Contexts tracks where contexts are cached or stored, and selects targets for prompts.
 type Contexts interface {
 	// Choose ranks the targets that may serve the prompt, best first.
 	Choose(ctx context.Context, c Context, exclude map[request.TargetID]bool) []Choice
-	// Version returns the weight version that most of a model's targets have loaded.
+	// Version returns the weight version that the largest number of a model's available
+	// targets have loaded, judged by a bounded number of them. It returns false if none
+	// of these reports a version.
 	Version(ctx context.Context, model request.Model) (request.Version, bool)
 	// RunImport executes the import of a choice. If it fails, the target prefills instead.
 	RunImport(ctx context.Context, c Context, choice Choice)
--- a/internal/gateway/identify.go
+++ b/internal/gateway/identify.go
@@ -31,7 +31,7 @@
 // Name implements pipeline.Filter.
 func (f *identifyFilter) Name() string { return identifyFilterName }
 
-// identifyFilterName is the filter at which a job restarts if a peer failed to serve it.
+// identifyFilterName is the name of the filter at which a job restarts if a peer failed to serve it.
 const identifyFilterName = "identify"
 
 // Process implements pipeline.Filter.
@@ -66,6 +66,9 @@
 	return org
 }
 
+// identifyCompletion checks that the organisation may use the model. It forwards the job to
+// the home daemon of the context, or computes the prompt's block hashes if this daemon serves
+// the job.
 func (f *identifyFilter) identifyCompletion(j *Job) pipeline.Decision {
 	snapshot := f.g.opts.Tables.Current()
 	j.model = request.Model(j.completion.Model)
@@ -94,6 +97,8 @@
 	return pipeline.Pass()
 }
 
+// identifyService checks that the organisation may call the service. If the service is not
+// repeatable, it routes the call to the holder of its journal partition.
 func (f *identifyFilter) identifyService(j *Job) pipeline.Decision {
 	snapshot := f.g.opts.Tables.Current()
 	instances := snapshot.ServiceTargets(j.call.service)
--- a/internal/planner/env_test.go
+++ b/internal/planner/env_test.go
@@ -227,7 +227,8 @@
 	return int(env.engines[1].Stats().ImportedBlocks - before)
 }
 
-// commitManifest writes a manifest whose blocks have no content, for searches.
+// commitManifest commits a manifest to the store without storing its blocks. It suffices
+// for tests in which the planner only looks up manifests.
 func (env *testEnv) commitManifest(p *Planner, c gateway.Context) store.Manifest {
 	env.t.Helper()
 	m := store.Manifest{Org: c.Scope.Org, Model: c.Scope.Model, Version: c.Scope.Version}
--- a/internal/planner/import.go
+++ b/internal/planner/import.go
@@ -34,7 +34,7 @@
 	return to - (o.ImportBlocks - o.ReuseBlocks), to
 }
 
-// RunImport implements gateway.Contexts. It waits for the import until choice.Import.Deadline,
+// RunImport implements gateway.Contexts. It waits for the import until choice.Import.Timeout,
 // beyond which waiting costs more than prefilling; the target prefills the blocks that have
 // not arrived by then. If the target is to compute the blocks before the imported ones,
 // RunImport returns immediately.
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -2,10 +2,11 @@
 // placement, retention) to the reports of coordinators and store VMs, and runs imports and
 // exports.
 //
-// A context's home daemon plans for it. The directory is complete for the contexts of this
-// daemon as long as their hashed assignments do not change. After a change the new home
-// knows less and recomputes more, but answers stay correct, because the target itself
-// decides which blocks it has.
+// Each context is assigned to one daemon, its home, by rendezvous hashing, and the home
+// places its prompts. The directory of a daemon covers all contexts assigned to it unless
+// assignments have changed. A new home starts with an incomplete directory, so prompts are
+// recomputed more often, but answers stay correct, because the target itself decides which
+// blocks it has.
 package planner
 
 import (
@@ -33,8 +34,8 @@
 // table has no column for it yet.
 const diskRateShare = 0.3
 
-// maxCandidates bounds the number of targets that are considered for one prompt. If there
-// are more, targets that hold the context are preferred and the rest is sampled at random.
+// maxCandidates bounds the number of targets that are considered for one prompt; sample
+// selects them.
 const maxCandidates = 24
 
 // Coordinators provides the coordinators' views of targets.
@@ -42,7 +43,7 @@
 	Views(ctx context.Context, ids []request.TargetID, p coordinator.Prompt) map[request.TargetID]coordinator.View
 }
 
-// Tables provides the operators' effective table.
+// Tables provides the current snapshot of the table that operators edit.
 type Tables interface {
 	Current() *table.Snapshot
 }
@@ -161,8 +162,9 @@
 	return out
 }
 
-// Version implements gateway.Contexts. It returns the version that most of a model's
-// engines have loaded.
+// Version implements gateway.Contexts. It returns the version that the largest number of
+// the model's available engines have loaded, judged by at most maxCandidates of them. It
+// returns false if none of these reports a version.
 func (p *Planner) Version(ctx context.Context, model request.Model) (request.Version, bool) {
 	rows := p.opts.Tables.Current().EnginesFor(model)
 	if len(rows) > maxCandidates {
@@ -222,7 +224,8 @@
 }
 
 // sample returns at most maxCandidates targets, which bounds the cost of one placement.
-// Targets with the requested version and those that hold the context come first.
+// Targets with the requested version come first, and among equals those that hold the
+// context; ties are broken at random.
 func (p *Planner) sample(
 	snapshot *table.Snapshot, version request.Version, rows []*table.Target, located contextdir.LookupResult,
 ) []*table.Target {
--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -43,8 +43,8 @@
 // defaults above.
 type Params struct {
 	Target request.TargetID
-	// GrantPrefix distinguishes this coordinator's grant ids from those of any other
-	// coordinator, for example the daemon's id and incarnation.
+	// GrantPrefix is the prefix of this coordinator's grant ids. It distinguishes them from
+	// those of any other coordinator and holds, for example, the daemon's id and incarnation.
 	GrantPrefix string
 	// MaxRunning is the number of slots: the requests that the target runs
 	// concurrently. Values below 1 count as 1.
--- a/internal/policy/placement/choose.go
+++ b/internal/policy/placement/choose.go
@@ -156,8 +156,8 @@
 //
 // The end of the import grows linearly with the head, and the end of the prefill
 // shrinks linearly with it, so the score is convex and piecewise linear. Its minimum
-// lies at an end of the range, at the crossing or at the import limit, so bestImport
-// evaluates only these heads.
+// lies at an end of the range, at the head whose import ends when the target is ready for
+// it or at the import limit, so bestImport evaluates only these heads.
 func (e *estimator) bestImport(c *Candidate, index, reuse int, wait float64) (cost, bool) {
 	copied := &e.copies[index]
 	available := min(copied.Blocks, e.request.Tokens/block.TokensPerBlock)
