--- a/internal/contextdir/entry.go
+++ b/internal/contextdir/entry.go
@@ -34,7 +34,7 @@
 	copies   []Copy
 }
 
-// blocksAt returns the leading blocks resident at a target.
+// blocksAt returns the number of leading blocks resident at a target.
 func (e *entry) blocksAt(target uint32) int32 {
 	for _, r := range e.resident {
 		if r.target == target {
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -150,13 +150,13 @@
 	return &cli.DurationFlag{Name: flagTimeout, Value: defaultTimeout, Usage: "time limit of the command"}
 }
 
-// checkOutput is the JSON output of check.
+// checkOutput is the JSON output of the check command.
 type checkOutput struct {
 	File  string `json:"file"`
 	Valid bool   `json:"valid"`
 }
 
-// versionOutput is the JSON output of version.
+// versionOutput is the JSON output of the version command.
 type versionOutput struct {
 	Version string `json:"version"`
 }
--- a/internal/journal/commit.go
+++ b/internal/journal/commit.go
@@ -17,7 +17,7 @@
 	commit       uint64          // commit number of the head
 	waiters      []pendingWaiter // receive a reply once this write is confirmed
 	outcomes     []attempt       // become durable with this write
-	removedCount int             // number of retired pages that this head no longer refers to
+	removedCount int             // number of removed pages that this head no longer refers to
 }
 
 // nextWrite starts the next write if one is due and none is in flight. A head write is a
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -201,8 +201,8 @@
 	return max(until, minRetryAfter)
 }
 
-// takePagesToDelete returns the pages to delete and clears the list. A page whose deletion
-// fails is found as an orphan when the partition is loaded again.
+// takePagesToDelete returns the pages to delete and clears the list. If a deletion fails, the
+// page is found as unreferenced when the partition is loaded again.
 func (p *partition) takePagesToDelete() []loadedPage {
 	out := p.pagesToDelete
 	p.pagesToDelete = nil
--- a/internal/journal/partition.go
+++ b/internal/journal/partition.go
@@ -11,7 +11,7 @@
 type limits struct {
 	retention          time.Duration // how long a key is kept
 	maxHeadBytes       int           // size of the head
-	sealThreshold      int           // bytes of results in the head from which a page is written
+	sealThreshold      int           // size of the results in the head at which they are moved to a page, in bytes
 	maxPageBytes       int           // size of a page
 	maxPages           int           // number of pages of a partition
 	maxBody            int           // size of a result that is kept, in bytes
@@ -73,7 +73,7 @@
 	keysByOrg     map[orgID]int // number of keys of each organisation, in the head and in pages
 	pages         []loadedPage
 	removedPages  []loadedPage // removed in memory, still referred to by the stored head
-	pagesToDelete []loadedPage // no longer referred to by the stored head: to be deleted
+	pagesToDelete []loadedPage // no longer referred to by the stored head
 
 	epochClaimed bool // the head was written under this epoch
 	dirty        bool
--- a/internal/policysim/bench.go
+++ b/internal/policysim/bench.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	defaultLinkSpeed = 1.25 // link bandwidth, relative to the bytes of the returning prompts
+	defaultLinkSpeed = 1.25 // see Config.LinkSpeed
 	measureFrom      = 900 * time.Second
 	traceEnd         = 1400 * time.Second
 )
--- a/internal/policysim/sim.go
+++ b/internal/policysim/sim.go
@@ -21,7 +21,7 @@
 	PrefillRate   float64 // tokens per second of one target
 	BytesPerToken int64
 	TargetBlocks  int           // accelerator memory of one target
-	LinkSpeed     float64       // bandwidth of all links, relative to the bytes of the returning prompts
+	LinkSpeed     float64       // bandwidth of all store links, as a multiple of the bytes per second that importing all returning prompts needs
 	DiskSpeed     float64       // rate of a disk, relative to that of its link
 	StoreMemory   float64       // share of all context bytes that fits into the memory of the stores
 	StoreDisk     float64       // share of all context bytes that fits on the disks of the stores
--- a/internal/schedules/scripted_test.go
+++ b/internal/schedules/scripted_test.go
@@ -36,8 +36,9 @@
 	})
 }
 
-// memoryIntentJournal relies on its lease: the holder records started calls only in memory and
-// writes only results. It checks its lease once, when a call starts.
+// memoryIntentJournal is an unsafe journal for comparison. It relies on its lease: the
+// holder records started calls only in memory and writes only results. It checks its lease
+// once, when a call starts.
 type memoryIntentJournal struct {
 	checkThenRun
 	real    *realJournal
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -264,10 +264,10 @@
 
 // replacePool replaces the connection pool after a call timed out.
 //
-// The failure it handles: open connections never deliver data again while new ones work,
-// so that each call that gets one from the pool times out. Why it works: the next call
-// makes a new connection. If the store VM is merely slow, only some idle connections are
-// lost.
+// It recovers from connections that stay open but never deliver data again while new ones
+// work: each call that gets one of them from the pool times out. After the replacement the
+// next call makes a new connection. If the store VM is merely slow, only some idle
+// connections are lost.
 func (c *Client) replacePool(old *http.Transport) {
 	c.mu.Lock()
 	if c.pool == old {
--- a/internal/store/manifest.go
+++ b/internal/store/manifest.go
@@ -72,10 +72,11 @@
 // Check returns ErrBadManifest unless the manifest belongs to the scope and its blocks
 // are leading blocks of the chain, each with a length and a digest.
 //
-// The failure it prevents: an engine responds to an export with a gap or with blocks of
-// another context, or the earlier manifest belongs to another chain. If committed, these
-// blocks would be stored under a wrong prefix for every later caller. Why it works: no
-// manifest is committed without this check, and a block's hash covers its complete prefix.
+// It protects against an engine that responds to an export with a gap or with blocks of
+// another context, and against an earlier manifest that belongs to another chain. If
+// committed, these blocks would be stored under a wrong prefix for every later caller. The
+// check suffices because no manifest is committed without it, and because a block's hash
+// covers its complete prefix.
 func (m Manifest) Check(scope block.Scope, chain []block.Hash) error {
 	if m.Scope() != scope {
 		return errors.Wrap(ErrBadManifest, "manifest belongs to another scope")
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -180,8 +180,9 @@
 	}
 }
 
-// Guards against a healthy store VM whose contexts cannot be read: its pooled connections
-// no longer deliver data, and each call that gets one of them times out.
+// TestStalledConnectionsAreReplaced checks that the client replaces pooled connections that
+// no longer deliver data. Otherwise each call that gets one of them times out, and contexts
+// cannot be read although the store VM is healthy.
 func TestStalledConnectionsAreReplaced(t *testing.T) {
 	ctx := testContext(t)
 	switches, client := start(t, standin.Options{MemoryBytes: 1}, 500*time.Millisecond)
--- a/internal/target/connections.go
+++ b/internal/target/connections.go
@@ -62,15 +62,15 @@
 // newNonReplayableRequest returns a request that net/http cannot send twice, unless it is
 // a GET request.
 //
-// The failure it prevents: http.Transport automatically resends a request when a reused
-// connection fails before the first byte of the response and the request counts as
-// replayable. A POST counts as replayable if it has an Idempotency-Key header and either
-// no body or a GetBody function. The target may have run the first request, and a plain
-// service ignores the key: the caller gets one response, but two labels are printed.
+// By default http.Transport automatically resends a request when a reused connection fails
+// before the first byte of the response and the request counts as replayable. A POST counts
+// as replayable if it has an Idempotency-Key header and either no body or a GetBody
+// function. The target may have run the first request, and a plain service ignores the key:
+// the caller gets one response, but two labels are printed.
 //
-// Why it works: the body is neither nil nor http.NoBody, and GetBody is nil, so the
-// transport can never replay the request, whatever its headers; an empty body is wrapped
-// too. In addition, calls that are not repeatable use fresh connections, and the transport
+// The body of the returned request is neither nil nor http.NoBody, and GetBody is nil, so
+// the transport can never replay the request, whatever its headers; an empty body is
+// wrapped too. In addition, calls that are not repeatable use fresh connections, and the transport
 // replays requests on reused connections only. Redirects, which would also resend a
 // request, are followed by http.Client only, and this package uses the transport directly.
 func newNonReplayableRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
@@ -86,11 +86,11 @@
 
 // ResetConnections discards the connection pool, so that later calls make new connections.
 //
-// The failure it handles: a network element between daemon and target loses track of open
-// connections. They stay open but never deliver data again, while new connections work, so
-// that each call that gets one from the pool times out. Why it works: no call after the
-// reset can get an old connection, and streams that are still open on an old connection
-// end after their StreamIdleTimeout.
+// It recovers from a network element between daemon and target that has lost track of open
+// connections: they stay open but never deliver data again, while new connections work, and
+// each call that gets an old one from the pool times out. After the reset no call can get an
+// old connection, and streams that are still open on an old connection end after their
+// StreamIdleTimeout.
 func (c *Client) ResetConnections() {
 	c.connections.reset()
 	c.metrics.Counter("connection_resets").Inc(1)
