--- a/internal/membership/vms.go
+++ b/internal/membership/vms.go
@@ -25,11 +25,11 @@
 func (s *Service) updateVMs(vms []platform.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.node.core.SetVMs(s.now(), peerAddresses(vms, s.options.Self.PeerAddress))
+	s.node.core.SetListedAddresses(s.now(), peerAddresses(vms, s.options.Self.PeerAddress))
 	s.refresh()
 }
 
-// peerAddresses returns the peer addresses of the entry VMs. The VM list holds IP addresses,
+// peerAddresses returns the peer addresses of the listed VMs. The VM list holds IP addresses,
 // to which peerAddresses adds the peer port of this daemon, as all daemons of a deployment
 // use the same one. An address with a port keeps that port.
 func peerAddresses(vms []platform.VM, self string) []string {
--- a/internal/policy/limit/membership_test.go
+++ b/internal/policy/limit/membership_test.go
@@ -40,19 +40,19 @@
 // Guards against refusals caused by a slot that was requested ahead. The fleet has just
 // started, an organisation sends prompts one at a time, far below its limits, and the fourth
 // takes a second, so that its slices expire. The coordinator still leases one slot at a time;
-// the home requests a slot for the next prompt and one ahead. The coordinator leased the
-// first and answered with a retry time for the second, and the home then refused further
-// prompts as over the limit although nothing was running.
+// the LocalLimiter requests a slot for the next prompt and one ahead. The coordinator leased
+// the first and answered with a retry time for the second, and the LocalLimiter then refused
+// further prompts as over the limit although nothing was running.
 func TestSlotRequestedAheadDoesNotCauseRefusals(t *testing.T) {
 	limits := Limits{RequestsPerSecond: 1000, Burst: 1000, Concurrency: 500, TokensPerSecond: 100_000_000}
 	now := epoch
 	s := NewCoordinator(now, Params{})
 	s.OnMembershipChange(now, 2, 2)
-	h := NewHome(Params{}, 2)
+	l := NewLocalLimiter(Params{}, 2)
 	admit := func() Decision {
-		d := h.Admit(now, "a", limits, 100)
+		d := l.Admit(now, "a", limits, 100)
 		if d.SliceRequest != nil {
-			h.OnSlice(now, "a", s.Slice(now, "d1", "a", limits, *d.SliceRequest))
+			l.OnSlice(now, "a", s.Slice(now, "d1", "a", limits, *d.SliceRequest))
 		}
 		return d
 	}
@@ -66,6 +66,6 @@
 			t.Fatalf("prompt %d is %s, retry after %s", n, d.Outcome, d.RetryAfter)
 		}
 		now = now.Add(took)
-		h.Done(now, "a", 4)
+		l.Done(now, "a", 4)
 	}
 }
--- a/internal/table/replica_test.go
+++ b/internal/table/replica_test.go
@@ -43,7 +43,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(time.Millisecond): // a new proof does not signal Changed
+		case <-time.After(time.Millisecond): // a new confirmation does not signal Changed
 		case <-t.Context().Done():
 			t.Fatal("condition not met")
 		}
@@ -53,7 +53,7 @@
 // TestRestartDuringOutageLearnsFromPeers: a daemon restarts with an empty replica while the
 // key-value service is down. Its first peer has missed the last edit. The daemon must merge
 // the newer pages of the second peer, keep them when the first peer sends its old pages again,
-// and adopt a proof that is no younger than that of the up-to-date peer.
+// and adopt a confirmation that is no younger than that of the up-to-date peer.
 func TestRestartDuringOutageLearnsFromPeers(t *testing.T) {
 	kv := newTestKV()
 	editor := applySample(t, kv)
@@ -78,7 +78,7 @@
 		_, have := restarted.Digest()
 		restarted.Merge(from.PagesNewerThan(have))
 		hash, pages := from.Digest()
-		restarted.AdoptPeerProof(now, PeerProof{Age: from.ProofAge(now), Hash: hash, Pages: pages})
+		restarted.ConfirmFromPeer(now, PeerConfirmation{Age: from.Staleness(now), Hash: hash, Pages: pages})
 	}
 	naive := map[string][]byte{}
 	for _, from := range []*Replica{old, current, old} {
@@ -94,15 +94,15 @@
 	if decoded, err := decodePageRows(name, 1, naive[name]); err != nil || decoded.organisations["acme"].Weight == 77 {
 		t.Fatal("the naive copy did not revert; the test no longer shows the fault")
 	}
-	if age := restarted.ProofAge(now); age != 20*time.Second {
-		t.Fatalf("proof is %v old, want 20s", age)
+	if age := restarted.Staleness(now); age != 20*time.Second {
+		t.Fatalf("confirmation is %v old, want 20s", age)
 	}
-	if age := old.ProofAge(now); age != 30*time.Second {
-		t.Fatalf("proof of the daemon that missed the edit is %v old, want 30s", age)
+	if age := old.Staleness(now); age != 30*time.Second {
+		t.Fatalf("confirmation of the daemon that missed the edit is %v old, want 30s", age)
 	}
 	hash, pages := restarted.Digest()
-	if old.AdoptPeerProof(now, PeerProof{Age: 0, Hash: hash, Pages: pages}) {
-		t.Fatal("a daemon that is behind its peer adopted the peer's proof")
+	if old.ConfirmFromPeer(now, PeerConfirmation{Age: 0, Hash: hash, Pages: pages}) {
+		t.Fatal("a daemon that is behind its peer adopted the peer's confirmation")
 	}
 }
 
@@ -128,9 +128,10 @@
 	waitFor(t, replica, func() bool { return weight() == 55 })
 }
 
-// TestUndecodablePageKeepsRowsAndProof: a page that a newer version of the program wrote can't
-// be decoded. The replica must keep the earlier rows and must not renew its proof.
-func TestUndecodablePageKeepsRowsAndProof(t *testing.T) {
+// TestUndecodablePageKeepsRowsAndConfirmation checks that the replica keeps the earlier rows
+// and its earlier confirmation if it can't decode a page, as when a newer version of the
+// program wrote it.
+func TestUndecodablePageKeepsRowsAndConfirmation(t *testing.T) {
 	kv := newTestKV()
 	applySample(t, kv)
 	now := time.Unix(1000, 0)
@@ -154,8 +155,8 @@
 	if _, ok := replica.Current().Organisation("acme"); !ok {
 		t.Fatal("acme was removed")
 	}
-	if age := replica.ProofAge(now); age != time.Minute {
-		t.Fatalf("proof is %v old, want 1m", age)
+	if age := replica.Staleness(now); age != time.Minute {
+		t.Fatalf("confirmation is %v old, want 1m", age)
 	}
 }
 
