--- a/internal/contextstore/owner.go
+++ b/internal/contextstore/owner.go
@@ -158,8 +158,9 @@
 	}
 }
 
-// current returns the state of a store owned here, or nil if it is not owned here or another
-// daemon is known to own it.
+// current returns the state of a store owned here. It returns nil if the store is not owned here,
+// can't grant permits any more, or is known to have another owner; in the last two cases it drops
+// the store.
 func (o *Owner) current(store routing.ServiceID) *ownedStore {
 	owned := o.lookup(store)
 	if owned == nil {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -21,7 +21,7 @@
 	checksPerTTL     = 20
 )
 
-// Options of NewManager.
+// Options configures a Manager.
 type Options struct {
 	KV      platform.KV
 	Self    request.DaemonID
@@ -50,10 +50,12 @@
 	acquireMu sync.Mutex // serialises Acquire, so that only one claim runs; locked before renewMu
 	renewMu   sync.Mutex // serialises renewals of the session
 
-	mu             sync.Mutex
-	session        *session // nil: none
-	held           map[string]*Lease
-	unresolved     map[string]platform.Revision  // names whose record may wrongly refer to this session, with the revision that the write without a response expected
+	mu      sync.Mutex
+	session *session // nil: none
+	held    map[string]*Lease
+	// unresolved holds the names whose record may refer to this session although no lease is held: a
+	// write had no response, or a release is under way. The value is the revision that the write expected.
+	unresolved     map[string]platform.Revision
 	formerSessions map[platform.LeaseID]struct{} // earlier sessions of this process that have ended
 	idleHeartbeats int                           // consecutive heartbeats without a held name
 }
@@ -91,14 +93,14 @@
 // Run renews the session until ctx ends. A separate goroutine checks the deadline, so that a
 // blocked renewal does not delay the end of the leases.
 func (m *Manager) Run(ctx context.Context) error {
-	watcherDone := make(chan struct{})
+	deadlineCheckDone := make(chan struct{})
 	go func() {
-		defer close(watcherDone)
+		defer close(deadlineCheckDone)
 		runEvery(ctx, m.opts.TTL/checksPerTTL, m.CheckDeadline)
 	}()
 	m.heartbeatOnce(ctx)
 	runEvery(ctx, m.opts.TTL/heartbeatsPerTTL, func() { m.heartbeatOnce(ctx) })
-	<-watcherDone
+	<-deadlineCheckDone
 	return nil
 }
 
@@ -210,7 +212,7 @@
 
 // checkFree returns an error unless the name of record r may be claimed. takeover reports whether
 // the previous holder did not release the name. A removed session key is never created again, so
-// the result remains true until the claim is written.
+// the name stays free of that holder until the claim is written.
 func (m *Manager) checkFree(ctx context.Context, r record, s *session) (takeover bool, err error) {
 	if r.Session == "" || r.Session == s.id {
 		return false, nil
--- a/internal/loadshare/loadshare.go
+++ b/internal/loadshare/loadshare.go
@@ -45,7 +45,7 @@
 	refusalBackoff = 240 * time.Millisecond
 )
 
-// Options of New.
+// Options configures a Reporter.
 type Options struct {
 	Self    request.DaemonID
 	Address string // UDP address to listen on
@@ -164,15 +164,15 @@
 }
 
 // ReportDeath reports to all daemons, within one tick, that a replica died while it ran a request.
-func (s *Reporter) ReportDeath(sighting quarantine.CrashReport) {
-	fingerprint, err := hex.DecodeString(string(sighting.Fingerprint))
+func (s *Reporter) ReportDeath(report quarantine.CrashReport) {
+	fingerprint, err := hex.DecodeString(string(report.Fingerprint))
 	if err != nil {
-		s.o.Logger.Error("A fingerprint can not be decoded", "fingerprint", sighting.Fingerprint, "error", err)
+		s.o.Logger.Error("Failed to decode a fingerprint", "fingerprint", report.Fingerprint, "error", err)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaths = append(s.deaths, &Death{Replica: string(sighting.Target), Started: sighting.Incarnation, Fingerprint: fingerprint})
+	s.deaths = append(s.deaths, &Death{Replica: string(report.Target), Started: report.Incarnation, Fingerprint: fingerprint})
 }
 
 // Run sends reports to peers until ctx ends.
@@ -215,7 +215,7 @@
 func (s *Reporter) send(r *Report, to []netip.AddrPort) {
 	raw, err := proto.Marshal(r)
 	if err != nil {
-		s.o.Logger.Error("A report can not be encoded", "error", err)
+		s.o.Logger.Error("Failed to encode a report", "error", err)
 		return
 	}
 	for _, address := range to {
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -31,7 +31,7 @@
 		Peers: func() []netip.AddrPort { return n.peers }, Others: func() []netip.AddrPort { return nil },
 		Revisions:   func() []uint64 { return []uint64{7} },
 		OnRevisions: func(_ string, r []uint64) { n.receivedRevisions <- r },
-		OnDeath:     func(s quarantine.CrashReport) { n.receivedDeaths <- s },
+		OnDeath:     func(report quarantine.CrashReport) { n.receivedDeaths <- report },
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/loadshare/receive.go
+++ b/internal/loadshare/receive.go
@@ -16,26 +16,27 @@
 	"github.com/bluebellscale/bluebellscale/internal/request"
 )
 
+// receive applies the reports of peers until the socket is closed.
 func (s *Reporter) receive(ctx context.Context) {
 	buffer := make([]byte, readBuffer)
 	for {
 		n, _, err := s.conn.ReadFromUDP(buffer)
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				s.o.Logger.Error("Datagrams can not be read", "error", err)
+				s.o.Logger.Error("Failed to read from the UDP socket", "error", err)
 			}
 			return
 		}
 		var r Report
 		if err := proto.Unmarshal(buffer[:n], &r); err != nil {
-			s.o.Logger.Debug("A datagram can not be read", "error", err)
+			s.o.Logger.Debug("Failed to decode a datagram", "error", err)
 			continue
 		}
 		s.apply(ctx, time.Now(), &r)
 	}
 }
 
-// apply applies the report of a peer.
+// apply updates the replicas with what a peer reported, and passes revisions, placements and crashes on.
 func (s *Reporter) apply(ctx context.Context, now time.Time, r *Report) {
 	if len(r.Revisions) > 0 {
 		s.o.OnRevisions(r.Address, r.Revisions)
--- a/internal/mirror/follow.go
+++ b/internal/mirror/follow.go
@@ -35,7 +35,7 @@
 	relayCheckInterval = 100 * time.Millisecond
 )
 
-// Options of New.
+// Options configures a Follower.
 type Options struct {
 	KV platform.KV
 	// Prefix is the prefix of all watched keys. The prefix of each mirror must begin with it.
--- a/internal/placer/engine.go
+++ b/internal/placer/engine.go
@@ -262,14 +262,14 @@
 	}
 	computing := time.Duration(pick.DefaultCosts.TokensToCompute(pickReq, c.Parts)+c.QueuedPrefill) * pick.DefaultCosts.PrefillPerToken
 	others := computing + all - expected
-	busy := c.QueuedPrefill > idlePrefillTokens || float64(c.KVUsed+pickReq.KVTokens) > idleMemoryShare*float64(c.KVCapacity) || all > expected
+	otherDelays := c.QueuedPrefill > idlePrefillTokens || float64(c.KVUsed+pickReq.KVTokens) > idleMemoryShare*float64(c.KVCapacity) || all > expected
 	began := time.Now()
 	report := func(overdue bool) {
 		took := max(0, time.Since(began)-others)
-		pp.Stores.ReportFetch(from.Store, storecache.FetchResult{Claim: from.Claim, Took: took, Overdue: overdue, Busy: busy})
+		pp.Stores.ReportFetch(from.Store, storecache.FetchResult{Claim: from.Claim, Took: took, Overdue: overdue, Busy: otherDelays})
 	}
 	timer := time.AfterFunc(others+expected+fetchOverdueAfter, func() {
-		if !busy {
+		if !otherDelays {
 			report(true)
 		}
 	})
--- a/internal/policy/quarantine/crash_record.go
+++ b/internal/policy/quarantine/crash_record.go
@@ -14,13 +14,13 @@
 // derive the same identifier, so that it counts once.
 type Death string
 
-// unknownWindow distinguishes deaths if the target's incarnation is unknown. A death that two daemons
-// observe on either side of a window's boundary counts twice.
-const unknownWindow = time.Minute
+// deathWindow is the period within which all deaths of a target with unknown incarnation count as one.
+// A death that two daemons observe on either side of a boundary counts twice.
+const deathWindow = time.Minute
 
 func newDeath(now time.Time, target request.TargetID, incarnation uint64) Death {
 	if incarnation == 0 {
-		return Death(string(target) + "@" + now.UTC().Truncate(unknownWindow).Format(time.RFC3339))
+		return Death(string(target) + "@" + now.UTC().Truncate(deathWindow).Format(time.RFC3339))
 	}
 	return Death(string(target) + "@" + strconv.FormatUint(incarnation, 10))
 }
@@ -43,16 +43,16 @@
 // and independent of the order.
 func (r *Registry) Merge(now time.Time, records []CrashRecord) []CrashRecord {
 	var changed []CrashRecord
-	for _, f := range records {
-		if !f.Expires.After(now) || len(f.Deaths) == 0 {
+	for _, record := range records {
+		if !record.Expires.After(now) || len(record.Deaths) == 0 {
 			continue
 		}
-		known := r.record(now, f.Fingerprint)
+		known := r.record(now, record.Fingerprint)
 		if known == nil {
-			known = &CrashRecord{Fingerprint: f.Fingerprint}
-			r.records[f.Fingerprint] = known
+			known = &CrashRecord{Fingerprint: record.Fingerprint}
+			r.records[record.Fingerprint] = known
 		}
-		if known.merge(f) {
+		if known.merge(record) {
 			changed = append(changed, known.clone())
 		}
 	}
@@ -61,31 +61,31 @@
 }
 
 // merge adds the content of another record and reports whether anything changed.
-func (f *CrashRecord) merge(other CrashRecord) bool {
-	changed := other.Expires.After(f.Expires)
+func (c *CrashRecord) merge(other CrashRecord) bool {
+	changed := other.Expires.After(c.Expires)
 	if changed {
-		f.Expires = other.Expires
+		c.Expires = other.Expires
 	}
-	if other.Proven && !f.Proven {
-		f.Proven = true
+	if other.Proven && !c.Proven {
+		c.Proven = true
 		changed = true
 	}
-	if other.Answered && !f.Answered {
-		f.Answered = true
+	if other.Answered && !c.Answered {
+		c.Answered = true
 		changed = true
 	}
 	for _, death := range other.Deaths {
-		if i, ok := slices.BinarySearch(f.Deaths, death); !ok {
-			f.Deaths = slices.Insert(f.Deaths, i, death)
+		if i, ok := slices.BinarySearch(c.Deaths, death); !ok {
+			c.Deaths = slices.Insert(c.Deaths, i, death)
 			changed = true
 		}
 	}
 	return changed
 }
 
-func (f *CrashRecord) clone() CrashRecord {
-	out := *f
-	out.Deaths = slices.Clone(f.Deaths)
+func (c *CrashRecord) clone() CrashRecord {
+	out := *c
+	out.Deaths = slices.Clone(c.Deaths)
 	return out
 }
 
@@ -93,8 +93,8 @@
 func (r *Registry) All(now time.Time) []CrashRecord {
 	r.removeExpired(now)
 	out := make([]CrashRecord, 0, len(r.records))
-	for _, f := range r.records {
-		out = append(out, f.clone())
+	for _, record := range r.records {
+		out = append(out, record.clone())
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Fingerprint < out[j].Fingerprint })
 	return out
@@ -104,19 +104,19 @@
 func (r *Registry) Hash(now time.Time) uint64 {
 	r.removeExpired(now)
 	var sum uint64
-	for _, f := range r.records {
+	for _, record := range r.records {
 		h := xxhash.New()
 		write := func(s string) {
 			_, _ = h.WriteString(s) // never fails
 			_, _ = h.WriteString("\x00")
 		}
-		write(string(f.Fingerprint))
-		write(strconv.FormatInt(f.Expires.UnixMilli(), 10))
-		for _, death := range f.Deaths {
+		write(string(record.Fingerprint))
+		write(strconv.FormatInt(record.Expires.UnixMilli(), 10))
+		for _, death := range record.Deaths {
 			write(string(death))
 		}
-		write(strconv.FormatBool(f.Proven))
-		write(strconv.FormatBool(f.Answered))
+		write(strconv.FormatBool(record.Proven))
+		write(strconv.FormatBool(record.Answered))
 		sum += h.Sum64()
 	}
 	return sum
@@ -124,15 +124,15 @@
 
 // record returns the record of a fingerprint, or nil if there is none.
 func (r *Registry) record(now time.Time, fp Fingerprint) *CrashRecord {
-	f, ok := r.records[fp]
+	record, ok := r.records[fp]
 	if !ok {
 		return nil
 	}
-	if !f.Expires.After(now) {
+	if !record.Expires.After(now) {
 		delete(r.records, fp)
 		return nil
 	}
-	return f
+	return record
 }
 
 func (r *Registry) removeExpired(now time.Time) {
@@ -146,9 +146,9 @@
 func (r *Registry) evict() {
 	for len(r.records) > r.params.MaxRecords {
 		var first *CrashRecord
-		for _, f := range r.records {
-			if first == nil || f.Expires.Before(first.Expires) || (f.Expires.Equal(first.Expires) && f.Fingerprint < first.Fingerprint) {
-				first = f
+		for _, record := range r.records {
+			if first == nil || record.Expires.Before(first.Expires) || (record.Expires.Equal(first.Expires) && record.Fingerprint < first.Fingerprint) {
+				first = record
 			}
 		}
 		delete(r.records, first.Fingerprint)
--- a/internal/policy/quarantine/quarantine.go
+++ b/internal/policy/quarantine/quarantine.go
@@ -146,11 +146,11 @@
 }
 
 // checkUnproven refuses a request with UnprovenDeaths deaths that no target has answered.
-func (r *Registry) checkUnproven(now time.Time, f *CrashRecord) Decision {
-	if f == nil || f.Answered || len(f.Deaths) < r.params.UnprovenDeaths {
+func (r *Registry) checkUnproven(now time.Time, record *CrashRecord) Decision {
+	if record == nil || record.Answered || len(record.Deaths) < r.params.UnprovenDeaths {
 		return Decision{Mode: Unrestricted}
 	}
-	return Decision{Mode: Refuse, Err: quarantinedError(now, f)}
+	return Decision{Mode: Refuse, Err: quarantinedError(now, record)}
 }
 
 // CrashReport is the death of a target with a request in flight.
@@ -162,19 +162,19 @@
 
 // OnCrashReport records a death with a request that is not in the registry, and returns the record if
 // it changed.
-func (r *Registry) OnCrashReport(now time.Time, s CrashReport) []CrashRecord {
-	return r.recordDeath(now, s.Target, s.Incarnation, map[Fingerprint]bool{s.Fingerprint: false})
+func (r *Registry) OnCrashReport(now time.Time, report CrashReport) []CrashRecord {
+	return r.recordDeath(now, report.Target, report.Incarnation, map[Fingerprint]bool{report.Fingerprint: false})
 }
 
 // OnAnswered records that a target ran a request to its end. This clears a suspect, since a request
 // that crashes targets crashes each target that runs it. It returns the record if it changed.
 func (r *Registry) OnAnswered(now time.Time, fp Fingerprint) []CrashRecord {
-	f := r.record(now, fp)
-	if f == nil || f.Answered {
+	record := r.record(now, fp)
+	if record == nil || record.Answered {
 		return nil
 	}
-	f.Answered = true
-	return []CrashRecord{f.clone()}
+	record.Answered = true
+	return []CrashRecord{record.clone()}
 }
 
 // Begin records a request that is about to be sent to a target. alone says that the target was granted
@@ -260,7 +260,7 @@
 	return r.Merge(now, records)
 }
 
-func quarantinedError(now time.Time, f *CrashRecord) *request.Error {
-	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, f.Expires.Sub(now),
-		"%d targets died while they ran this request", len(f.Deaths))
+func quarantinedError(now time.Time, record *CrashRecord) *request.Error {
+	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, record.Expires.Sub(now),
+		"%d targets died while they ran this request", len(record.Deaths))
 }
--- a/internal/policy/quarantine/quarantine_test.go
+++ b/internal/policy/quarantine/quarantine_test.go
@@ -358,8 +358,8 @@
 		shuffled := rapid.Permutation(records).Draw(rt, "shuffled")
 		a, b := New(Params{}), New(Params{})
 		a.Merge(epoch, records)
-		for _, f := range shuffled {
-			b.Merge(epoch, []CrashRecord{f})
+		for _, record := range shuffled {
+			b.Merge(epoch, []CrashRecord{record})
 		}
 		if !reflect.DeepEqual(a.All(epoch), b.All(epoch)) || a.Hash(epoch) != b.Hash(epoch) {
 			rt.Fatalf("records differ by merge order: %v and %v", a.All(epoch), b.All(epoch))
--- a/internal/policy/quarantine/table_test.go
+++ b/internal/policy/quarantine/table_test.go
@@ -56,14 +56,14 @@
 
 func list(records []CrashRecord) string {
 	var out strings.Builder
-	for _, f := range records {
-		fmt.Fprintf(&out, "%s %v until %s%s\n", f.Fingerprint, f.Deaths, f.Expires.Sub(epoch), provenSuffix(f))
+	for _, record := range records {
+		fmt.Fprintf(&out, "%s %v until %s%s\n", record.Fingerprint, record.Deaths, record.Expires.Sub(epoch), provenSuffix(record))
 	}
 	return out.String()
 }
 
-func provenSuffix(f CrashRecord) string {
-	if f.Proven {
+func provenSuffix(record CrashRecord) string {
+	if record.Proven {
 		return ", proven"
 	}
 	return ""
--- a/internal/policy/rollout/rollout.go
+++ b/internal/policy/rollout/rollout.go
@@ -1,4 +1,4 @@
-// Package rollout brings targets to the weight version, adapter and role that the table requests. It
+// Package rollout brings targets to the weight version, adapter and role of the desired state. It
 // bounds the number of concurrent weight loads and keeps the service available.
 //
 // A lease holder runs the rollout and issues orders under the lease's epoch. Each call of Reconcile
@@ -32,7 +32,8 @@
 	// slow each other down.
 	LoadCap int
 	// MaxUnavailableShare is the share of a model's replicas that may be unavailable at once, because
-	// they load weights or are unreachable. At least one replica may be.
+	// they are draining, loading weights, leaving or unreachable, or have no weights. At least one
+	// replica may be unavailable.
 	MaxUnavailableShare float64
 	// OrderTimeout is the longest time from issuing an order to its effect in the target's state. The
 	// sender's own timeout is considerably shorter.
@@ -54,7 +55,7 @@
 	PrefillTimeout time.Duration
 }
 
-// Desired is the state that the table requests for a target. Empty fields are not changed.
+// Desired is the desired state of a target. Empty fields are not changed.
 type Desired struct {
 	Target  request.TargetID
 	Model   request.Model
@@ -256,12 +257,12 @@
 	if serving {
 		v.unavailable[d.Model]++
 	}
-	return r.orderLoad(now, d, false)
+	return r.orderLoad(now, d, false) // not drained: prompts may be running
 }
 
-func (r *Rollout) orderLoad(now time.Time, d Desired, computed bool) Order {
+func (r *Rollout) orderLoad(now time.Time, d Desired, prefillDone bool) Order {
 	load := engineapi.Order{Kind: engineapi.OrderLoadVersion, Model: d.Model, Version: d.Version}
-	return r.issueOrder(now, Order{Target: d.Target, Order: load, PrefillDone: computed})
+	return r.issueOrder(now, Order{Target: d.Target, Order: load, PrefillDone: prefillDone})
 }
 
 // drain returns the action of a target that must not load yet, or nil once it is drained.
@@ -303,8 +304,9 @@
 }
 
 // reconcilePending waits for the effect of an order. If a state that was read after OrderTimeout does not
-// show the effect, the order is sent again, or dropped if the table has changed. A target that was
-// unreachable for LoadTimeout no longer counted against LoadCap; its order is dropped and issued anew.
+// show the effect, the order is sent again, or dropped if the desired state has changed. An order that
+// was last sent LoadTimeout ago or earlier, because its target was unreachable and no longer counts
+// against LoadCap, is dropped; a later call issues a new one.
 func (r *Rollout) reconcilePending(now time.Time, p pending, d Desired, o Observed) Action {
 	until := p.sentAt.Add(r.params.OrderTimeout)
 	if o.ReadAt.Before(until) {
@@ -319,7 +321,7 @@
 	return p.order
 }
 
-// stillDesired reports whether the table still requests what was ordered.
+// stillDesired reports whether the desired state still contains what was ordered.
 func (p pending) stillDesired(d Desired) bool {
 	order := p.order.Order
 	switch order.Kind {
@@ -342,7 +344,8 @@
 	return o
 }
 
-// settled reports whether a state shows the effect of the order or of a newer one.
+// settled reports whether the order took effect: the state names it as its last order, or already shows
+// what it requested.
 func (p pending) settled(s engineapi.State) bool {
 	order := p.order.Order
 	if s.LastOrder == order.OperationID {
--- a/internal/policy/rollout/rollout_test.go
+++ b/internal/policy/rollout/rollout_test.go
@@ -171,7 +171,7 @@
 }
 
 // Orders and their responses are lost or delayed, holders are replaced while their orders are in transit,
-// the table changes, and targets restart; some targets do not check epochs. LoadCap and
+// the desired state changes, and targets restart; some targets do not check epochs. LoadCap and
 // MaxUnavailableShare must always hold, and after the faults all targets must reach the desired state.
 func TestRolloutConvergesWithinBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/policy/storecache/link.go
+++ b/internal/policy/storecache/link.go
@@ -107,7 +107,7 @@
 	return l.lastClaim
 }
 
-// cancel removes a transfer that is not made.
+// cancel removes the grant of a transfer that will not take place, and frees its link time.
 func (l *link) cancel(now time.Time, claim int64) {
 	i, known := l.find(claim)
 	if !known {
--- a/internal/policy/storecache/link_test.go
+++ b/internal/policy/storecache/link_test.go
@@ -67,7 +67,8 @@
 	requested, fetched, late [loadDuration / time.Second]int
 }
 
-func playLoad(seed uint64, deliver func(FetchResult) bool) *load {
+// simulateLoad runs the simulation for loadDuration and returns its counts.
+func simulateLoad(seed uint64, deliver func(FetchResult) bool) *load {
 	const parts = 300
 	l := &load{rng: rand.New(rand.NewPCG(seed, 1)), deliver: deliver}
 	l.cache = New(at(-10_000), Params{CapacityTokens: 10_000_000, TokensPerSec: loadPerSec, FirstByte: 6 * time.Millisecond})
@@ -153,7 +154,7 @@
 	const seeds = 20
 	sum := 0.0
 	for seed := range uint64(seeds) {
-		sum += count(playLoad(seed, deliver))
+		sum += count(simulateLoad(seed, deliver))
 	}
 	return sum / seeds
 }
--- a/internal/policy/subset/subset.go
+++ b/internal/policy/subset/subset.go
@@ -20,18 +20,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// minDaemons is the least number of daemons in a group; a group has up to twice as many. A group of
-// this size tolerates the loss of some daemons, and each daemon reports its load to few others.
-const minDaemons = 7.5
+// minDaemonsPerGroup is the least average number of daemons per group; once groups average twice as
+// many, they are split if there are enough replicas. A group of this size tolerates the loss of some
+// daemons, and each daemon reports its load to few others.
+const minDaemonsPerGroup = 7.5
 
 // minReplicas is the least number of replicas in a group. In a smaller group, the failure of one
 // replica takes away too much of the capacity.
 const minReplicas = 6
 
-// GroupCount returns the number of groups. It changes only when the fleet doubles or halves.
+// GroupCount returns the number of groups, a power of two. It has no hysteresis: the number changes
+// whenever daemons or replicas cross a threshold, for example between 14 and 15 daemons.
 func GroupCount(daemons, replicas int) int {
 	groups := 1
-	for float64(daemons) >= 2*float64(groups)*minDaemons && replicas >= 2*groups*minReplicas {
+	for float64(daemons) >= 2*float64(groups)*minDaemonsPerGroup && replicas >= 2*groups*minReplicas {
 		groups *= 2
 	}
 	return groups
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -15,7 +15,7 @@
 
 // deliver passes the replica's response to the caller. It returns false if the stream broke and
 // may be resumed on another replica.
-func (s *Server) deliver(ctx context.Context, w http.ResponseWriter, j *Job, k *sink, a *attempt) bool {
+func (s *Server) deliver(ctx context.Context, w http.ResponseWriter, j *Job, out *sink, a *attempt) bool {
 	if a.body != nil {
 		s.deliverBuffered(w, j, a)
 		return true
@@ -24,9 +24,9 @@
 		s.deliverUnbuffered(w, j, a)
 		return true
 	}
-	err := s.copyEvents(ctx, k, a)
+	err := s.copyEvents(ctx, out, a)
 	if err == nil {
-		s.logAnswered(j, a, k, "stream")
+		s.logAnswered(j, a, out, "stream")
 		a.release(true)
 		return true
 	}
@@ -71,9 +71,9 @@
 }
 
 // finishUnanswered ends a request that no replica answered completely.
-func (s *Server) finishUnanswered(ctx context.Context, w http.ResponseWriter, j *Job, k *sink, mayRun bool, cause error) {
-	if k.started {
-		s.o.Logger.Info(loglines.StreamBroken, "request", j.ID, "route", j.Route.Name, "events", k.events, "cause", cause, "after_ms", sinceMs(j.Start))
+func (s *Server) finishUnanswered(ctx context.Context, w http.ResponseWriter, j *Job, out *sink, mayRun bool, cause error) {
+	if out.started {
+		s.o.Logger.Info(loglines.StreamBroken, "request", j.ID, "route", j.Route.Name, "events", out.events, "cause", cause, "after_ms", sinceMs(j.Start))
 		s.o.Metrics.Counter("streams_broken").Inc(1)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -177,7 +177,8 @@
 	}
 }
 
-// updateReplica records the outcome in the replica's health.
+// updateReplica records what the attempt revealed about the replica: its weight version, its health
+// and refusals.
 func (s *Server) updateReplica(j *Job, a *attempt) {
 	r := a.placement.Replica
 	if j.Model != "" && a.meta.WeightsVersion > 0 {
--- a/internal/relay/crashes.go
+++ b/internal/relay/crashes.go
@@ -15,7 +15,7 @@
 	// Check returns an error if the request is quarantined, nil otherwise.
 	Check(fingerprint func() quarantine.Fingerprint) *request.Error
 	// RecordCrash records that a replica died while it ran a request.
-	RecordCrash(ctx context.Context, s quarantine.CrashReport)
+	RecordCrash(ctx context.Context, report quarantine.CrashReport)
 	// RecordSuccess records that a replica completed a request.
 	RecordSuccess(ctx context.Context, fingerprint func() quarantine.Fingerprint)
 }
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -23,12 +23,12 @@
 
 // logAnswered records the latency of a delivered response and logs it. delivery is "stream" for a stream
 // of events, "whole" for a buffered response, and "long" for a response that was not buffered.
-func (s *Server) logAnswered(j *Job, a *attempt, k *sink, delivery string) {
+func (s *Server) logAnswered(j *Job, a *attempt, out *sink, delivery string) {
 	s.o.Metrics.Counter("answered").Inc(1)
 	took := time.Since(j.Start)
 	first := took
-	if k != nil && !k.firstAt.IsZero() {
-		first = k.firstAt.Sub(j.Start)
+	if out != nil && !out.firstAt.IsZero() {
+		first = out.firstAt.Sub(j.Start)
 	}
 	s.timeToFirst[j.Route.Kind].RecordDuration(first)
 	s.timeToComplete[j.Route.Kind].RecordDuration(took)
@@ -37,24 +37,24 @@
 	}
 	args := []any{"request", j.ID, "route", j.Route.Name, "how", delivery, "status", a.response.Status, "replica", a.placement.Meta.Replica,
 		"why", a.placement.Reason, "after_ms", sinceMs(j.Start)}
-	if cause := lateCause(j, a, k, first); cause != "" {
+	if cause := lateCause(j, a, out, first); cause != "" {
 		args = append(args, "late", cause)
 	}
-	if k != nil {
-		args = append(args, "first_ms", k.firstAt.Sub(j.Start).Milliseconds(), "events", k.events,
-			"pause_ms", k.longestGap.Milliseconds())
+	if out != nil {
+		args = append(args, "first_ms", out.firstAt.Sub(j.Start).Milliseconds(), "events", out.events,
+			"pause_ms", out.longestGap.Milliseconds())
 	}
 	s.o.Logger.Info(loglines.Answered, args...)
 }
 
 // lateCause names the objective of its route that a response missed, or returns "". For a missed
 // first event it adds how the parts of the prompt were obtained, the first word of the placer's reason.
-func lateCause(j *Job, a *attempt, k *sink, first time.Duration) string {
+func lateCause(j *Job, a *attempt, out *sink, first time.Duration) string {
 	switch {
 	case j.Route.Objective > 0 && first > j.Route.Objective:
 		way, _, _ := strings.Cut(a.placement.Reason, " ")
 		return "first words, " + way
-	case k != nil && j.Route.MaxEventGap > 0 && k.longestGap > j.Route.MaxEventGap:
+	case out != nil && j.Route.MaxEventGap > 0 && out.longestGap > j.Route.MaxEventGap:
 		return "a pause"
 	}
 	return ""
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -513,11 +513,11 @@
 	return request.Refuse(request.CodeQuarantined, http.StatusServiceUnavailable, time.Minute, "replicas crashed")
 }
 
-func (c *fakeCrashTracker) RecordCrash(_ context.Context, s quarantine.CrashReport) {
+func (c *fakeCrashTracker) RecordCrash(_ context.Context, report quarantine.CrashReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.crashes[s.Fingerprint]++
-	c.started = s.Incarnation
+	c.crashes[report.Fingerprint]++
+	c.started = report.Incarnation
 }
 
 func (c *fakeCrashTracker) RecordSuccess(context.Context, func() quarantine.Fingerprint) {}
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -137,22 +137,22 @@
 // serve makes attempts until the job is answered or no further attempt is allowed.
 func (s *Server) serve(ctx context.Context, w http.ResponseWriter, j *Job) {
 	s.withBudget(j.Service.ID, func(b *retry.Budget) bool { b.OnFirstAttempt(time.Now()); return true })
-	k := &sink{w: w, control: http.NewResponseController(w), lastEventID: j.LastEventID}
+	out := &sink{w: w, control: http.NewResponseController(w), lastEventID: j.LastEventID}
 	var tried []request.TargetID
 	var n attemptCounts
 	for {
-		j.ResponseStarted = k.started
+		j.ResponseStarted = out.started
 		p, err := s.placer(j).Place(ctx, j, tried)
 		if err != nil {
-			s.finishUnanswered(ctx, w, j, k, n.mayHaveRun > 0, err)
+			s.finishUnanswered(ctx, w, j, out, n.mayHaveRun > 0, err)
 			return
 		}
-		if k.lastEventID != j.LastEventID {
-			p.Meta.LastEventID = k.lastEventID
+		if out.lastEventID != j.LastEventID {
+			p.Meta.LastEventID = out.lastEventID
 		}
 		a := s.send(ctx, j, p)
 		if a.outcome == answered {
-			if s.deliver(ctx, w, j, k, a) {
+			if s.deliver(ctx, w, j, out, a) {
 				s.recordSuccess(ctx, j)
 				return
 			}
@@ -168,8 +168,8 @@
 		s.logFailedAttempt(j, a, n.sent+n.unsent)
 		a.release(a.body != nil)
 		tried = append(tried, p.Meta.Replica)
-		if ctx.Err() != nil || a.outcome == cancelled || !s.mayRetry(ctx, j, a, n, k) {
-			s.finishUnanswered(ctx, w, j, k, n.mayHaveRun > 0, a.err)
+		if ctx.Err() != nil || a.outcome == cancelled || !s.mayRetry(ctx, j, a, n, out) {
+			s.finishUnanswered(ctx, w, j, out, n.mayHaveRun > 0, a.err)
 			return
 		}
 	}
@@ -203,13 +203,13 @@
 
 // mayRetry reports whether another attempt may follow a failed one. It charges the retry budget
 // where the retry requires it.
-func (s *Server) mayRetry(ctx context.Context, j *Job, a *attempt, n attemptCounts, k *sink) bool {
+func (s *Server) mayRetry(ctx context.Context, j *Job, a *attempt, n attemptCounts, out *sink) bool {
 	switch {
 	case a.outcome == failed:
 		return true // mayRunAgain has allowed and charged the retry
 	case a.outcome == notSent:
 		return n.unsent < maxUnsentAttempts && time.Until(j.Deadline) > minTimeLeft
-	case a.outcome == notRun && !k.started:
+	case a.outcome == notRun && !out.started:
 		return n.sent < maxSentAttempts && time.Until(j.Deadline) > minTimeLeft && s.takeRetry(j)
 	}
 	return s.mayRunAgain(ctx, j, n)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -100,59 +100,59 @@
 }
 
 // recordEvent counts an event and updates the longest gap.
-func (k *sink) recordEvent(now time.Time) {
-	k.events++
-	if !k.lastAt.IsZero() {
-		k.longestGap = max(k.longestGap, now.Sub(k.lastAt))
+func (out *sink) recordEvent(now time.Time) {
+	out.events++
+	if !out.lastAt.IsZero() {
+		out.longestGap = max(out.longestGap, now.Sub(out.lastAt))
 	}
-	k.lastAt = now
+	out.lastAt = now
 }
 
-func (k *sink) write(event []byte, flush bool) error {
-	if _, err := k.w.Write(event); err != nil {
+func (out *sink) write(event []byte, flush bool) error {
+	if _, err := out.w.Write(event); err != nil {
 		return err
 	}
 	if !flush {
 		return nil
 	}
-	return k.control.Flush()
+	return out.control.Flush()
 }
 
 // startResponse writes the status and headers of the first replica's response. It is called at the
 // first event, so that a stream that breaks earlier can still become a clean error.
-func (s *Server) startResponse(k *sink, a *attempt) {
-	if k.started {
+func (s *Server) startResponse(out *sink, a *attempt) {
+	if out.started {
 		return
 	}
-	k.started = true
-	k.firstAt = time.Now()
-	s.o.Dialect.CopyResponseHeader(k.w.Header(), a.response.Header)
-	s.closeIfDraining(k.w)
-	k.w.WriteHeader(a.response.Status)
+	out.started = true
+	out.firstAt = time.Now()
+	s.o.Dialect.CopyResponseHeader(out.w.Header(), a.response.Header)
+	s.closeIfDraining(out.w)
+	out.w.WriteHeader(a.response.Status)
 }
 
 // copyEvents delivers events until the stream ends. It returns nil if the stream ended cleanly.
-func (s *Server) copyEvents(ctx context.Context, k *sink, a *attempt) error {
+func (s *Server) copyEvents(ctx context.Context, out *sink, a *attempt) error {
 	reader := newEventReader(a.response.Body)
 	for {
 		event, err := reader.next()
 		if err == io.EOF {
-			s.startResponse(k, a)
-			return k.control.Flush()
+			s.startResponse(out, a)
+			return out.control.Flush()
 		}
 		if err != nil {
 			return errors.Wrap(err, "relay: stream")
 		}
 		if id := eventID(event); id != "" {
-			if k.lastEventID != "" && !follows(id, k.lastEventID) {
+			if out.lastEventID != "" && !follows(id, out.lastEventID) {
 				continue // a resumed stream may repeat delivered events
 			}
-			k.lastEventID = id
+			out.lastEventID = id
 		}
 		a.recordFirstEvent()
-		s.startResponse(k, a)
-		k.recordEvent(time.Now())
-		if err := k.write(event, !reader.hasBuffered()); err != nil {
+		s.startResponse(out, a)
+		out.recordEvent(time.Now())
+		if err := out.write(event, !reader.hasBuffered()); err != nil {
 			return errors.Mark(errors.Wrap(err, "relay: caller"), errCallerDisconnected)
 		}
 		if ctx.Err() != nil {
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -43,7 +43,7 @@
 	Leaving       bool             `json:"leaving"`
 }
 
-// Options of New.
+// Options configures a Roster.
 type Options struct {
 	KV       platform.KV
 	Follower *mirror.Follower // of the key-value service; the caller of New runs it
--- a/internal/suspect/counting.go
+++ b/internal/suspect/counting.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// refuseDeaths is the number of crashes after which a request is refused. When many targets
-	// crash at once, two of them may have had the same harmless request in flight.
+	// refuseDeaths is the number of deaths at which a request is refused. When many targets
+	// die at once, two of them may have had the same harmless request in flight.
 	refuseDeaths = 3
-	// storeDeaths is the number of crashes from which a crash record is written to the key-value
-	// service. One crash makes all requests in flight suspects, but few of them see a second one.
+	// storeDeaths is the least number of deaths with which a crash record is written to the key-value
+	// service. One death makes all requests in flight suspects, but few of them see a second one.
 	storeDeaths = 2
 )
 
@@ -31,15 +31,15 @@
 	Now      func() time.Time // nil: time.Now
 }
 
-// CountingRegistry refuses requests that were in flight at too many crashes. It serves daemons that
+// CountingRegistry refuses requests that were in flight at too many deaths. It serves daemons that
 // can't drain a target to run a suspect request alone. Suspects run without restrictions, and a
 // suspect that a target answers is cleared. It is safe for concurrent use.
 //
-// Crash reports are sent to all daemons at once. Crash records with two or more crashes are also
+// Crash reports are sent to all daemons at once. Crash records with two or more deaths are also
 // written to the key-value service, where they outlive all daemons.
 type CountingRegistry struct {
 	o          CountingOptions
-	registry   *Registry // holds the crash records, and reads and writes their pages
+	registry   *Registry // holds the crash records, and reads and writes them in the key-value service
 	mirror     *mirror.Mirror
 	hasRecords atomic.Bool // there are crash records
 }
@@ -79,25 +79,25 @@
 }
 
 // RecordCrash records that a target died while it ran a request of this daemon, and reports it to the
-// other daemons. It returns after a crash record with several crashes is written or the write has
+// other daemons. It returns after a crash record with several deaths is written or the write has
 // failed.
-func (c *CountingRegistry) RecordCrash(ctx context.Context, s quarantine.CrashReport) {
-	records := c.record(s)
+func (c *CountingRegistry) RecordCrash(ctx context.Context, report quarantine.CrashReport) {
+	records := c.addReport(report)
 	if c.o.Notify != nil {
-		c.o.Notify(s)
+		c.o.Notify(report)
 	}
 	c.store(ctx, records)
 }
 
 // OnPeerReport records a crash that another daemon reported. The reporting daemon writes the crash
 // record to the key-value service if necessary.
-func (c *CountingRegistry) OnPeerReport(s quarantine.CrashReport) { c.record(s) }
+func (c *CountingRegistry) OnPeerReport(report quarantine.CrashReport) { c.addReport(report) }
 
-func (c *CountingRegistry) record(s quarantine.CrashReport) []quarantine.CrashRecord {
+func (c *CountingRegistry) addReport(report quarantine.CrashReport) []quarantine.CrashRecord {
 	c.hasRecords.Store(true)
 	c.registry.mu.Lock()
 	defer c.registry.mu.Unlock()
-	return c.registry.crashRecords.OnCrashReport(c.registry.opts.Now(), s)
+	return c.registry.crashRecords.OnCrashReport(c.registry.opts.Now(), report)
 }
 
 // RecordSuccess records that a target completed a request.
@@ -114,12 +114,12 @@
 
 // store writes the crash records that must outlive this daemon.
 func (c *CountingRegistry) store(ctx context.Context, records []quarantine.CrashRecord) {
-	for _, f := range records {
-		if len(f.Deaths) < storeDeaths {
+	for _, record := range records {
+		if len(record.Deaths) < storeDeaths {
 			continue
 		}
-		c.o.Logger.Warn("Targets died while they ran the same request", "fingerprint", f.Fingerprint, "deaths", f.Deaths, "answered", f.Answered)
-		if err := c.registry.writePage(ctx, pageKey(f.Fingerprint), []quarantine.CrashRecord{f}); err != nil {
+		c.o.Logger.Warn("Targets died while they ran the same request", "fingerprint", record.Fingerprint, "deaths", record.Deaths, "answered", record.Answered)
+		if err := c.registry.writePage(ctx, pageKey(record.Fingerprint), []quarantine.CrashRecord{record}); err != nil {
 			c.o.Logger.Warn("Failed to write a crash record; the other daemons were notified", "error", err)
 		}
 	}
--- a/internal/suspect/counting_test.go
+++ b/internal/suspect/counting_test.go
@@ -43,9 +43,9 @@
 func TestRequestThatCrashesReplicasIsRefusedByAllDaemons(t *testing.T) {
 	fake := kv.NewFake(time.Now)
 	var all []*CountingRegistry
-	notify := func(s quarantine.CrashReport) {
+	notify := func(report quarantine.CrashReport) {
 		for _, c := range all {
-			c.OnPeerReport(s)
+			c.OnPeerReport(report)
 		}
 	}
 	for i := range 3 {
--- a/internal/suspect/pages.go
+++ b/internal/suspect/pages.go
@@ -26,9 +26,9 @@
 
 func groupByPage(records []quarantine.CrashRecord) map[string][]quarantine.CrashRecord {
 	out := map[string][]quarantine.CrashRecord{}
-	for _, f := range records {
-		name := pageKey(f.Fingerprint)
-		out[name] = append(out[name], f)
+	for _, record := range records {
+		name := pageKey(record.Fingerprint)
+		out[name] = append(out[name], record)
 	}
 	return out
 }
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -195,9 +195,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []*peer.Finding
-	for _, f := range r.crashRecords.All(r.opts.Now()) {
-		m := &peer.Finding{Fingerprint: string(f.Fingerprint), ExpiresUnixMs: f.Expires.UnixMilli(), Proven: f.Proven}
-		for _, d := range f.Deaths {
+	for _, record := range r.crashRecords.All(r.opts.Now()) {
+		m := &peer.Finding{Fingerprint: string(record.Fingerprint), ExpiresUnixMs: record.Expires.UnixMilli(), Proven: record.Proven}
+		for _, d := range record.Deaths {
 			m.Targets = append(m.Targets, string(d))
 		}
 		out = append(out, m)
@@ -209,11 +209,11 @@
 func (r *Registry) Merge(records []*peer.Finding) int {
 	in := make([]quarantine.CrashRecord, 0, len(records))
 	for _, m := range records {
-		f := quarantine.CrashRecord{Fingerprint: quarantine.Fingerprint(m.Fingerprint), Expires: time.UnixMilli(m.ExpiresUnixMs), Proven: m.Proven}
+		record := quarantine.CrashRecord{Fingerprint: quarantine.Fingerprint(m.Fingerprint), Expires: time.UnixMilli(m.ExpiresUnixMs), Proven: m.Proven}
 		for _, d := range m.Targets {
-			f.Deaths = append(f.Deaths, quarantine.Death(d))
+			record.Deaths = append(record.Deaths, quarantine.Death(d))
 		}
-		in = append(in, f)
+		in = append(in, record)
 	}
 	return r.merge(in)
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -23,16 +23,16 @@
 	ErrUnreachable = errors.New("upstream: replica unreachable")
 	// ErrBroken means that the replica may have received the request and the response is lost.
 	ErrBroken = errors.New("upstream: connection broken")
-	// ErrMismatched means that only responses to other requests arrived.
+	// ErrMismatched means that only responses to other requests or interim responses arrived.
 	ErrMismatched = errors.New("upstream: response to another request")
 )
 
 const (
-	maxMismatchedResponses = 3         // responses to other requests that are discarded before the connection is closed
-	maxMismatchedBytes     = 256 << 10 // body size of one such response
-	inlineBodyBytes        = 8 << 10   // bodies up to this size fit a socket buffer and are written synchronously
-	keepAliveMargin        = 500 * time.Millisecond
-	defaultIdleTimeout     = 4 * time.Second // for a peer that announces no timeout
+	maxResponsesRead   = 3         // responses read for one request, including interim (1xx) ones and those to other requests
+	maxMismatchedBytes = 256 << 10 // body size from which a response to another request ends the reading
+	inlineBodyBytes    = 8 << 10   // bodies up to this size fit a socket buffer and are written synchronously
+	keepAliveMargin    = 500 * time.Millisecond
+	defaultIdleTimeout = 4 * time.Second // for a peer that announces no timeout
 )
 
 // Request is a request that Do sends once.
@@ -129,7 +129,7 @@
 // duplicate responses to earlier requests on this connection.
 func readMatching(br *bufio.Reader, r *Request) (*http.Response, error) {
 	request := &http.Request{Method: r.Method}
-	for range maxMismatchedResponses {
+	for range maxResponsesRead {
 		raw, err := http.ReadResponse(br, request)
 		if err != nil {
 			return nil, errors.Mark(errors.Wrap(err, "upstream: read"), ErrBroken)
--- a/internal/weights/controller.go
+++ b/internal/weights/controller.go
@@ -111,7 +111,7 @@
 	Load(ctx context.Context, r *replicas.Replica, o Order) error
 }
 
-// Options of New.
+// Options configures a Controller.
 type Options struct {
 	KV     platform.KV
 	Leases *lease.Manager
